--- a/internal/forwarding/attempts.go
+++ b/internal/forwarding/attempts.go
@@ -16,7 +16,7 @@
 	if !c.repeat {
 		// The call of a repeated run was a first attempt of the run before: counted
 		// again, it would allow retries that the bound over all nodes does not.
-		destination.budget.First(c.began)
+		destination.budget.AddFirstAttempt(c.began)
 	} else if !c.spend(destination, repeatedCallShare) {
 		return nil, outcome.WithRetryAfter(outcome.Overloaded, defaultRetryAfter)
 	}
--- a/internal/forwarding/repeats_test.go
+++ b/internal/forwarding/repeats_test.go
@@ -88,7 +88,7 @@
 	sheds := false
 	served := func(now time.Time, share float64) bool {
 		budget := budgets[random.IntN(d.nodes)]
-		budget.First(now)
+		budget.AddFirstAttempt(now)
 		for sheds && random.Float64() < turnedAway {
 			if !budget.SpendWithin(now, share) {
 				return false
--- a/internal/forwarding/two_services_test.go
+++ b/internal/forwarding/two_services_test.go
@@ -52,7 +52,7 @@
 func (s *twoServices) lookup(node int, repeat bool) bool {
 	budget := s.second[node]
 	s.requests++
-	budget.First(s.now)
+	budget.AddFirstAttempt(s.now)
 	if repeat && s.countRepeats && !budget.SpendWithin(s.now, repeatedCallShare) {
 		return false
 	}
@@ -72,7 +72,7 @@
 // request plays one request to the first service.
 func (s *twoServices) request() {
 	budget := s.first[s.random.IntN(s.nodes)]
-	budget.First(s.now)
+	budget.AddFirstAttempt(s.now)
 	for again := false; ; again = true {
 		if s.random.Float64() >= s.turnedAway && s.run(again) {
 			return
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -93,7 +93,7 @@
 	return Status{
 		Endpoint:    c.endpoint,
 		Outstanding: int(c.state.outstanding.Load()),
-		Load:        c.state.expectedLoad(now, b.options.LoadAge),
+		Load:        c.state.expectedLoad(now, b.options.LoadHalfLife),
 		Weight:      c.state.weight(now, b.options.SlowStart, b.options.SlowStartFloor),
 		Ejected:     c.state.ejected(now),
 		Draining:    c.state.draining(now),
--- a/pkg/balance/balancer_test.go
+++ b/pkg/balance/balancer_test.go
@@ -110,7 +110,7 @@
 	if pick := mustPick(t, b, "n0", "n1", "region"); pick.Endpoint.ID != "far" {
 		t.Errorf("nearer ones excluded: picked %s, want far", pick.Endpoint.ID)
 	}
-	c.Advance(10 * balance.DefaultLoadAge)
+	c.Advance(10 * balance.DefaultLoadHalfLife)
 	aged := shares(t, b, 0)
 	if got := aged["n0"] + aged["n1"]; got < 0.999 {
 		t.Errorf("own zone got %.3f of the requests after its load had aged", got)
--- a/pkg/balance/options.go
+++ b/pkg/balance/options.go
@@ -7,7 +7,7 @@
 
 // Default values of Options.
 const (
-	DefaultLoadAge            = 500 * time.Millisecond
+	DefaultLoadHalfLife            = 500 * time.Millisecond
 	DefaultSpillStart         = 0.6
 	DefaultSpillFull          = 0.95
 	DefaultSpillBusy          = 0.75
@@ -33,8 +33,8 @@
 	SlowStart time.Duration
 	// SlowStartFloor is the share, from 0 to 1, at the beginning of slow start.
 	SlowStartFloor float64
-	// LoadAge is the time after which a reported load counts for half.
-	LoadAge time.Duration
+	// LoadHalfLife is the time after which a reported load counts for half.
+	LoadHalfLife time.Duration
 	// SpillStart is the mean load, from 0 to 1, of the nearer endpoints at which
 	// requests begin to go further; at SpillFull all do, unless the endpoints
 	// there are busier.
@@ -72,7 +72,7 @@
 func (o Options) withDefaults() Options {
 	defaultTo(&o.SlowStart, DefaultSlowStart)
 	defaultTo(&o.SlowStartFloor, DefaultSlowStartFloor)
-	defaultTo(&o.LoadAge, DefaultLoadAge)
+	defaultTo(&o.LoadHalfLife, DefaultLoadHalfLife)
 	defaultTo(&o.SpillStart, DefaultSpillStart)
 	defaultTo(&o.SpillFull, DefaultSpillFull)
 	defaultTo(&o.SpillBusy, DefaultSpillBusy)
--- a/pkg/balance/pick.go
+++ b/pkg/balance/pick.go
@@ -152,5 +152,5 @@
 }
 
 func (s *search) load(c *candidate) float64 {
-	return c.state.expectedLoad(s.now, s.balancer.options.LoadAge)
+	return c.state.expectedLoad(s.now, s.balancer.options.LoadHalfLife)
 }
--- a/pkg/balance/set.go
+++ b/pkg/balance/set.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		usable++
-		sum += state.expectedLoad(now, options.LoadAge)
+		sum += state.expectedLoad(now, options.LoadHalfLife)
 	}
 	if usable == 0 {
 		return 0, 0
--- a/pkg/retry/fleet_test.go
+++ b/pkg/retry/fleet_test.go
@@ -75,7 +75,7 @@
 		for n, weight := range f.weights[:living] {
 			for range f.poisson(fleetRate * fleetStep.Seconds() * weight / alive) {
 				firsts++
-				f.budgets[n].First(f.now)
+				f.budgets[n].AddFirstAttempt(f.now)
 				if f.random.Float64() < fleetWanted && f.budgets[n].Spend(f.now) {
 					retries++
 				}
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -65,8 +65,8 @@
 	b.mutex.Unlock()
 }
 
-// First counts one first attempt.
-func (b *WindowBudget) First(now time.Time) {
+// AddFirstAttempt counts one first attempt.
+func (b *WindowBudget) AddFirstAttempt(now time.Time) {
 	b.mutex.Lock()
 	b.advance(now)
 	b.part().first++
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -11,7 +11,7 @@
 	budget := NewWindowBudget(WindowOptions{Window: 10 * time.Second, Ratio: 0.2, Slack: 3})
 	now := time.Unix(1000, 0)
 	for range 10 {
-		budget.First(now)
+		budget.AddFirstAttempt(now)
 	}
 	for retry := range 5 {
 		if !budget.Spend(now) {
@@ -39,7 +39,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "milliseconds")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
-				budget.First(now)
+				budget.AddFirstAttempt(now)
 				firsts = append(firsts, now)
 			} else if budget.Spend(now) {
 				retries = append(retries, now)
