--- a/pkg/admission/adaptive.go
+++ b/pkg/admission/adaptive.go
@@ -17,10 +17,10 @@
 
 // adaptiveLimit adjusts a limit after each window of requests.
 //
-// Refusals by the worker lower it in proportion to their share: down to
-// refusalFactor when all were refused. A worker that is beyond its true slots
-// refuses most of what comes, because a refusal frees the place at once; a few
-// refusals for other reasons hardly count.
+// Refusals by the worker lower it in proportion to their share, down to
+// refusalFactor when all requests were refused. A worker that is given more
+// requests than its true slots refuses most of what arrives, because a refusal
+// frees the slot at once; a few refusals for other reasons hardly count.
 //
 // The limit falls by slowFactor when it was reached and answers took more than
 // slowTolerance times as long as in the best recent window. Slow answers alone do
@@ -41,12 +41,13 @@
 	*a = adaptiveLimit{value: float64(slots)}
 }
 
-// markReached notes that the limit bound someone in this window.
+// markReached records that the limit made a request wait or be refused in this
+// window.
 func (a *adaptiveLimit) markReached() {
 	a.reached = true
 }
 
-// observe takes one result and returns true when the limit may have changed.
+// observe records one result and returns true when the limit may have changed.
 func (a *adaptiveLimit) observe(result Result, slots int, now time.Time) bool {
 	if a.windowStart.IsZero() {
 		a.windowStart = now
@@ -82,8 +83,8 @@
 	a.reached = false
 }
 
-// foldBaseline takes the window's mean into the baseline and reports whether
-// the window was slow against it.
+// foldBaseline updates the baseline with the window's mean and reports whether the
+// window was slow compared with it.
 func (a *adaptiveLimit) foldBaseline() bool {
 	if a.samples == 0 {
 		return false
--- a/pkg/admission/errors.go
+++ b/pkg/admission/errors.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
 // The reasons.
@@ -16,16 +16,17 @@
 	// ReasonQueueFull: no slot was free and the queue held requests of the same
 	// or a higher priority only.
 	ReasonQueueFull Reason = "queue-full"
-	// ReasonDisplaced: the request waited and gave its place to one of a higher priority.
+	// ReasonDisplaced: the request waited and lost its place to one of a higher
+	// priority.
 	ReasonDisplaced Reason = "displaced"
 	// ReasonQueueWait: no slot came free within the longest wait.
 	ReasonQueueWait Reason = "queue-wait"
 	// ReasonDeadline: the caller's deadline passed, or would have passed, before
 	// a slot came free.
 	ReasonDeadline Reason = "deadline"
-	// ReasonCanceled: the caller gave up while it waited.
+	// ReasonCanceled: the caller canceled the request while it waited.
 	ReasonCanceled Reason = "canceled"
-	// ReasonDraining: the worker or its node is leaving.
+	// ReasonDraining: the worker or its node is draining.
 	ReasonDraining Reason = "draining"
 )
 
@@ -54,8 +55,8 @@
 	return reason
 }
 
-// RetryAfter returns the time after which another try at the same gate is worth
-// it; zero when err is no refusal.
+// RetryAfter returns the time after which a retry at the same gate is worthwhile;
+// zero when err is no refusal.
 func RetryAfter(err error) time.Duration {
 	value, ok := property(err, propertyRetryAfter)
 	if !ok {
--- a/pkg/admission/gate.go
+++ b/pkg/admission/gate.go
@@ -12,8 +12,8 @@
 	// queue is empty.
 	SlotsFullLoad = 0.75
 
-	// serviceWeight is the weight of one request in the moving average of the
-	// time that a slot is kept.
+	// serviceWeight is the weight of one request in the moving average of the time
+	// for which a request holds its slot.
 	serviceWeight = 0.1
 
 	minimumRetryAfter = 50 * time.Millisecond
@@ -26,7 +26,7 @@
 
 	mutex       sync.Mutex
 	options     Options
-	limit       int // in force now
+	limit       int // present number of usable slots
 	inFlight    int
 	queue       waitQueue
 	waiters     waiterPool
@@ -35,7 +35,7 @@
 	warmUntil   time.Time // zero when the worker is warm
 	serviceTime float64   // seconds, moving average
 	draining    bool
-	idle        chan struct{} // closed when draining and nothing is left; nil unless waited for
+	idle        chan struct{} // closed when draining and no request is left; nil unless waited for
 	counts      Counts
 }
 
@@ -54,7 +54,7 @@
 	Counts   Counts
 }
 
-// New returns a gate for a worker that is taken to be warm. Call WorkerStarted
+// New returns a gate for a worker that is assumed to be warm. Call WorkerStarted
 // for one that is not.
 func New(options Options) *Gate {
 	options = options.withDefaults()
@@ -65,8 +65,8 @@
 }
 
 // Admit waits for a slot. On success the caller must call Release on the permit
-// exactly once, whatever becomes of the request. An error is always of type
-// ErrShed: nothing of the request may have been sent to the worker.
+// exactly once, whatever the outcome of the request. An error is always of type
+// ErrShed: no part of the request may be sent to the worker.
 func (g *Gate) Admit(ctx context.Context, priority Priority) (Permit, error) {
 	priority = min(priority, PriorityHigh)
 	if err := ctx.Err(); err != nil {
@@ -104,8 +104,8 @@
 	return g.await(ctx, w, reason)
 }
 
-// waitBound returns the longest wait for a newcomer and the reason to give when
-// it has passed. Zero means that waiting is no use.
+// waitBound returns the longest wait for a new request and the reason to report
+// when it has passed. Zero means that waiting is useless.
 func (g *Gate) waitBound(ctx context.Context, priority Priority) (time.Duration, Reason) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -121,15 +121,15 @@
 	return g.options.QueueWait, ReasonQueueWait
 }
 
-// expectedWait estimates the wait of a newcomer from the moving average of the
-// time that a request keeps its slot.
+// expectedWait estimates the wait of a new request from the moving average of the
+// time for which a request holds its slot.
 func (g *Gate) expectedWait(priority Priority) time.Duration {
 	ahead := float64(g.queue.ahead(priority))
 	seconds := ahead * g.serviceTime / float64(g.limit)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// displace makes room in a full queue by refusing a waiter of lower priority.
+// displace frees a place in a full queue by refusing a waiter of lower priority.
 func (g *Gate) displace(priority Priority) bool {
 	w := g.queue.popBelow(priority)
 	if w == nil {
@@ -151,7 +151,8 @@
 	}
 }
 
-// withdraw takes the waiter out of the queue, unless its verdict already stands.
+// withdraw removes the waiter from the queue, unless its verdict has been set
+// already.
 func (g *Gate) withdraw(w *waiter, reason Reason) (Permit, error) {
 	g.mutex.Lock()
 	if w.queued {
@@ -159,7 +160,7 @@
 		g.waiters.put(w)
 		return Permit{}, g.unlockAndShed(reason)
 	}
-	<-w.decided // sent before the mutex was free
+	<-w.decided // sent before the mutex was released
 	return g.settle(w)
 }
 
@@ -184,7 +185,7 @@
 func (g *Gate) release(p Permit, result Result) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if !g.permits.give(p) {
+	if !g.permits.release(p) {
 		return
 	}
 	g.inFlight--
@@ -203,7 +204,7 @@
 	}
 }
 
-// dispatch hands free slots to waiters, the highest priority first.
+// dispatch gives free slots to waiters, the highest priority first.
 func (g *Gate) dispatch() {
 	for g.inFlight < g.limit {
 		w := g.queue.popFirst()
@@ -215,9 +216,9 @@
 	}
 }
 
-// Load returns how busy the gate is, from 0 to 1. Up to SlotsFullLoad it is the
-// share of slots taken; above that, the share of the queue. A draining gate is
-// at 1.
+// Load returns how busy the gate is, from 0 to 1. Up to SlotsFullLoad it grows with
+// the share of slots taken, above that with the share of the queue taken. A
+// draining gate returns 1.
 func (g *Gate) Load() float64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -256,7 +257,7 @@
 	return newShed(reason, after)
 }
 
-// retryAfter estimates when the queue as it stands will have been served.
+// retryAfter estimates when the present queue will have been served.
 func (g *Gate) retryAfter() time.Duration {
 	if g.draining {
 		return maximumRetryAfter
--- a/pkg/admission/gate_test.go
+++ b/pkg/admission/gate_test.go
@@ -21,8 +21,8 @@
 	return permit
 }
 
-// admitLater has a request wait at a gate that is full, and returns what came of
-// it once it was served.
+// admitLater queues a request at a full gate and returns a channel that receives
+// its result once it was served.
 func admitLater(gate *admission.Gate, priority admission.Priority) <-chan error {
 	served := make(chan error, 1)
 	go func() {
@@ -58,7 +58,8 @@
 	})
 }
 
-// runWindows runs windows of requests that use all slots and answer in latency.
+// runWindows runs windows of requests that use all slots and end with the given
+// result.
 func runWindows(t *testing.T, gate *admission.Gate, windows int, result admission.Result) {
 	t.Helper()
 	for range windows * 20 {
@@ -107,8 +108,8 @@
 }
 
 // serveAsWorker runs requests at the gate for a time. The worker has trueSlots,
-// refuses what is beyond them at once, and refuses every refuseEvery-th request
-// for a reason of its own; zero for none.
+// refuses requests beyond them at once, and refuses every refuseEvery-th request
+// for another reason; zero for none.
 func serveAsWorker(t *testing.T, gate *admission.Gate, trueSlots, refuseEvery int) {
 	t.Helper()
 	const callers, service, refusal = 12, 20 * time.Millisecond, time.Millisecond
--- a/pkg/admission/lifecycle.go
+++ b/pkg/admission/lifecycle.go
@@ -9,8 +9,8 @@
 // started.
 const slowStartFloor = 0.2
 
-// SetLimits takes new figures from the worker. A value of zero or less leaves
-// that figure as it was. Requests in flight keep their slots.
+// SetLimits applies limits reported by the worker. A value of zero or less leaves
+// that limit unchanged. Requests in flight keep their slots.
 func (g *Gate) SetLimits(slots, connections int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -24,9 +24,9 @@
 	g.adopt(next)
 }
 
-// Reconfigure replaces the options, but for the clock. Requests in flight keep
-// their slots and those in the queue their places; a slow start that has begun
-// ends when it would have ended.
+// Reconfigure replaces the options except for the clock. Requests in flight keep
+// their slots and queued requests their places; a slow start in progress ends when
+// it would have ended.
 func (g *Gate) Reconfigure(options Options) {
 	options = options.withDefaults()
 	g.mutex.Lock()
@@ -49,8 +49,8 @@
 	g.dispatch()
 }
 
-// WorkerStarted tells that the worker has just started: slow start begins and
-// what was learnt of the worker before is forgotten. A drain goes on.
+// WorkerStarted reports that the worker has just started: slow start begins, and
+// everything learnt about the worker before is discarded. A drain continues.
 func (g *Gate) WorkerStarted() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -70,8 +70,8 @@
 	g.draining = false
 }
 
-// Drain refuses all further requests. Those in flight and those in the queue
-// are served.
+// Drain refuses all further requests. Those in flight and those in the queue are
+// served.
 func (g *Gate) Drain() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -102,7 +102,8 @@
 	return idle
 }
 
-// signalIdle wakes those in WaitIdle when there is nothing left.
+// signalIdle wakes the callers of WaitIdle when the gate is draining and no request
+// is left.
 func (g *Gate) signalIdle() {
 	if !g.draining || g.inFlight > 0 || g.queue.length > 0 || g.idle == nil {
 		return
@@ -111,7 +112,7 @@
 	g.idle = nil
 }
 
-// refreshLimit works out the number of slots in force.
+// refreshLimit recomputes the number of usable slots.
 func (g *Gate) refreshLimit() {
 	limit := min(g.options.Slots, g.options.Connections)
 	if !g.options.FixedLimit {
@@ -120,7 +121,7 @@
 	g.limit = max(min(limit, g.warmLimit()), 1)
 }
 
-// warmLimit returns the slots that slow start allows now.
+// warmLimit returns the number of slots that slow start allows now.
 func (g *Gate) warmLimit() int {
 	if g.warmUntil.IsZero() {
 		return g.options.Slots
--- a/pkg/admission/options.go
+++ b/pkg/admission/options.go
@@ -17,9 +17,10 @@
 
 // Default values of Options.
 const (
-	// DefaultSlots is the number of slots of a worker that states none.
+	// DefaultSlots is the number of slots of a worker that does not state one.
 	DefaultSlots = 6
-	// DefaultConnections is the number of connections of a worker that states none.
+	// DefaultConnections is the number of connections of a worker that does not
+	// state one.
 	DefaultConnections = 130
 	// DefaultQueuePerSlot is the length of the queue for each slot.
 	DefaultQueuePerSlot = 2
@@ -33,15 +34,15 @@
 type Options struct {
 	// Slots is the number of requests that the worker runs at once.
 	Slots int
-	// Connections is the number of connections that the worker accepts. A
-	// request in flight holds one, so that it bounds Slots from above.
+	// Connections is the number of connections that the worker accepts. Each
+	// request in flight holds one, so it is an upper bound of the usable slots.
 	Connections int
 	// Queue is the number of requests that may wait for a slot; NoQueue for none.
 	Queue int
 	// QueueWait is the longest wait in the queue, whatever the caller's deadline.
 	QueueWait time.Duration
-	// SlowStart is the time over which a worker that has just started is given
-	// all of its slots. Zero gives them at once.
+	// SlowStart is the time in which the slots of a worker that has just started
+	// grow to their full number. Zero gives them at once.
 	SlowStart time.Duration
 	// FixedLimit switches the adaptive limit off.
 	FixedLimit bool
@@ -69,12 +70,12 @@
 	return o
 }
 
-// Result is what was seen of an admitted request.
+// Result is the observed outcome of an admitted request.
 type Result struct {
-	// Latency is the time from the request's first byte to the worker to the
-	// first byte of its answer; zero when there was no answer. It must not
-	// include the time that a slow caller takes to send or receive a body.
+	// Latency is the time from the request's first byte to the worker to the first
+	// byte of its answer; zero when there was no answer. It must not include the
+	// time that a slow caller takes to send or receive a body.
 	Latency time.Duration
-	// Refused tells that the worker itself refused before running.
+	// Refused reports that the worker itself refused before running the request.
 	Refused bool
 }
--- a/pkg/admission/permit.go
+++ b/pkg/admission/permit.go
@@ -7,8 +7,8 @@
 	generation uint64
 }
 
-// Release gives the slot back and tells the gate what was seen. Only the first
-// call for an admitted request counts, also when the Permit was copied.
+// Release frees the slot and reports the result to the gate. Only the first call
+// for an admitted request has an effect, also when the Permit was copied.
 func (p Permit) Release(result Result) {
 	if p.gate == nil {
 		return
@@ -16,8 +16,8 @@
 	p.gate.release(p, result)
 }
 
-// permitTable hands out permits by index. The generation of an index changes
-// when it is given back, so that an old permit no longer fits.
+// permitTable issues permits by index. The generation of an index changes when its
+// permit is released, so that old copies of the permit become invalid.
 type permitTable struct {
 	generations []uint64
 	free        []int
@@ -33,8 +33,8 @@
 	return Permit{gate: g, index: index, generation: t.generations[index]}
 }
 
-// give takes the permit back; false when it was given back before.
-func (t *permitTable) give(p Permit) bool {
+// release invalidates the permit; it returns false when that was done before.
+func (t *permitTable) release(p Permit) bool {
 	if t.generations[p.index] != p.generation {
 		return false
 	}
--- a/pkg/admission/property_test.go
+++ b/pkg/admission/property_test.go
@@ -21,16 +21,16 @@
 	err      error
 }
 
-// machine drives a Gate by random steps inside a synctest bubble and knows
-// which calls wait, in the order in which they came.
+// machine drives a Gate by random steps inside a synctest bubble and models which
+// calls wait, in the order of their arrival.
 type machine struct {
-	gate    *admission.Gate
-	slots   int
-	queue   int
-	most    int // in flight: the slots, or fewer and fewer above them
-	waiting []*call
-	running []*call
-	old     []admission.Permit
+	gate        *admission.Gate
+	slots       int
+	queue       int
+	maxInFlight int // the number of slots, or a falling number above it after a cut
+	waiting     []*call
+	running     []*call
+	old         []admission.Permit
 }
 
 func newMachine(t *rapid.T, fixed bool) *machine {
@@ -43,7 +43,7 @@
 	if !fixed {
 		options.SlowStart = 3 * time.Second
 	}
-	return &machine{gate: admission.New(options), slots: slots, queue: queue, most: slots}
+	return &machine{gate: admission.New(options), slots: slots, queue: queue, maxInFlight: slots}
 }
 
 func (m *machine) admit(t *rapid.T) {
@@ -69,8 +69,8 @@
 	m.waiting = append(m.waiting, c)
 }
 
-// displacedBy returns the waiting call that a newcomer may displace: the newest
-// of the lowest priority, if that is lower; nil for none.
+// displacedBy returns the waiting call that a new call may displace: the newest of
+// the lowest priority, if that is lower; nil for none.
 func (m *machine) displacedBy(priority admission.Priority) *call {
 	var last *call
 	for _, c := range m.waiting {
@@ -81,8 +81,7 @@
 	return last
 }
 
-// collect moves the calls that were settled out of waiting and returns those
-// that were admitted.
+// collect removes settled calls from waiting and returns those that were admitted.
 func (m *machine) collect(t *rapid.T) []*call {
 	var admitted []*call
 	m.waiting = slices.DeleteFunc(m.waiting, func(c *call) bool {
@@ -93,7 +92,7 @@
 		if c.err == nil {
 			admitted = append(admitted, c)
 		} else if !admission.IsShed(c.err) || admission.ReasonOf(c.err) == "" || admission.RetryAfter(c.err) <= 0 {
-			t.Fatalf("error %v is no complete refusal", c.err)
+			t.Fatalf("error %v is no refusal with a reason and a time to retry after", c.err)
 		}
 		return true
 	})
@@ -155,14 +154,14 @@
 	}
 }
 
-// reconfigure changes the slots. Those in flight may be more than the slots
+// reconfigure changes the number of slots. The requests in flight may exceed it
 // until they have ended.
 func (m *machine) reconfigure(t *rapid.T) {
 	m.slots = rapid.IntRange(1, 4).Draw(t, "slots")
 	m.gate.SetLimits(m.slots, 0)
 	synctest.Wait()
 	m.collect(t)
-	m.most = max(m.slots, len(m.running))
+	m.maxInFlight = max(m.slots, len(m.running))
 }
 
 func (m *machine) advance(t *rapid.T) {
@@ -176,8 +175,8 @@
 	if stats.InFlight != len(m.running) || stats.Waiting != len(m.waiting) {
 		t.Fatalf("gate counts %+v, model has %d running and %d waiting", stats, len(m.running), len(m.waiting))
 	}
-	m.most = max(m.slots, min(m.most, stats.InFlight))
-	if stats.InFlight > m.most || stats.Limit > m.slots || stats.Limit < 1 {
+	m.maxInFlight = max(m.slots, min(m.maxInFlight, stats.InFlight))
+	if stats.InFlight > m.maxInFlight || stats.Limit > m.slots || stats.Limit < 1 {
 		t.Fatalf("%+v with %d slots", stats, m.slots)
 	}
 	if stats.Waiting > m.queue {
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// verdict is what became of a waiting request.
+// verdict is the decision about a waiting request.
 type verdict uint8
 
 const (
@@ -11,8 +11,8 @@
 	verdictDisplaced
 )
 
-// waiter is one request in the queue. Its fields are guarded by the gate's
-// mutex; decided carries one value once the verdict stands.
+// waiter is one request in the queue. Its fields are guarded by the gate's mutex;
+// decided receives one value once the verdict is set.
 type waiter struct {
 	previous, next *waiter
 	priority       Priority
@@ -23,7 +23,7 @@
 	timer          *time.Timer
 }
 
-// waiterPool keeps waiters for another use. It belongs to one gate.
+// waiterPool holds waiters for reuse. It belongs to one gate.
 type waiterPool struct{ free []*waiter }
 
 // get returns a waiter whose timer fires after wait.
@@ -41,7 +41,7 @@
 	return w
 }
 
-// put takes a waiter whose verdict, if any, was received.
+// put returns a waiter to the pool. Its verdict, if any, must have been received.
 func (p *waiterPool) put(w *waiter) {
 	w.timer.Stop()
 	p.free = append(p.free, w)
@@ -55,7 +55,8 @@
 	}
 }
 
-// decide sets the verdict and wakes the request. The waiter has left the queue.
+// decide sets the verdict and wakes the request. The waiter must have left the
+// queue.
 func (w *waiter) decide(v verdict) {
 	w.verdict = v
 	w.decided <- struct{}{}
@@ -95,7 +96,7 @@
 	w.queued = false
 }
 
-// waitQueue keeps the waiters of all priorities.
+// waitQueue holds the waiters of all priorities.
 type waitQueue struct {
 	lists  [priorityCount]waitList
 	length int
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// ahead counts the waiters that are served before a newcomer of priority.
+// ahead counts the waiters that are served before a new one of the given priority.
 func (q *waitQueue) ahead(priority Priority) int {
 	count := 0
 	for p := priority; p < priorityCount; p++ {
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Update replaces the set of endpoints. What was seen of an endpoint stays as
-// long as its incarnation does. IDs must be unique.
+// Update replaces the set of endpoints. Observations of an endpoint are kept as
+// long as its incarnation is the same. IDs must be unique.
 func (b *Balancer) Update(endpoints []Endpoint) {
 	b.update.Lock()
 	defer b.update.Unlock()
@@ -47,13 +47,13 @@
 	b.set.Store(set)
 }
 
-// now returns nanoseconds since the balancer was made.
+// now returns the nanoseconds since the balancer was created.
 func (b *Balancer) now() int64 {
 	return int64(b.options.Now().Sub(b.epoch))
 }
 
-// below returns a random number in [0, n); n is positive.
-func (b *Balancer) below(n int) int {
+// randomBelow returns a random number in [0, n); n is positive.
+func (b *Balancer) randomBelow(n int) int {
 	return int(b.random() % uint64(n))
 }
 
@@ -73,7 +73,7 @@
 	Draining    bool
 }
 
-// Statuses returns the endpoints that are not leaving, near ones first.
+// Statuses returns the endpoints that are not leaving, nearest tier first.
 func (b *Balancer) Statuses() []Status {
 	set := b.set.Load()
 	if set == nil {
--- a/pkg/balance/balancer_test.go
+++ b/pkg/balance/balancer_test.go
@@ -32,7 +32,8 @@
 	return pick
 }
 
-// shares counts how often each endpoint is picked when every answer comes at once.
+// shares measures how often each endpoint is picked when every answer comes at
+// once.
 func shares(t *testing.T, b *balance.Balancer, load float64) map[string]float64 {
 	t.Helper()
 	counts := make(map[string]float64)
@@ -77,7 +78,7 @@
 	endpoints[0].Incarnation = 2
 	b.Update(endpoints)
 
-	// Two draws of five endpoints, each accepted with the weight.
+	// A pick draws two of the five endpoints; each draw is accepted with the weight as its probability.
 	for _, step := range []struct{ weight, most float64 }{{0.1, 0.05}, {0.55, 0.25}, {1, 0.45}} {
 		share := shares(t, b, 0)["n0"]
 		if share == 0 || share > step.most {
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestBurstSpillsOverBeforeItsFirstReport sends many requests at once: no answer
-// can have told yet that the own zone is full.
+// TestBurstSpillsOverBeforeItsFirstReport sends many requests at once, so that no
+// answer can have reported yet that the own zone is full.
 func TestBurstSpillsOverBeforeItsFirstReport(t *testing.T) {
 	const slots, slotsFull = 6, 0.75
 	endpoints := append(sameZone(2), balance.Endpoint{ID: "region", Zone: "b", Region: "west"})
@@ -147,7 +148,7 @@
 		failUntilEjected(t, b, "n0")
 		c.Advance(length - time.Millisecond)
 		if !ejected(b, "n0") {
-			t.Fatalf("back before %v", length)
+			t.Fatalf("ejection ended before %v", length)
 		}
 		if share := shares(t, b, 0)["n0"]; share != 0 {
 			t.Fatalf("ejected endpoint got %.3f of the requests", share)
@@ -186,7 +187,7 @@
 		failUntilEjected(t, b, id)
 	}
 	for i := 4; i < 7; i++ {
-		pick := mustPick(t, b, others(endpoints, i)...)
+		pick := mustPick(t, b, idsExcept(endpoints, i)...)
 		pick.Done(balance.Result{Outcome: balance.Shed, Draining: true})
 	}
 	c.Advance(10 * time.Millisecond)
@@ -195,7 +196,7 @@
 	}
 }
 
-func others(endpoints []balance.Endpoint, but int) []string {
+func idsExcept(endpoints []balance.Endpoint, but int) []string {
 	var ids []string
 	for i, endpoint := range endpoints {
 		if i != but {
--- a/pkg/balance/done.go
+++ b/pkg/balance/done.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Outcome is what became of a request, as far as the endpoint is to blame.
+// Outcome is the outcome of a request as far as the endpoint is responsible.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered: the worker's whole answer came.
+	// Answered: the worker's complete answer was received.
 	Answered Outcome = iota
-	// Shed: the endpoint is alive and refused before running. Unless it drains,
-	// it counts as fully loaded.
+	// Shed: the endpoint is alive and refused before running the request. Unless it
+	// drains, it counts as fully loaded.
 	Shed
-	// Failed: no connection, no answer in time, or an answer cut short.
+	// Failed: no connection, no answer in time, or a truncated answer.
 	Failed
-	// Canceled: the caller gave up. It says nothing of the endpoint.
+	// Canceled: the caller canceled the request. This does not affect the endpoint.
 	Canceled
 )
 
 const failureRateWeight = 0.1
 
-// Result is what was seen of a request.
+// Result is the observed result of a request.
 type Result struct {
 	Outcome Outcome
 	// Latency is the time to the first byte of the answer; zero when unknown.
@@ -28,29 +28,31 @@
 	// Load is the load that the endpoint reported, from 0 to 1, when LoadKnown.
 	Load      float64
 	LoadKnown bool
-	// Draining tells that the endpoint said that it drains.
+	// Draining states that the endpoint reported that it drains.
 	Draining bool
 }
 
-// Done tells what became of the request. Further calls on the same Pick do nothing.
+// Done reports the result of the request. Further calls on the same Pick do
+// nothing.
 func (p *Pick) Done(result Result) {
 	if p.state == nil {
 		return
 	}
 	state := p.state
 	p.state = nil
-	with := state.outstanding.Add(-1) + 1
-	p.balancer.observe(state, result, with)
+	outstanding := state.outstanding.Add(-1) + 1
+	p.balancer.observe(state, result, outstanding)
 }
 
-// observe takes a result that came while with requests were outstanding.
-func (b *Balancer) observe(state *endpointState, result Result, with int64) {
+// observe records a result that was received while the given number of requests,
+// its own included, were outstanding.
+func (b *Balancer) observe(state *endpointState, result Result, outstanding int64) {
 	now := b.now()
 	if result.Outcome == Shed && !result.Draining {
 		result.Load, result.LoadKnown = 1, true
 	}
 	if result.LoadKnown {
-		state.reportLoad(result.Load, with, now)
+		state.reportLoad(result.Load, outstanding, now)
 	}
 	if result.Draining {
 		state.drainUntil.Store(now + int64(b.options.DrainHold))
@@ -77,7 +79,7 @@
 	}
 }
 
-// failed reports whether the endpoint deserves ejection.
+// failed records a failure and reports whether the endpoint is to be ejected.
 func (s *endpointState) failed(options Options) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/pkg/balance/ejection.go
+++ b/pkg/balance/ejection.go
@@ -6,11 +6,13 @@
 	"time"
 )
 
-// ejectionsForgottenAfter is the number of requests after an ejection at which
-// a success makes the next ejection a first one again.
+// ejectionsForgottenAfter is the number of requests since the last ejection from
+// which a success resets the count of ejections, so that the next ejection has the
+// first length again.
 const ejectionsForgottenAfter = 100
 
-// eject takes the endpoint out of use for a time, unless too many are out.
+// eject takes the endpoint out of use for a time, unless too many are ejected
+// already.
 func (b *Balancer) eject(state *endpointState, now int64) {
 	b.update.Lock()
 	defer b.update.Unlock()
@@ -23,7 +25,7 @@
 	b.set.Load().summaryAt.Store(noTime)
 }
 
-// mayEject reports whether one more endpoint of the present set may be ejected.
+// mayEject reports whether one more endpoint of the current set may be ejected.
 func (b *Balancer) mayEject(state *endpointState, now int64) bool {
 	set := b.set.Load()
 	if set == nil || set.states[state.id] != state {
@@ -44,8 +46,8 @@
 	return ejected
 }
 
-// readmitBeyondCap ends the ejections that are nearest to their end, as many as
-// a set that has shrunk has too many.
+// readmitBeyondCap ends the ejections that would end soonest until no more than the
+// cap are ejected. A set that has shrunk may exceed it.
 func (b *Balancer) readmitBeyondCap(set *endpointSet, now int64) {
 	ejected := set.ejectedStates(now)
 	excess := len(ejected) - b.options.ejectionCap(set.total)
@@ -70,13 +72,13 @@
 }
 
 // onProbation reports whether the endpoint has not yet succeeded since its last
-// ejection; one failure is enough then.
+// ejection; then one failure is enough for the next.
 func (s *endpointState) onProbation() bool {
 	return s.ejections > 0 && s.samples == s.failures
 }
 
-// startEjection resets the count of failures and returns how many ejections
-// came before.
+// startEjection resets the failure counts and returns the number of previous
+// ejections.
 func (s *endpointState) startEjection() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/pkg/balance/endpoint.go
+++ b/pkg/balance/endpoint.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Endpoint is one worker, by the node beside it.
+// Endpoint is one worker, addressed through the node beside it.
 type Endpoint struct {
-	// ID names the node. What was seen of an endpoint is kept by its ID.
+	// ID names the node. Observations of an endpoint are kept by its ID.
 	ID string
-	// Zone and Region say where it is.
+	// Zone and Region are its location.
 	Zone   string
 	Region string
 	// Address is host:port of the node's listener for calls.
 	Address string
 	// Leaving endpoints get no requests.
 	Leaving bool
-	// Incarnation rises with each start; what was seen of a former one is forgotten.
+	// Incarnation rises with each start. Observations of a previous incarnation are
+	// discarded.
 	Incarnation uint64
 }
 
-// endpointState is what is known of one incarnation of an endpoint. Times are
-// nanoseconds since the balancer was made.
+// endpointState holds the observations of one incarnation of an endpoint. Times are
+// nanoseconds since the balancer was created.
 type endpointState struct {
 	id          string
 	incarnation uint64
@@ -31,13 +32,14 @@
 	outstanding atomic.Int64
 	loadBits    atomic.Uint64 // float64, the last load reported
 	loadAt      atomic.Int64
-	// loadWith is how many requests were outstanding from here at that time, and
-	// shareBits (float64) how much load one request is taken to add.
-	loadWith     atomic.Int64
-	shareBits    atomic.Uint64
-	slowFrom     atomic.Int64 // noTime: warm
-	drainUntil   atomic.Int64
-	ejectedUntil atomic.Int64
+	// outstandingAtReport is how many requests were outstanding from here at that
+	// time, and loadPerRequestBits (float64) the estimated load that one request
+	// adds.
+	outstandingAtReport atomic.Int64
+	loadPerRequestBits  atomic.Uint64
+	slowFrom            atomic.Int64 // noTime: warm
+	drainUntil          atomic.Int64
+	ejectedUntil        atomic.Int64
 
 	mutex       sync.Mutex
 	failures    int // in a row
@@ -46,7 +48,7 @@
 	ejections   int
 }
 
-// noTime stands for a moment long past.
+// noTime is a time before all others.
 const noTime = math.MinInt64
 
 func newEndpointState(endpoint Endpoint) *endpointState {
@@ -62,15 +64,17 @@
 func (s *endpointState) ejected(now int64) bool  { return now < s.ejectedUntil.Load() }
 
 const (
-	// shareDrift is how fast the load of one request may be thought larger.
-	shareDrift = 0.001
-	// largestShare bounds it, which stands for a worker of three slots.
-	largestShare = 0.25
+	// loadPerRequestDrift is the weight with which a larger sample raises the
+	// estimated load per request.
+	loadPerRequestDrift = 0.001
+	// maxLoadPerRequest bounds the estimated load per request. It corresponds to a
+	// worker of three slots.
+	maxLoadPerRequest = 0.25
 )
 
-// expectedLoad returns the last load reported, aged, and what the requests sent
-// since then must have added to it: in a burst no report comes in time. It is
-// never less than what the requests outstanding from here must make up.
+// expectedLoad returns the last load reported, decayed by age, plus what the
+// requests sent since then must have added to it: in a burst no report arrives in
+// time. It is never less than the load of the requests outstanding from here.
 func (s *endpointState) expectedLoad(now int64, halfLife time.Duration) float64 {
 	at := s.loadAt.Load()
 	if at == noTime {
@@ -79,31 +83,32 @@
 	load := math.Float64frombits(s.loadBits.Load())
 	age := float64(max(now-at, 0)) / float64(halfLife)
 	outstanding := s.outstanding.Load()
-	since := float64(max(outstanding-s.loadWith.Load(), 0))
-	share := math.Float64frombits(s.shareBits.Load())
+	since := float64(max(outstanding-s.outstandingAtReport.Load(), 0))
+	share := math.Float64frombits(s.loadPerRequestBits.Load())
 	expected := max(load*math.Exp2(-age)+since*share, float64(outstanding)*share)
 	return min(expected, 1)
 }
 
-// reportLoad takes a report that came while with requests were outstanding.
-func (s *endpointState) reportLoad(load float64, with int64, now int64) {
+// reportLoad records a load that was reported while the given number of requests
+// were outstanding.
+func (s *endpointState) reportLoad(load float64, outstanding int64, now int64) {
 	load = min(max(load, 0), 1)
 	s.loadBits.Store(math.Float64bits(load))
-	s.loadWith.Store(with)
+	s.outstandingAtReport.Store(outstanding)
 	s.loadAt.Store(now)
-	s.learnShare(load / float64(max(with, 1)))
+	s.learnLoadPerRequest(load / float64(max(outstanding, 1)))
 }
 
-// learnShare follows the smallest load for each request of our own, which is
-// that of a moment without requests of others. Updates that cross may be lost.
-func (s *endpointState) learnShare(sample float64) {
-	share := math.Float64frombits(s.shareBits.Load())
+// learnLoadPerRequest follows the smallest load per request of our own, which is
+// seen when no other node has requests there. Concurrent updates may be lost.
+func (s *endpointState) learnLoadPerRequest(sample float64) {
+	share := math.Float64frombits(s.loadPerRequestBits.Load())
 	if share == 0 || sample < share {
 		share = sample
 	} else {
-		share += (sample - share) * shareDrift
+		share += (sample - share) * loadPerRequestDrift
 	}
-	s.shareBits.Store(math.Float64bits(min(share, largestShare)))
+	s.loadPerRequestBits.Store(math.Float64bits(min(share, maxLoadPerRequest)))
 }
 
 // weight returns the share, from floor to 1, that slow start allows now.
--- a/pkg/balance/errors.go
+++ b/pkg/balance/errors.go
@@ -10,8 +10,7 @@
 	namespace = errorx.NewNamespace("balance")
 
 	// ErrNoEndpoint is the type of the error for a service without any endpoint
-	// that may be picked. Nothing was sent: it
-	// carries outcome.TraitNotRun.
+	// that may be picked. Nothing was sent: it carries outcome.TraitNotRun.
 	ErrNoEndpoint = namespace.NewType("no_endpoint", outcome.TraitNotRun).ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
 	errNone     = ErrNoEndpoint.New("no endpoint is known")
--- a/pkg/balance/options.go
+++ b/pkg/balance/options.go
@@ -7,7 +7,7 @@
 
 // Default values of Options.
 const (
-	DefaultLoadHalfLife            = 500 * time.Millisecond
+	DefaultLoadHalfLife       = 500 * time.Millisecond
 	DefaultSpillStart         = 0.6
 	DefaultSpillFull          = 0.95
 	DefaultSpillBusy          = 0.75
@@ -28,39 +28,40 @@
 	// Zone and Region are the caller's own.
 	Zone   string
 	Region string
-	// SlowStart is the time over which an endpoint that has just come up, or is
-	// back from an ejection, gets its full share. Negative switches it off.
+	// SlowStart is the time in which an endpoint that has just started, or whose
+	// ejection has ended, reaches its full share. Negative disables slow start.
 	SlowStart time.Duration
 	// SlowStartFloor is the share, from 0 to 1, at the beginning of slow start.
 	SlowStartFloor float64
 	// LoadHalfLife is the time after which a reported load counts for half.
 	LoadHalfLife time.Duration
 	// SpillStart is the mean load, from 0 to 1, of the nearer endpoints at which
-	// requests begin to go further; at SpillFull all do, unless the endpoints
-	// there are busier.
+	// some requests begin to go to a farther tier; at SpillFull all do, unless the
+	// endpoints there are busier.
 	SpillStart, SpillFull float64
-	// SpillBusy is the load of the chosen endpoint from which a request goes
-	// further if a less loaded one is found there. The default is the load at
+	// SpillBusy is the load of the chosen endpoint from which a request goes to a
+	// farther tier if a less loaded one is found there. The default is the load at
 	// which an admission gate has no free slot, so that the request would wait.
 	SpillBusy float64
 	// FailuresToEject is the number of failures in a row after which an endpoint
 	// is ejected.
 	FailuresToEject int
-	// FailureRate is the moving share of failures, from 0 to 1, above which an
-	// endpoint is ejected once it has been used FailureRateSamples times.
+	// FailureRate is the moving average of the share of failures, from 0 to 1,
+	// above which an endpoint is ejected once it has had FailureRateSamples
+	// results.
 	FailureRate        float64
 	FailureRateSamples int
 	// EjectionTime is the length of the first ejection; each further one takes
 	// twice as long, up to MaximumEjection.
 	EjectionTime, MaximumEjection time.Duration
-	// EjectedFraction bounds the part of the endpoints that may be ejected at
-	// one time. One of two or more may always be.
+	// EjectedFraction bounds the part of the endpoints that may be ejected at one
+	// time. Of two or more, one may always be ejected.
 	EjectedFraction float64
-	// PanicFraction is the part of the endpoints that must be left for ejections
-	// to be regarded.
+	// PanicFraction is the part of the endpoints that must be usable; below it,
+	// ejections are ignored.
 	PanicFraction float64
-	// DrainHold is how long an endpoint that said that it drains is passed over
-	// before it is asked again.
+	// DrainHold is how long an endpoint that reported that it drains gets no
+	// requests before it is tried again.
 	DrainHold time.Duration
 	// Now is the clock; time.Now when nil.
 	Now func() time.Time
--- a/pkg/balance/pick.go
+++ b/pkg/balance/pick.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	// slowStartDraws is how often a draw that fell on an endpoint in slow start
-	// is repeated.
+	// slowStartDraws is how many endpoints are drawn at most when draws fall on
+	// endpoints in slow start.
 	slowStartDraws = 4
 	// reportedLoadWeight is what a full reported load adds to the cost of an
-	// endpoint, against 1 for an idle one.
+	// endpoint, relative to 1 for an idle one.
 	reportedLoadWeight = 4
 )
 
-// Pick is a request given to an endpoint. Done must be called once.
+// Pick is a request assigned to an endpoint. Done must be called once.
 type Pick struct {
 	Endpoint Endpoint
 
@@ -42,7 +42,7 @@
 	return Pick{Endpoint: found.endpoint, balancer: b, state: found.state}, nil
 }
 
-// search is one choice in progress.
+// search is the state of one Pick in progress.
 type search struct {
 	balancer        *Balancer
 	set             *endpointSet
@@ -51,8 +51,9 @@
 	ignoreEjections bool
 }
 
-// run goes from near to far as long as requests spill over, and returns the
-// least loaded of the endpoints drawn. It returns nil when none is usable.
+// run goes through the tiers from near to far as long as requests spill over, and
+// returns the least loaded of the endpoints drawn. It returns nil when none is
+// usable.
 func (s *search) run() *candidate {
 	var best *candidate
 	bestLoad, mean := 0.0, 1.0
@@ -73,8 +74,8 @@
 	return best
 }
 
-// spills decides whether a request goes further than endpoints of the given
-// mean load.
+// spills decides at random whether a request goes to a farther tier than endpoints
+// of the given mean load.
 func (b *Balancer) spills(mean float64) bool {
 	if mean <= b.options.SpillStart {
 		return false
@@ -83,7 +84,7 @@
 	return b.chance((mean - b.options.SpillStart) / span)
 }
 
-// pickIn draws two usable endpoints and returns the cheaper.
+// pickIn draws two usable endpoints and returns the one of lower cost.
 func (s *search) pickIn(tier []candidate) *candidate {
 	if len(tier) == 0 {
 		return nil
@@ -104,7 +105,7 @@
 func (s *search) draw(tier []candidate) *candidate {
 	var found *candidate
 	for range slowStartDraws {
-		found = s.usableFrom(tier, s.balancer.below(len(tier)))
+		found = s.usableFrom(tier, s.balancer.randomBelow(len(tier)))
 		if found == nil {
 			return nil
 		}
@@ -116,7 +117,7 @@
 	return found
 }
 
-// usableFrom returns the first usable endpoint at or after start, going round.
+// usableFrom returns the first usable endpoint at or after start, wrapping around.
 func (s *search) usableFrom(tier []candidate, start int) *candidate {
 	for i := range tier {
 		index := start + i
--- a/pkg/balance/property_test.go
+++ b/pkg/balance/property_test.go
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/pkg/balance"
 )
 
-// clock is a time source that tests move by hand.
+// clock is a time source that tests advance explicitly.
 type clock struct{ now time.Time }
 
 func newClock() *clock                    { return &clock{now: time.Unix(1_000_000, 0)} }
@@ -127,8 +127,8 @@
 	m.clock.Advance(time.Duration(rapid.IntRange(10, 5000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-// check holds after each step: no more ejected than the cap, and the requests
-// outstanding never more than were opened.
+// check runs after each step: no more endpoints are ejected than the cap, and no
+// endpoint has more requests outstanding than are open.
 func (m *machine) check(t *rapid.T) {
 	statuses := m.balancer.Statuses()
 	ejected := 0
--- a/pkg/balance/set.go
+++ b/pkg/balance/set.go
@@ -13,7 +13,7 @@
 	tierCount
 )
 
-// summaryAge is how old, in nanoseconds, the summary of a set may get.
+// summaryAge is the maximum age, in nanoseconds, of the summary of a set.
 const summaryAge = 2_000_000
 
 // candidate is an endpoint of a set with its state.
@@ -22,8 +22,8 @@
 	state    *endpointState
 }
 
-// endpointSet is immutable but for its summary. Endpoints that leave are in
-// states, so that they are remembered, but in no tier.
+// endpointSet is immutable except for its summary. Endpoints that leave are in
+// states, so that their observations are kept, but in no tier.
 type endpointSet struct {
 	tiers  [tierCount][]candidate
 	states map[string]*endpointState
@@ -50,8 +50,8 @@
 	return set
 }
 
-// stateFor keeps the state of a known incarnation. An endpoint that is new to a
-// set which was filled before starts slowly.
+// stateFor returns the existing state of a known incarnation, else a new one. An
+// endpoint that joins a set that was filled before is in slow start.
 func stateFor(endpoint Endpoint, previous *endpointSet, now int64) *endpointState {
 	if previous == nil {
 		return newEndpointState(endpoint)
@@ -75,7 +75,8 @@
 	}
 }
 
-// refresh brings the summary up to date when it is old. One caller does it.
+// refresh recomputes the summary when it is older than summaryAge. Of concurrent
+// callers one does it.
 func (s *endpointSet) refresh(now int64, options *Options) {
 	at := s.summaryAt.Load()
 	if at != noTime && now-at < summaryAge {
--- a/pkg/retry/attempts.go
+++ b/pkg/retry/attempts.go
@@ -6,32 +6,33 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// MaximumAttempts bounds the attempts of one call on one node, those that met a
-// leaving node included, which take nothing from the allowance.
+// MaximumAttempts bounds the attempts of one call on one node. It includes attempts
+// at draining nodes, which cost no allowance.
 const MaximumAttempts = 12
 
-// AttemptsOptions sets up Attempts.
+// AttemptsOptions configures Attempts.
 type AttemptsOptions struct {
-	// Allowance is what the call may still spend.
+	// Allowance is how many additional attempts the call may still make.
 	Allowance Allowance
-	// Repeatable tells whether the request may be sent again after an attempt
-	// that may have run.
+	// Repeatable states that the request may be sent again after an attempt that
+	// may have run.
 	Repeatable bool
-	// Budget is that of the service called.
+	// Budget is the retry budget of the called service.
 	Budget *Budget
-	// Unbounded takes the budget out, and has each level spend the whole
-	// allowance. It is for comparisons.
+	// Unbounded disables the budget and lets each level spend the whole allowance.
+	// It is for comparisons.
 	Unbounded bool
 }
 
-// Attempts decides, for one call on one node, whether a further attempt is made
-// and what its caller is told when none is. It reads no clock and is not safe
-// for concurrent use: Begin and Fail are called in turns.
+// Attempts decides, for one call on one node, whether another attempt is made and
+// which failure is reported to the caller when none is. It reads no clock and is
+// not safe for concurrent use: calls of Begin and Fail alternate.
 type Attempts struct {
 	options AttemptsOptions
 	left    Allowance
 	made    int
-	// last is the failure of the last attempt, reported the one to tell.
+	// last is the failure of the last attempt, reported the one to report to the
+	// caller.
 	last, reported error
 }
 
@@ -53,10 +54,11 @@
 	return carried
 }
 
-// Fail takes the failure of the attempt that has begun, an error of package
-// outcome, and reports whether another one is to be made. If so, it is paid
-// for. Possible tells whether the call could go on at all: its time is not
-// over, its caller is still there, and its body can be sent again.
+// Fail records the failure of the attempt that has begun, an error of package
+// outcome, and reports whether another one is to be made. If so, its cost is taken
+// from the allowance and the budget. possible states whether the call could
+// continue at all: its deadline has not passed, its caller is still there, and its
+// body can be sent again.
 func (a *Attempts) Fail(failure error, possible bool, now time.Time) bool {
 	a.last = failure
 	if !a.mayHaveRun() || outcome.Of(failure) == outcome.Unknown {
@@ -67,7 +69,7 @@
 	}
 	reason := outcome.ReasonOf(failure)
 	if reason == outcome.Draining {
-		// Nothing was done, and the node will not be asked again for a while.
+		// Nothing was done, and the node gets no more requests for a while.
 		return true
 	}
 	left, allowed := a.allowanceAfter(failure)
@@ -78,14 +80,14 @@
 	return true
 }
 
-// Failure returns what the caller is to be told when no further attempt is
-// made: the last failure, but never that the request did not run once an attempt
-// may have. It is nil when no attempt has failed.
+// Failure returns the error to report to the caller when no further attempt is
+// made: the last failure, but never one saying that the request did not run once an
+// attempt may have run. It is nil when no attempt has failed.
 func (a *Attempts) Failure() error { return a.reported }
 
-// Pause returns the pause before the next attempt, with the random fraction
-// passed in as for Backoff.PauseAt. The first retry is made at once unless the
-// service is overloaded.
+// Pause returns the pause before the next attempt, for the given random fraction as
+// in Backoff.PauseAt. The first retry is made at once unless the service is
+// overloaded.
 func (a *Attempts) Pause(backoff Backoff, fraction float64) time.Duration {
 	if a.made == 1 && outcome.ReasonOf(a.last) != outcome.Overloaded {
 		return 0
@@ -112,7 +114,7 @@
 	return a.options.Unbounded || a.options.Budget.Spend(now)
 }
 
-// endsCall reports whether a failure is one that another attempt would meet again.
+// endsCall reports whether another attempt would fail for the same reason.
 func endsCall(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.Malformed, outcome.DeadlineBeforeStart, outcome.CanceledBeforeStart, outcome.BodyNotReceived,
--- a/pkg/retry/attempts_test.go
+++ b/pkg/retry/attempts_test.go
@@ -15,7 +15,7 @@
 // allReasons returns the reasons in a fixed order, so that equal seeds draw alike.
 func allReasons() []outcome.Reason { return slices.Sorted(slices.Values(outcome.Reasons())) }
 
-// attemptsCase is a drawn call: its options and the failures that it meets.
+// attemptsCase is a drawn call: its options and the failures of its attempts.
 type attemptsCase struct {
 	options  AttemptsOptions
 	tokens   int
@@ -39,8 +39,8 @@
 	}
 }
 
-// run makes attempts that all fail, until no further one is made or no failure
-// is left. It returns the failures met.
+// run makes attempts that all fail, until no further one is made or no failure is
+// left. It returns the failures that occurred.
 func (c attemptsCase) run(t *rapid.T, attempts *Attempts) []outcome.Reason {
 	for number, reason := range c.failures {
 		if attempts.Begin() > c.options.Allowance {
@@ -50,7 +50,7 @@
 			return c.failures[:number+1]
 		}
 		if number+1 >= MaximumAttempts {
-			t.Fatalf("%d attempts and again", number+1)
+			t.Fatalf("another attempt after %d attempts", number+1)
 		}
 		if endsCall(reason) {
 			t.Fatalf("another attempt after %s", reason)
@@ -62,7 +62,7 @@
 	return c.failures
 }
 
-func TestAttemptsTellTheTruthWithinTheirBounds(t *testing.T) {
+func TestAttemptsReportDoubtAndStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := drawAttempts(t)
 		attempts := NewAttempts(drawn.options)
@@ -83,12 +83,12 @@
 	})
 }
 
-// requireTruth checks that a call is told to be not run only if no attempt may
-// have run, and otherwise why the last one that may have is in doubt.
-func requireTruth(t *rapid.T, met []outcome.Reason, told error) {
+// requireTruth checks that a call is reported as not run only if no attempt may
+// have run, and otherwise with the reason of the last attempt that may have run.
+func requireTruth(t *rapid.T, met []outcome.Reason, reported error) {
 	if len(met) == 0 {
-		if told != nil {
-			t.Fatalf("told %v without an attempt", told)
+		if reported != nil {
+			t.Fatalf("reported %v without an attempt", reported)
 		}
 		return
 	}
@@ -98,8 +98,8 @@
 			want = reason
 		}
 	}
-	if got := outcome.ReasonOf(told); got != want {
-		t.Fatalf("told %s after %v, want %s", got, met, want)
+	if got := outcome.ReasonOf(reported); got != want {
+		t.Fatalf("reported %s after %v, want %s", got, met, want)
 	}
 }
 
--- a/pkg/retry/backoff.go
+++ b/pkg/retry/backoff.go
@@ -14,8 +14,8 @@
 // DefaultBackoff suits calls between machines of one region.
 var DefaultBackoff = Backoff{Base: 4 * time.Millisecond, Cap: 250 * time.Millisecond}
 
-// Pause returns a random time, evenly spread from zero up to the smaller of Cap
-// and Base doubled retry times (full jitter). Retry counts from zero.
+// Pause returns a random time, uniformly distributed from zero to the smaller of
+// Cap and Base doubled retry times (full jitter). retry counts from zero.
 func (b Backoff) Pause(retry int, random *rand.Rand) time.Duration {
 	return b.PauseAt(retry, random.Float64())
 }
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// BudgetOptions sets up a Budget. Zero fields take the defaults.
+// BudgetOptions configures a Budget. Zero fields take the defaults.
 type BudgetOptions struct {
 	// Ratio is how many retries are earned by one first attempt. Default 0.1.
 	Ratio float64
 	// MinimumPerSecond is how many retries are earned each second whatever the
-	// traffic, so that quiet services can retry at all. Default 1.
+	// traffic, so that services with little traffic can retry at all. Default 1.
 	MinimumPerSecond float64
 	// Burst bounds how many retries can be saved up. Default 20.
 	Burst float64
-	// Reward is how many retries are earned by a retry that was worth it. Default 0.
+	// Reward is how many retries are earned by a successful retry. Default 0.
 	Reward float64
 }
 
@@ -60,7 +60,7 @@
 	b.mutex.Unlock()
 }
 
-// Succeed counts a retry that was worth it.
+// Succeed counts a successful retry.
 func (b *Budget) Succeed() {
 	b.mutex.Lock()
 	b.tokens = min(b.tokens+b.reward, b.burst)
--- a/pkg/retry/deadline.go
+++ b/pkg/retry/deadline.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// DeadlineHeader carries the time that is left for a request, in milliseconds.
+// DeadlineHeader carries the remaining time of a request, in milliseconds.
 const DeadlineHeader = "Levertide-Deadline-Ms"
 
 // MaximumDeadline is the longest time that can be carried.
 const MaximumDeadline = 24 * time.Hour
 
-// ParseDeadline reads the value of DeadlineHeader: the time that is left.
-// It reports false for anything but one decimal number; longer times than
+// ParseDeadline returns the remaining time in the value of DeadlineHeader. It
+// reports false for anything but one decimal number; longer times than
 // MaximumDeadline are lowered to it.
 func ParseDeadline(value string) (time.Duration, bool) {
 	number, ok := parseDecimal(value)
@@ -30,7 +30,7 @@
 	return strconv.FormatInt(int64(milliseconds), 10)
 }
 
-// maximumDigits bounds the numbers read from headers, well below overflow.
+// maximumDigits bounds the length of numbers in headers, well below overflow.
 const maximumDigits = 12
 
 func parseDecimal(value string) (uint64, bool) {
--- a/pkg/retry/example_test.go
+++ b/pkg/retry/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// The first attempt may have run. The second is refused, but the caller is still
-// told of the doubt.
+// The first attempt may have run. The second is refused, but the caller still
+// learns that the request may have run.
 func ExampleAttempts() {
 	attempts := retry.NewAttempts(retry.AttemptsOptions{
 		Allowance:  retry.DefaultAllowance,
--- a/pkg/retry/fleet_test.go
+++ b/pkg/retry/fleet_test.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// The tests here share one bound among the budgets of many nodes, at the same traffic of
-// all together, and have far more retries asked for than are allowed.
+// The tests here divide one bound among the budgets of many nodes, at the same total traffic
+// for any number of nodes, and request far more retries than are allowed.
 
 const (
 	fleetWindow = 10 * time.Second
 	fleetStep   = 100 * time.Millisecond
 	fleetRatio  = 0.2
 	fleetSlack  = 1000.0
-	// fleetRate is the first attempts of all nodes a second, fleetWanted how many of
-	// these ask for a retry.
-	fleetRate   = 2000.0
-	fleetWanted = 0.6
+	// fleetRate is the first attempts of all nodes per second, fleetRetryShare the
+	// share of these that request a retry.
+	fleetRate       = 2000.0
+	fleetRetryShare = 0.6
 )
 
-// budgetFleet plays nodes that share one bound.
+// budgetFleet simulates nodes that share one bound.
 type budgetFleet struct {
 	random  *rand.Rand
 	now     time.Time
 	began   time.Time
 	budgets []*WindowBudget
-	// weights are the shares of the traffic.
+	// weights are the nodes' shares of the traffic.
 	weights []float64
-	// firsts and retries are those of all nodes, by step.
+	// firsts and retries are the attempts of all nodes together, by step.
 	firsts, retries []float64
 }
 
@@ -60,15 +60,16 @@
 	})
 }
 
-// restart replaces all budgets by those of new lives, which know nothing of the former.
+// restart replaces all budgets by those of new incarnations, which know nothing of
+// the previous ones.
 func (f *budgetFleet) restart() {
 	for n := range f.budgets {
 		f.budgets[n] = f.newBudget(len(f.budgets), f.now)
 	}
 }
 
-// play has the given share of the nodes take all traffic for some time.
-func (f *budgetFleet) play(duration time.Duration, alive float64) {
+// run has the given share of the nodes take all traffic for some time.
+func (f *budgetFleet) run(duration time.Duration, alive float64) {
 	living := max(int(alive*float64(len(f.budgets))), 1)
 	for end := f.now.Add(duration); f.now.Before(end); f.now = f.now.Add(fleetStep) {
 		var firsts, retries float64
@@ -76,7 +77,7 @@
 			for range f.poisson(fleetRate * fleetStep.Seconds() * weight / alive) {
 				firsts++
 				f.budgets[n].AddFirstAttempt(f.now)
-				if f.random.Float64() < fleetWanted && f.budgets[n].Spend(f.now) {
+				if f.random.Float64() < fleetRetryShare && f.budgets[n].Spend(f.now) {
 					retries++
 				}
 			}
@@ -94,10 +95,10 @@
 	return n
 }
 
-// worst returns the highest share of the bound that was spent in any window. As the bound
-// is kept elsewhere, the first attempts are those of the window or of the one before,
-// whichever has more.
-func (f *budgetFleet) worst() float64 {
+// worstWindowShare returns the highest share of the bound that was spent in any
+// window. The first attempts that count are those of the window or of the one
+// before, whichever has more, as in the other checks of the bound.
+func (f *budgetFleet) worstWindowShare() float64 {
 	steps := int(fleetWindow / fleetStep)
 	worst := 0.0
 	for end := steps; end <= len(f.retries); end++ {
@@ -118,28 +119,29 @@
 	return sum
 }
 
-// lastWindow returns the share of the bound that was spent in the last window.
-func (f *budgetFleet) lastWindow() float64 {
+// lastWindowShare returns the share of the bound that was spent in the last window.
+func (f *budgetFleet) lastWindowShare() float64 {
 	steps := int(fleetWindow / fleetStep)
 	last := len(f.retries) - steps
 	return sumOf(f.retries[last:]) / (fleetRatio*sumOf(f.firsts[last:]) + fleetSlack)
 }
 
-// budgetExcess is by how much the windows of single nodes, which are a tenth longer, may
-// let the sum exceed the bound, chance included.
-const budgetExcess = 1.05
+// maxBoundShare is the share of the bound that all nodes may spend together. It
+// exceeds 1 because the windows of single nodes are a tenth longer, and because of
+// chance.
+const maxBoundShare = 1.05
 
-// TestManyNodesSpendOneBound asks for retries without end: together the nodes spend nearly
-// the whole bound, and no more, however many they are.
+// TestManyNodesSpendOneBound requests far more retries than are allowed: together
+// the nodes spend nearly the whole bound, and no more, however many they are.
 func TestManyNodesSpendOneBound(t *testing.T) {
 	for _, nodes := range []int{2, 12, 83, 985, 2000} {
 		for _, oneSided := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d nodes, one-sided %v", nodes, oneSided), func(t *testing.T) {
 				f := newBudgetFleet(nodes, 7, oneSided)
-				f.play(40*time.Second, 1)
-				worst, last := f.worst(), f.lastWindow()
+				f.run(40*time.Second, 1)
+				worst, last := f.worstWindowShare(), f.lastWindowShare()
 				t.Logf("spent of the bound: %.3f in the worst window, %.3f in the last", worst, last)
-				if worst > budgetExcess {
+				if worst > maxBoundShare {
 					t.Errorf("%.3f of the bound was spent in a window", worst)
 				}
 				if last < 0.8 {
@@ -150,19 +152,19 @@
 	}
 }
 
-// TestBoundHoldsWhenNodesRestart has all nodes forget at once what they have spent, and
-// half of them vanish later.
+// TestBoundHoldsWhenNodesRestart restarts all nodes at once, so that they forget
+// what they have spent, and later removes half of them.
 func TestBoundHoldsWhenNodesRestart(t *testing.T) {
 	for _, nodes := range []int{2, 12, 83, 985, 2000} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			f := newBudgetFleet(nodes, 11, false)
-			f.play(15*time.Second, 1)
+			f.run(15*time.Second, 1)
 			f.restart()
-			f.play(25*time.Second, 1)
-			f.play(15*time.Second, 0.5)
-			worst := f.worst()
+			f.run(25*time.Second, 1)
+			f.run(15*time.Second, 0.5)
+			worst := f.worstWindowShare()
 			t.Logf("spent of the bound in the worst window: %.3f", worst)
-			// What former lives have spent of the first attempts' share is forgotten.
+			// What previous incarnations have spent of the first attempts' share is forgotten.
 			if worst > 1.2 {
 				t.Errorf("%.3f of the bound was spent in a window", worst)
 			}
@@ -170,8 +172,8 @@
 	}
 }
 
-// TestFractionsOfARetryAreNotLost gives each of many nodes less than half a retry as its
-// part, and asks each for one.
+// TestFractionsOfARetryAreNotLost gives each of many nodes less than half a retry
+// as its part, and requests one from each.
 func TestFractionsOfARetryAreNotLost(t *testing.T) {
 	const nodes, part = 1000, 0.4
 	random := rand.New(rand.NewPCG(3, 1))
@@ -194,8 +196,8 @@
 	}
 }
 
-// TestShareOfTheBoundIsKeptForOthers spends first what may use a third of the bound, and
-// then the rest.
+// TestShareOfTheBoundIsKeptForOthers first makes retries that may use a third of
+// the bound, and then others that may use the rest.
 func TestShareOfTheBoundIsKeptForOthers(t *testing.T) {
 	b := NewWindowBudget(WindowOptions{Window: fleetWindow, Slack: 9})
 	now := time.Unix(9000, 0)
@@ -217,7 +219,7 @@
 	}
 }
 
-// TestSlackGrowsFromItsStart looks at the bound of a process that has just started.
+// TestSlackGrowsFromItsStart checks the bound of a process that has just started.
 func TestSlackGrowsFromItsStart(t *testing.T) {
 	from := time.Unix(9000, 0)
 	b := NewWindowBudget(WindowOptions{Window: fleetWindow, Slack: 8, SlackFrom: from})
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -12,8 +12,9 @@
 
 func TestMain(m *testing.M) { fixedseed.Main(m) }
 
-// extraAttempts walks a chain of levels. The outcome of each attempt is drawn;
-// only attempts that reached the level below can make further attempts there.
+// extraAttempts simulates a chain of levels and counts the additional attempts. The
+// outcome of each attempt is drawn; only attempts that reached the level below can
+// make further attempts there.
 func extraAttempts(t *rapid.T, allowance Allowance, levels int) int {
 	if levels == 0 {
 		return 0
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestWindowBudgetHoldsOverEveryWindow checks the bound from outside: over any
-// window, retries stay within the share of the first attempts in that window and
-// the part before it, and the slack.
+// TestWindowBudgetHoldsOverEveryWindow checks the bound independently of the
+// implementation: over any window, retries stay within the share of the first
+// attempts in that window and the part before it, plus the slack.
 func TestWindowBudgetHoldsOverEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
