--- a/pkg/slotqueue/bench_test.go
+++ b/pkg/slotqueue/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkTurn has a request get in line and another one its slot, with many tenants and
-// many that wait.
+// BenchmarkTurn queues one request and gives another one its slot, with many tenants and
+// many waiting requests.
 func BenchmarkTurn(b *testing.B) {
 	const slots, tenants = 12, 1000
 	for _, waiting := range []int{0, 100, 10_000} {
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkRefusal refuses at a worker that is full.
+// BenchmarkRefusal has a fully occupied worker refuse requests.
 func BenchmarkRefusal(b *testing.B) {
 	q := New(12)
 	now := time.Now()
--- a/pkg/slotqueue/errors.go
+++ b/pkg/slotqueue/errors.go
@@ -13,7 +13,7 @@
 	ErrFull = namespace.NewType("full").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 	// ErrClosed is the type of errors for requests to a queue that was closed.
 	ErrClosed = namespace.NewType("closed").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
-	// ErrAbandoned is the type of errors for requests whose caller went away.
+	// ErrAbandoned is the type of errors for requests whose caller stopped waiting.
 	ErrAbandoned = namespace.NewType("abandoned").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
 	propertyWait = errorx.RegisterProperty("wait")
--- a/pkg/slotqueue/queue.go
+++ b/pkg/slotqueue/queue.go
@@ -7,30 +7,33 @@
 )
 
 const (
-	// firstHold is taken for how long a request holds a slot before any was seen.
-	firstHold = 20 * time.Millisecond
-	// startWeight is the weight of one more start in the shares of the ranks: they are means
-	// over some 50 starts.
+	// initialHold is the assumed time for which a request holds a slot until one was
+	// observed.
+	initialHold = 20 * time.Millisecond
+	// startWeight is the weight of one more start in the moving shares of the ranks, which
+	// are thus means over some 50 starts.
 	startWeight = 0.02
-	// holdWeight is the weight of one more observation in the means of hold and pace.
+	// holdWeight is the weight of one more observation in the moving averages of hold and
+	// pace.
 	holdWeight = 0.05
-	// slowestPace and fastestPace bound what is believed of the pace of a worker.
+	// slowestPace and fastestPace bound the observed pace of a worker.
 	slowestPace = 20.0
 	fastestPace = 0.1
 )
 
-// Request is what one request asks of a Queue.
+// Request describes one request to a Queue.
 type Request struct {
 	// Rank orders requests; the lowest starts first.
 	Rank int
-	// Tenant names the tenant whose request it is; empty where there are none.
+	// Tenant names the tenant that the request belongs to; empty where there are no
+	// tenants.
 	Tenant string
-	// Work is how long the request is expected to hold a slot of a worker of usual
-	// speed; zero when that is not known.
+	// Work is how long the request is expected to hold a slot of a worker of usual speed;
+	// zero when unknown.
 	Work time.Duration
-	// Due is until when its answer is worth most; zero when that is not known.
+	// Due is the time until which the answer has its full value; zero when unknown.
 	Due time.Time
-	// LatestStart is when a start is not useful any more.
+	// LatestStart is the time after which a start is no longer useful.
 	LatestStart time.Time
 }
 
@@ -39,42 +42,45 @@
 	mutex   sync.Mutex
 	slots   int
 	running []*entry
-	waiting line
+	waiting waitQueue
 	demand  demand
-	// starts is the share of each rank in the requests that have started lately.
-	starts  map[int]float64
-	entered uint64
-	// hold is how long requests hold their slots, pace the same relative to what was
-	// expected of them at a worker of usual speed.
+	// starts is the moving share of each rank in the requests that have started.
+	starts       map[int]float64
+	lastSequence uint64
+	// hold is the moving average of how long requests hold their slots, pace that of the
+	// same time relative to their expected time at a worker of usual speed.
 	hold   time.Duration
 	pace   float64
 	closed bool
-	// heldBack is since when a slot is kept free from those that wait; zero when none is.
-	heldBack time.Time
-	// recheck is the timer that looks again whether one is to be kept free.
-	recheck *time.Timer
-	// frees is memory that expectedWait uses again each time.
-	frees []time.Duration
+	// heldBackSince is when the queue began to withhold a free slot from waiting requests;
+	// zero when it withholds none.
+	heldBackSince time.Time
+	// recheckTimer is the timer after which the queue checks again whether to withhold a
+	// slot.
+	recheckTimer *time.Timer
+	// remainingScratch is the memory that expectedWait reuses for remaining times.
+	remainingScratch []time.Duration
 }
 
 // New returns a queue for a worker with the given number of slots.
 func New(slots int) *Queue {
-	return &Queue{slots: max(slots, 1), hold: firstHold, pace: 1, starts: map[int]float64{}}
+	return &Queue{slots: max(slots, 1), hold: initialHold, pace: 1, starts: map[int]float64{}}
 }
 
-// Load is what a queue holds at one moment.
+// Load is the state of a queue at one moment.
 type Load struct {
 	Running, Waiting, Slots int
-	// Hold is how long requests have held their slots lately.
+	// Hold is the moving average of how long requests hold their slots.
 	Hold time.Duration
-	// Transfer is how long a long body would wait before it could cross to the
-	// worker's machine. A queue does not know it; whoever has the link fills it in.
+	// Transfer is how long a long body would wait before it could be sent over the link to
+	// the worker's machine. A queue does not know it; the owner of the link fills it in.
 	Transfer time.Duration
-	// Failing is the share of requests that have failed at the worker lately, from
-	// 0 to 1. A queue does not know that either.
+	// Failing is the recent share of requests that failed at the worker, from 0 to 1. A
+	// queue does not know it either.
 	Failing float64
 	// Slowness is how long work takes at the worker at present, relative to the usual, as
-	// the worker itself tells; zero when it does not. A queue does not know that either.
+	// the worker itself reports; zero when it does not report it. A queue does not know it
+	// either.
 	Slowness float64
 }
 
@@ -89,14 +95,14 @@
 // Wait returns how long a request of the last rank would wait now.
 func (q *Queue) Wait() time.Duration { return q.Load().Wait() }
 
-// Load returns what the queue holds now.
+// Load returns the present state of the queue.
 func (q *Queue) Load() Load {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return Load{Running: len(q.running), Waiting: q.waiting.count, Slots: q.slots, Hold: q.hold}
 }
 
-// SetSlots changes the number of slots. Requests that run keep theirs.
+// SetSlots changes the number of slots. Running requests keep theirs.
 func (q *Queue) SetSlots(slots int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -125,15 +131,16 @@
 	return q.conclude(w, err)
 }
 
-// Check returns the error that Admit would return at once; nil when the request
-// would get a slot, or a place among those that wait.
+// Check returns the error that Admit would return at once; nil when the request would get a
+// slot or a place in the queue.
 func (q *Queue) Check(request Request) error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.check(q.newEntry(request), time.Now())
 }
 
-// newEntry returns a request with what it is expected to take here. The mutex is held.
+// newEntry returns an entry with the time for which the request is expected to hold a slot
+// of this worker. The mutex is held.
 func (q *Queue) newEntry(request Request) *entry {
 	w := &entry{Request: request, hold: q.hold}
 	if request.Work > 0 {
@@ -142,12 +149,12 @@
 	return w
 }
 
-// check does what Check does. The mutex is held.
+// check implements Check. The mutex is held.
 func (q *Queue) check(w *entry, now time.Time) error {
 	if q.closed {
 		return ErrClosed.New("the worker takes no more requests")
 	}
-	if q.free(w, now) {
+	if q.canStart(w, now) {
 		return nil
 	}
 	wait := q.expectedWait(w, now)
@@ -157,18 +164,18 @@
 	return nil
 }
 
-// free reports whether a request could start at once. The mutex is held.
-func (q *Queue) free(w *entry, now time.Time) bool {
+// canStart reports whether a request could start at once. The mutex is held.
+func (q *Queue) canStart(w *entry, now time.Time) bool {
 	if len(q.running) >= q.slots {
 		return false
 	}
-	if rank, waits := q.waiting.first(); waits && rank <= w.Rank {
+	if rank, waits := q.waiting.lowestRank(); waits && rank <= w.Rank {
 		return false
 	}
-	return !q.kept(w, now)
+	return !q.withheldFrom(w, now)
 }
 
-// enter takes a slot, or a place among the waiting.
+// enter takes a slot or a place in the queue.
 func (q *Queue) enter(request Request, now time.Time) (*entry, error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -177,49 +184,50 @@
 		return nil, err
 	}
 	q.demand.add(w.Rank, w.hold, now)
-	if q.free(w, now) {
+	if q.canStart(w, now) {
 		q.start(w, now)
 		return w, nil
 	}
 	if q.waiting.count == 0 {
-		q.heldBack = time.Time{}
+		q.heldBackSince = time.Time{}
 	}
-	q.entered++
-	w.entered = q.entered
+	q.lastSequence++
+	w.sequence = q.lastSequence
 	w.concluded = make(chan struct{})
 	q.waiting.add(w, now)
 	q.startWaiting(now)
 	return w, nil
 }
 
-// expectedWait returns how long a request would wait: those ahead, and those of lower
-// ranks that come meanwhile and go first, have to start before it. The mutex is held.
+// expectedWait returns how long a request would wait: the requests ahead of it, and those
+// of lower ranks that arrive meanwhile and go first, have to start before it. The mutex is
+// held.
 func (q *Queue) expectedWait(w *entry, now time.Time) time.Duration {
 	if w.Work == 0 {
 		return q.meanWait(w.Rank)
 	}
-	q.frees = q.frees[:0]
+	q.remainingScratch = q.remainingScratch[:0]
 	for _, r := range q.running {
-		q.frees = append(q.frees, r.remaining(now))
+		q.remainingScratch = append(q.remainingScratch, r.remaining(now))
 	}
-	wait := startAfter(q.waiting.ahead(w, now), q.frees, q.slots)
-	taken := q.demand.below(w.Rank, now)
-	overtaking := min(taken/float64(q.slots), largestOvertaking)
+	wait := expectedStartDelay(q.waiting.slotTimeAhead(w, now), q.remainingScratch, q.slots)
+	taken := q.demand.busySlotsBelow(w.Rank, now)
+	overtaking := min(taken/float64(q.slots), maxOvertakingShare)
 	return time.Duration(float64(wait) / (1 - overtaking))
 }
 
-// meanWait returns how long a request of a rank would wait if all took the mean time: of one
-// that does not say what it takes nothing better is known. The mutex is held.
+// meanWait returns how long a request of a rank would wait if all requests took the mean
+// time. It is the best estimate for a request of unknown work. The mutex is held.
 func (q *Queue) meanWait(rank int) time.Duration {
-	turn := time.Duration(q.waiting.upTo(rank) + 1)
+	turn := time.Duration(q.waiting.countUpTo(rank) + 1)
 	var overtaking float64
-	for other, share := range q.starts {
-		if other < rank {
+	for started, share := range q.starts {
+		if started < rank {
 			overtaking += share
 		}
 	}
 	wait := turn * q.hold / time.Duration(q.slots)
-	return time.Duration(float64(wait) / (1 - min(overtaking, largestOvertaking)))
+	return time.Duration(float64(wait) / (1 - min(overtaking, maxOvertakingShare)))
 }
 
 // start gives a slot to a request. The mutex is held.
@@ -228,11 +236,12 @@
 		q.starts[rank] *= 1 - startWeight
 	}
 	q.starts[w.Rank] += startWeight
-	w.began, w.index = now, len(q.running)
+	w.startedAt, w.index = now, len(q.running)
 	q.running = append(q.running, w)
 }
 
-// conclude sorts out who was first: the slot or the end of the wait.
+// conclude settles which came first, the slot or the end of the wait given by err, and
+// undoes a slot or a place in the queue that is no longer used.
 func (q *Queue) conclude(w *entry, err error) (Permit, error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -244,15 +253,15 @@
 		if err == nil {
 			return Permit{queue: q, entry: w}, nil
 		}
-		q.leave(w)
+		q.releaseSlot(w)
 	default:
 		q.waiting.remove(w)
 	}
 	return Permit{}, err
 }
 
-// leave gives a slot back. The mutex is held.
-func (q *Queue) leave(r *entry) {
+// releaseSlot frees the slot of a running request. The mutex is held.
+func (q *Queue) releaseSlot(r *entry) {
 	last := len(q.running) - 1
 	q.running[r.index] = q.running[last]
 	q.running[r.index].index = r.index
@@ -261,7 +270,7 @@
 	q.startWaiting(time.Now())
 }
 
-// startWaiting gives free slots to those that wait. The mutex is held.
+// startWaiting gives free slots to waiting requests. The mutex is held.
 func (q *Queue) startWaiting(now time.Time) {
 	defer q.refuseOverdue(now)
 	for len(q.running) < q.slots && q.waiting.count > 0 {
@@ -274,12 +283,12 @@
 	}
 }
 
-// refuseOverdue refuses requests that have become late and now have so many before them that
-// they cannot be expected to start any more: their callers hear it while there is time left
-// to come back. The mutex is held.
+// refuseOverdue refuses requests that have become late and now have so many before them
+// that they cannot be expected to start any more, so that their callers learn it while
+// there is time left to retry. The mutex is held.
 func (q *Queue) refuseOverdue(now time.Time) {
 	for _, w := range q.waiting.overdue {
-		if !w.began.IsZero() || w.refusal != nil {
+		if !w.startedAt.IsZero() || w.refusal != nil {
 			continue
 		}
 		q.waiting.remove(w)
@@ -295,7 +304,7 @@
 	q.waiting.overdue = q.waiting.overdue[:0]
 }
 
-// Close refuses those that wait and all that come.
+// Close refuses the waiting requests and all later ones.
 func (q *Queue) Close() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -307,14 +316,14 @@
 	}
 }
 
-// Permit is the right to run one request. The zero value is none.
+// Permit is the right to run one request. The zero value stands for none.
 type Permit struct {
 	queue *Queue
 	entry *entry
 }
 
-// Release gives the slot back. Observed tells that the time for which it was
-// held says something about the worker.
+// Release frees the slot. observed states that the time for which it was held is
+// representative of the worker's speed.
 func (p Permit) Release(observed bool) {
 	if p.queue == nil {
 		return
@@ -324,9 +333,9 @@
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if observed {
-		q.observe(p.entry, now.Sub(p.entry.began))
+		q.observe(p.entry, now.Sub(p.entry.startedAt))
 	}
-	q.leave(p.entry)
+	q.releaseSlot(p.entry)
 }
 
 // observe counts for how long a request has held its slot. The mutex is held.
--- a/pkg/slotqueue/queue_test.go
+++ b/pkg/slotqueue/queue_test.go
@@ -46,14 +46,14 @@
 			t.Fatal(err)
 		}
 		began := time.Now()
-		_, err := queue.Admit(t.Context(), Request{LatestStart: in(firstHold / 2)})
-		if !errorx.IsOfType(err, ErrFull) || WaitOf(err) != firstHold || time.Since(began) != 0 {
+		_, err := queue.Admit(t.Context(), Request{LatestStart: in(initialHold / 2)})
+		if !errorx.IsOfType(err, ErrFull) || WaitOf(err) != initialHold || time.Since(began) != 0 {
 			t.Errorf("%v after %v, wait %v", err, time.Since(began), WaitOf(err))
 		}
 	})
 }
 
-func TestWaiterIsRefusedWhenItsTimeComes(t *testing.T) {
+func TestWaiterIsRefusedAtLatestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue := New(1)
 		permit, _ := queue.Admit(t.Context(), Request{LatestStart: in(time.Second)})
@@ -106,8 +106,8 @@
 	})
 }
 
-// TestNeverMoreThanSlots lets requests of many ranks come, wait, leave and run,
-// and counts those that run.
+// TestNeverMoreThanSlots admits, cancels and releases requests of many ranks at random, and
+// counts the running ones.
 func TestNeverMoreThanSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(t, "slots")
@@ -146,11 +146,11 @@
 		t.Errorf("full: %v", err)
 	}
 	if err := q.Check(Request{LatestStart: time.Now().Add(time.Hour)}); err != nil {
-		t.Errorf("patient: %v", err)
+		t.Errorf("latest start in an hour: %v", err)
 	}
 	permit.Release(false)
 	if load := q.Load(); load.Running != 0 || load.Waiting != 0 {
-		t.Errorf("a check has left %+v", load)
+		t.Errorf("load after a check: %+v", load)
 	}
 	q.Close()
 	if err := q.Check(soon); !errorx.IsOfType(err, ErrClosed) {
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestExpectedWaitCountsThoseThatOvertake fills a worker that mostly serves requests of
-// a lower rank: one of a higher rank waits several times as long as those ahead of it
-// take, and one of the lower rank does not.
+// TestExpectedWaitCountsThoseThatOvertake fills a worker that mostly serves requests of a
+// lower rank: a request of a higher rank is expected to wait several times as long as those
+// ahead of it take, and one of the lower rank is not.
 func TestExpectedWaitCountsThoseThatOvertake(t *testing.T) {
 	q := New(1)
 	for range 100 {
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	defer permit.Release(false)
-	soon := time.Now().Add(3 * firstHold)
+	soon := time.Now().Add(3 * initialHold)
 	if err := q.Check(Request{Rank: 1, LatestStart: soon}); err != nil {
 		t.Errorf("a request that nothing overtakes is refused: %v", err)
 	}
@@ -184,9 +184,10 @@
 	}
 }
 
-// TestRequestsThatTellNoWorkKeepNoSlots has a worker turn slow under requests of which only
-// rank and arrival are known: those that came when it was fast were no shorter.
-func TestRequestsThatTellNoWorkKeepNoSlots(t *testing.T) {
+// TestRequestsOfUnknownWorkReserveNoSlots slows a worker down under requests of which only
+// rank and arrival are known. The ones that came while it was fast must not count as
+// shorter work.
+func TestRequestsOfUnknownWorkReserveNoSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(4)
 		for range 20 {
@@ -207,17 +208,18 @@
 			p.Release(true)
 		}
 		for range 4 {
-			asked := time.Now()
-			if _, err := q.Admit(t.Context(), Request{Rank: 1, LatestStart: in(time.Second)}); err != nil || time.Since(asked) > 0 {
-				t.Errorf("a free slot is given after %v: %v", time.Since(asked), err)
+			sentAt := time.Now()
+			if _, err := q.Admit(t.Context(), Request{Rank: 1, LatestStart: in(time.Second)}); err != nil || time.Since(sentAt) > 0 {
+				t.Errorf("a free slot is given after %v: %v", time.Since(sentAt), err)
 			}
 		}
 	})
 }
 
-// TestHoldingBackBeginsAnew has a long request that slots were kept from leave, and another
-// one come much later: what was kept from the first one is not held against the slots.
-func TestHoldingBackBeginsAnew(t *testing.T) {
+// TestHoldBackStartsAnewAfterRequestLeft has a long request leave while slots are withheld
+// from it, and another long one arrive much later: the time for which slots were withheld
+// from the first must not shorten that of the second.
+func TestHoldBackStartsAnewAfterRequestLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(4)
 		urgent := func() {
@@ -230,21 +232,21 @@
 				p.Release(true)
 			}
 		}
-		long := func(patience time.Duration) time.Duration {
-			asked := time.Now()
-			_, err := q.Admit(t.Context(), Request{Rank: 1, Work: 10 * time.Second, LatestStart: in(patience)})
-			t.Logf("long work: %v after %v", err, time.Since(asked))
-			return time.Since(asked)
+		long := func(waitLimit time.Duration) time.Duration {
+			sentAt := time.Now()
+			_, err := q.Admit(t.Context(), Request{Rank: 1, Work: 10 * time.Second, LatestStart: in(waitLimit)})
+			t.Logf("long work: %v after %v", err, time.Since(sentAt))
+			return time.Since(sentAt)
 		}
 		for range 2 {
 			_, _ = q.Admit(t.Context(), Request{Work: 10 * time.Second, LatestStart: in(time.Second)})
 		}
 		urgent()
-		long(recheckAfter / 2)
+		long(recheckInterval / 2)
 		time.Sleep(time.Second)
 		urgent()
-		if waited := long(time.Second); waited < recheckAfter {
-			t.Errorf("slots were kept for %v only", waited)
+		if waited := long(time.Second); waited < recheckInterval {
+			t.Errorf("slots were withheld for %v only", waited)
 		}
 	})
 }
--- a/pkg/slotqueue/line_test.go
+++ b/pkg/slotqueue/waitqueue_test.go
@@ -11,34 +11,34 @@
 	"pgregory.net/rapid"
 )
 
-// TestLateGoBehindWhoCanBeInTime has a request wait whose answer is late already, and then
-// one whose answer can be in time.
-func TestLateGoBehindWhoCanBeInTime(t *testing.T) {
+// TestLateRequestsGoBehindTimelyOnes queues a request whose answer is late already, one
+// whose answer can be in time, and a late one of a lower rank, which still goes first.
+func TestLateRequestsGoBehindTimelyOnes(t *testing.T) {
 	now := time.Now()
-	var l line
-	late := &entry{Request: Request{Due: now.Add(-time.Second), LatestStart: now.Add(time.Second)}, entered: 1}
-	timely := &entry{Request: Request{Due: now.Add(time.Second), LatestStart: now.Add(time.Second)}, entered: 2}
-	urgent := &entry{Request: Request{Rank: -1, Due: now.Add(-time.Second), LatestStart: now.Add(time.Second)}, entered: 3}
+	var l waitQueue
+	late := &entry{Request: Request{Due: now.Add(-time.Second), LatestStart: now.Add(time.Second)}, sequence: 1}
+	timely := &entry{Request: Request{Due: now.Add(time.Second), LatestStart: now.Add(time.Second)}, sequence: 2}
+	urgent := &entry{Request: Request{Rank: -1, Due: now.Add(-time.Second), LatestStart: now.Add(time.Second)}, sequence: 3}
 	for _, w := range []*entry{late, timely, urgent} {
 		l.add(w, now)
 	}
 	for i, want := range []*entry{urgent, timely, late} {
 		if got := l.next(now); got != want {
-			t.Errorf("turn %d has request %d, want %d", i, got.entered, want.entered)
+			t.Errorf("turn %d has request %d, want %d", i, got.sequence, want.sequence)
 		}
 	}
 }
 
-// TestTenantsTakeTurns has one tenant wait with many requests before another comes.
+// TestTenantsTakeTurns queues many requests of one tenant before another tenant's arrive.
 func TestTenantsTakeTurns(t *testing.T) {
 	now := time.Now()
-	var l line
+	var l waitQueue
 	for n := range uint64(6) {
-		l.add(&entry{Request: Request{Tenant: "loud", LatestStart: now.Add(time.Second)}, hold: time.Millisecond, entered: n}, now)
+		l.add(&entry{Request: Request{Tenant: "loud", LatestStart: now.Add(time.Second)}, hold: time.Millisecond, sequence: n}, now)
 	}
 	l.next(now)
 	for n := range uint64(2) {
-		l.add(&entry{Request: Request{Tenant: "quiet", LatestStart: now.Add(time.Second)}, hold: time.Millisecond, entered: 10 + n}, now)
+		l.add(&entry{Request: Request{Tenant: "quiet", LatestStart: now.Add(time.Second)}, hold: time.Millisecond, sequence: 10 + n}, now)
 	}
 	var order []string
 	for l.count > 0 {
@@ -46,13 +46,13 @@
 	}
 	for i, want := range []string{"quiet", "loud", "quiet", "loud", "loud", "loud", "loud"} {
 		if order[i] != want {
-			t.Fatalf("turns are %v", order)
+			t.Fatalf("order of tenants is %v", order)
 		}
 	}
 }
 
-// TestOverdueAreRefusedAtOnce has a request that has become late be overtaken for as long as
-// it could wait.
+// TestOverdueAreRefusedAtOnce guards against a request that has become late being overtaken
+// for as long as it could wait, when it cannot be expected to start any more.
 func TestOverdueAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const work = 100 * time.Millisecond
@@ -87,18 +87,18 @@
 	})
 }
 
-// TestLineHoldsWhatWaits adds, takes and removes requests of few ranks and tenants, and
-// compares the line with a plain list of them.
-func TestLineHoldsWhatWaits(t *testing.T) {
+// TestWaitQueueMatchesPlainList adds, takes and removes requests of few ranks and tenants,
+// and compares the queue with a plain list of them.
+func TestWaitQueueMatchesPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l line
+		var l waitQueue
 		now := time.Now()
 		waiting := map[*entry]bool{}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "passed")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				w := &entry{hold: time.Duration(rapid.IntRange(1, 50).Draw(t, "hold")) * time.Millisecond, entered: uint64(n)}
+				w := &entry{hold: time.Duration(rapid.IntRange(1, 50).Draw(t, "hold")) * time.Millisecond, sequence: uint64(n)}
 				w.Rank = rapid.IntRange(0, 2).Draw(t, "rank")
 				w.Tenant = rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "tenant")
 				w.Due = now.Add(time.Duration(rapid.IntRange(-20, 100).Draw(t, "due")) * time.Millisecond)
@@ -116,7 +116,7 @@
 					}
 				}
 				if w != expected || !waiting[w] {
-					t.Fatalf("took %+v", w)
+					t.Fatalf("next returned %+v, want the request of peek and one that waits", w)
 				}
 				delete(waiting, w)
 			default:
@@ -131,17 +131,17 @@
 				sum += w.hold
 			}
 			for _, r := range l.ranks {
-				slotTime += r.timely + r.tardy
+				slotTime += r.timelySlotTime + r.lateSlotTime
 			}
 			if l.count != len(waiting) || slotTime != sum {
-				t.Fatalf("%d wait for %v, the line has %d for %v", len(waiting), sum, l.count, slotTime)
+				t.Fatalf("%d requests wait for slot time %v, the queue has %d for %v", len(waiting), sum, l.count, slotTime)
 			}
 		}
 	})
 }
 
-// TestCallersThatLeaveAnywhere cancels requests that wait in every state of the line.
-func TestCallersThatLeaveAnywhere(t *testing.T) {
+// TestCancelInEveryQueueState cancels waiting requests in every state of the queue.
+func TestCancelInEveryQueueState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(1)
 		running, _ := q.Admit(t.Context(), Request{LatestStart: in(time.Hour)})
@@ -167,8 +167,8 @@
 	})
 }
 
-// TestCloseWithLateRequests closes a queue in which a request that waits has become late, and
-// then gives back the slot that it waited for.
+// TestCloseWithLateRequests closes a queue in which a waiting request has become late, and
+// then frees the slot that it waited for.
 func TestCloseWithLateRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := New(1)
