--- a/internal/control/coordinator_loop.go
+++ b/internal/control/coordinator_loop.go
@@ -76,7 +76,7 @@
 func (n *Node) observeForDecision(at time.Time) {
 	state := &n.coordinator
 	if state.machine == nil {
-		state.machine = rollout.NewCoordinator(rollout.CoordinatorOptions{SilentBound: n.config.SilentBound})
+		state.machine = rollout.NewCoordinator(rollout.CoordinatorOptions{UnresponsiveBound: n.config.SilentBound})
 		state.pauses = backoff{base: storeBackoffBase, ceiling: storeBackoffCeiling}
 	}
 	if known := n.participant.State(); known.HeadKnown {
@@ -142,7 +142,7 @@
 	case rollout.CommitVersion:
 		n.startDecision(ctx, func(ctx context.Context) (rollout.Head, error) {
 			return n.versions.Commit(ctx, decision.Version, decision.ApplyID)
-		}, func() { n.events.VersionCommitted(decision.Version, decision.Silent) })
+		}, func() { n.events.VersionCommitted(decision.Version, decision.Unresponsive) })
 	case rollout.AbortVersion:
 		n.startDecision(ctx, func(ctx context.Context) (rollout.Head, error) {
 			return n.versions.Abort(ctx, decision.Version, decision.Rejection)
--- a/internal/forwarding/admission_test.go
+++ b/internal/forwarding/admission_test.go
@@ -143,7 +143,7 @@
 // fill takes all slots of the worker beside a node.
 func fill(t *testing.T, node *testNode) []slotqueue.Permit {
 	t.Helper()
-	leg, err := node.plane.local.find("ledger", workers.Life{})
+	leg, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forwarding/busy_test.go
+++ b/internal/forwarding/busy_test.go
@@ -21,7 +21,7 @@
 		return slotqueue.Load{Running: held + 1, Slots: 4}, true
 	}
 	beat := workers.Heartbeat{Instance: "w", Service: "ledger", Address: worker.address(), Slots: 4, Busy: held}
-	if _, err := node.registry.Introduce(beat, time.Now()); err != nil {
+	if _, err := node.registry.RegisterProbed(beat, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	update := func() {
--- a/internal/forwarding/connections_test.go
+++ b/internal/forwarding/connections_test.go
@@ -25,7 +25,7 @@
 	node.plane.config.Dial = slow.Dial
 	node.beat(t, "w-beside", "ledger", worker, 1, false)
 	configure(t, ledgerRoutes, node)
-	leg, err := node.plane.local.find("ledger", workers.Life{})
+	leg, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forwarding/endpoints.go
+++ b/internal/forwarding/endpoints.go
@@ -83,8 +83,8 @@
 }
 
 // life returns the name of the worker's life. Calls read it while it becomes known.
-func (e *endpoint) life() workers.Life {
-	return workers.Life{Instance: e.instance, Born: e.born.Load()}
+func (e *endpoint) life() workers.Incarnation {
+	return workers.Incarnation{Instance: e.instance, StartedAt: e.born.Load()}
 }
 
 // await sets when the endpoint is overdue: a request that it holds is expected to take the
@@ -141,11 +141,11 @@
 	for _, node := range d.serving(view, steering) {
 		worker, _ := node.Serves(d.service)
 		found, same := known[node.ID]
-		if !same || !found.life().Same(worker.Life()) || found.address != node.CallAddress {
+		if !same || !found.life().Same(worker.Incarnation()) || found.address != node.CallAddress {
 			found = &endpoint{node: node.ID, zone: node.Zone, address: node.CallAddress, instance: worker.Instance, slowness: 1}
 		}
-		if worker.Born != 0 {
-			found.born.Store(worker.Born)
+		if worker.StartedAt != 0 {
+			found.born.Store(worker.StartedAt)
 		}
 		found.slots, found.version = worker.Slots, worker.Version
 		d.endpoints[node.ID] = found
--- a/internal/forwarding/hop.go
+++ b/internal/forwarding/hop.go
@@ -52,7 +52,7 @@
 type hop struct {
 	// service and life name the worker.
 	service string
-	life    workers.Life
+	life    workers.Incarnation
 	// caller is the service of the node where the call began.
 	caller string
 	rank   int
@@ -83,8 +83,8 @@
 		h.service, h.life.Instance, h.caller, strconv.Itoa(h.rank), formatMicroseconds(h.patience), formatMicroseconds(h.left),
 		strconv.Itoa(h.level),
 	}
-	if h.life.Born != 0 || h.work != 0 {
-		fields = append(fields, strconv.FormatInt(h.life.Born, 10))
+	if h.life.StartedAt != 0 || h.work != 0 {
+		fields = append(fields, strconv.FormatInt(h.life.StartedAt, 10))
 	}
 	if h.work != 0 {
 		fields = append(fields, formatMicroseconds(h.work), formatMicroseconds(h.due))
@@ -103,13 +103,13 @@
 	rank, rankErr := strconv.Atoi(fields[3])
 	patience, patienceOK := parseMicroseconds(fields[4])
 	left, leftOK := parseMicroseconds(fields[5])
-	parsed := hop{service: fields[0], life: workers.Life{Instance: fields[1]}, caller: fields[2], rank: rank, patience: patience, left: left}
+	parsed := hop{service: fields[0], life: workers.Incarnation{Instance: fields[1]}, caller: fields[2], rank: rank, patience: patience, left: left}
 	var levelErr, bornErr error
 	if len(fields) >= hopFieldsLevel {
 		parsed.level, levelErr = strconv.Atoi(fields[hopFieldsLevel-1])
 	}
 	if len(fields) >= hopFieldsBorn {
-		parsed.life.Born, bornErr = strconv.ParseInt(fields[hopFieldsBorn-1], 10, 64)
+		parsed.life.StartedAt, bornErr = strconv.ParseInt(fields[hopFieldsBorn-1], 10, 64)
 	}
 	workOK, dueOK := true, true
 	if len(fields) >= hopFieldsWork {
--- a/internal/forwarding/lives_test.go
+++ b/internal/forwarding/lives_test.go
@@ -14,7 +14,7 @@
 func (n *testNode) beatBorn(t *testing.T, w *testWorker, born int64, sequence uint64, draining bool) {
 	t.Helper()
 	_, err := n.registry.Heartbeat(workers.Heartbeat{
-		Instance: "w1", Born: born, Service: "ledger", Address: w.address(), Slots: 4, Sequence: sequence, Draining: draining,
+		Instance: "w1", StartedAt: born, Service: "ledger", Address: w.address(), Slots: 4, Sequence: sequence, Draining: draining,
 	}, time.Now())
 	if err != nil {
 		t.Fatal(err)
@@ -30,24 +30,24 @@
 	node := startNode(t, "a", "ledger", nil)
 	configure(t, []routeSpec{{prefix: "/read/", service: "ledger", safe: true, timeout: time.Second}}, node)
 	node.beatBorn(t, worker, 100, 7, false)
-	former, err := node.plane.local.find("ledger", workers.Life{Instance: "w1", Born: 100})
+	former, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
 	held := fill(t, node)
 	node.beatBorn(t, worker, 100, 8, true)
-	if _, err := node.plane.local.find("ledger", workers.Life{}); err == nil {
+	if _, err := node.plane.local.find("ledger", workers.Incarnation{}); err == nil {
 		t.Fatal("a worker that drains is given work")
 	}
 	node.beatBorn(t, worker, 200, 1, false)
-	next, err := node.plane.local.find("ledger", workers.Life{Instance: "w1", Born: 200})
+	next, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 200})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if load := next.load(); next == former || load.Running != 0 || load.Slots != 4 {
 		t.Errorf("the new life begins with %+v", load)
 	}
-	if _, err := node.plane.local.find("ledger", workers.Life{Instance: "w1", Born: 100}); err == nil {
+	if _, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100}); err == nil {
 		t.Error("a call for the former life reaches the new one")
 	}
 	for _, permit := range held {
@@ -100,7 +100,7 @@
 	node.beatBorn(t, worker, 100, 2, false)
 	d.refresh(node.table.View(), &steeringTable{})
 	calls.Wait()
-	if same := d.endpoints["a"]; same != e || same.life().Born != 100 {
+	if same := d.endpoints["a"]; same != e || same.life().StartedAt != 100 {
 		t.Errorf("life %v", same.life())
 	}
 }
--- a/internal/forwarding/local.go
+++ b/internal/forwarding/local.go
@@ -18,7 +18,7 @@
 
 // find returns the way to the worker that takes the requests of a service. A life whose
 // instance is not empty must be that worker's.
-func (l *localWorkers) find(service string, life workers.Life) (*workerLeg, error) {
+func (l *localWorkers) find(service string, life workers.Incarnation) (*workerLeg, error) {
 	if l.plane.stopping.Load() {
 		return nil, outcome.New(outcome.Draining)
 	}
@@ -26,7 +26,7 @@
 		return nil, outcome.New(outcome.NotReady)
 	}
 	worker, ok := l.plane.config.Workers.Ready(service)
-	if !ok || life.Instance != "" && !life.Same(worker.Life()) {
+	if !ok || life.Instance != "" && !life.Same(worker.Incarnation()) {
 		return nil, outcome.New(outcome.NoWorker)
 	}
 	l.mutex.Lock()
@@ -47,7 +47,7 @@
 	if !known {
 		return nil, false
 	}
-	if leg.isOf(worker.Life()) {
+	if leg.isOf(worker.Incarnation()) {
 		return leg, true
 	}
 	leg.close()
@@ -84,7 +84,7 @@
 	kept := make(map[string]bool, len(registered))
 	for _, worker := range registered {
 		leg, known := l.known(worker)
-		if worker.State.Promised() {
+		if worker.State.DrainCommitted() {
 			if known {
 				leg.close()
 				delete(l.legs, worker.Instance)
--- a/internal/forwarding/plane.go
+++ b/internal/forwarding/plane.go
@@ -109,7 +109,7 @@
 
 // localLoad returns the load of this node's worker of a service.
 func (p *Plane) localLoad(service string) (slotqueue.Load, bool) {
-	leg, err := p.local.find(service, workers.Life{})
+	leg, err := p.local.find(service, workers.Incarnation{})
 	if err != nil || leg.quiet() {
 		return slotqueue.Load{}, false
 	}
--- a/internal/forwarding/question_test.go
+++ b/internal/forwarding/question_test.go
@@ -60,7 +60,7 @@
 // crowd has requests wait for the worker beside a node.
 func crowd(t *testing.T, node *testNode) {
 	t.Helper()
-	leg, err := node.plane.local.find("ledger", workers.Life{})
+	leg, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forwarding/refusal_test.go
+++ b/internal/forwarding/refusal_test.go
@@ -14,7 +14,7 @@
 	refusing := startNode(t, "refusing", "ledger", startWorker(t))
 	introduce(front, refusing)
 	configure(t, ledgerRoutes, front, refusing)
-	leg, err := refusing.plane.local.find("ledger", workers.Life{})
+	leg, err := refusing.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forwarding/slowness_test.go
+++ b/internal/forwarding/slowness_test.go
@@ -140,7 +140,7 @@
 			d := front.plane.destination("ledger")
 			d.endpoints["first"].told, d.endpoints["second"].told = steady(c.firstBelieved), steady(next)
 			for node, slowness := range map[*testNode]float64{first: c.first, second: c.second} {
-				leg, err := node.plane.local.find("ledger", workers.Life{})
+				leg, err := node.plane.local.find("ledger", workers.Incarnation{})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/forwarding/steering_test.go
+++ b/internal/forwarding/steering_test.go
@@ -112,7 +112,7 @@
 	introduce(front)
 	configure(t, ledgerRoutes, front)
 	front.plane.Steer(order(canary.Running, 1))
-	leg, err := front.plane.local.find("ledger", workers.Life{})
+	leg, err := front.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forwarding/suspects.go
+++ b/internal/forwarding/suspects.go
@@ -35,7 +35,7 @@
 // crashedElsewhere takes that the worker beside another node has ended with the call, which
 // was offered with the given level: the next offer must tell, and the other node may not
 // live to.
-func (c *call) crashedElsewhere(life workers.Life, level int) {
+func (c *call) crashedElsewhere(life workers.Incarnation, level int) {
 	c.plane.config.Quarantine.Crashed(c.fingerprint(), life.String(), level, time.Now())
 }
 
@@ -50,7 +50,7 @@
 }
 
 // crashed takes that a worker has ended with a request in hand.
-func (p *Plane) crashed(life workers.Life, call *workerCall) {
+func (p *Plane) crashed(life workers.Incarnation, call *workerCall) {
 	report, _ := p.config.Quarantine.Crashed(call.fingerprint(), life.String(), call.level, time.Now())
 	p.config.Evidence([]quarantine.Report{report})
 }
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -89,7 +89,7 @@
 			return newWorkerTransport(p.config.Dial, idle, slots)
 		},
 	}
-	leg.born.Store(worker.Born)
+	leg.born.Store(worker.StartedAt)
 	leg.transport = leg.make(workerIdle, worker.Slots)
 	leg.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
 	return leg
@@ -97,19 +97,19 @@
 
 // isOf reports whether the way is to a life of the worker. One that did not know when its
 // life began learns it.
-func (l *workerLeg) isOf(life workers.Life) bool {
+func (l *workerLeg) isOf(life workers.Incarnation) bool {
 	if !l.life().Same(life) {
 		return false
 	}
-	if life.Born != 0 {
-		l.born.Store(life.Born)
+	if life.StartedAt != 0 {
+		l.born.Store(life.StartedAt)
 	}
 	return true
 }
 
 // life returns the name of the life that the way is to.
-func (l *workerLeg) life() workers.Life {
-	return workers.Life{Instance: l.worker.Instance, Born: l.born.Load()}
+func (l *workerLeg) life() workers.Incarnation {
+	return workers.Incarnation{Instance: l.worker.Instance, StartedAt: l.born.Load()}
 }
 
 // workerCall is one request for the worker.
--- a/internal/forwarding/zones_test.go
+++ b/internal/forwarding/zones_test.go
@@ -28,7 +28,7 @@
 	introduce(nodes...)
 	configure(t, ledgerRoutes, nodes...)
 	for _, node := range nodes[1 : 1+maximumRefusals] {
-		leg, err := node.plane.local.find("ledger", workers.Life{})
+		leg, err := node.plane.local.find("ledger", workers.Incarnation{})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/hosted/broadcast.go
+++ b/internal/hosted/broadcast.go
@@ -35,7 +35,7 @@
 	var parts []fleet.Part
 	for zone, nodes := range p.byZone() {
 		if zone != self.Zone && wanted(zone) {
-			parts = append(parts, fleet.Whole(nodes, self.ID))
+			parts = append(parts, fleet.SinglePart(nodes, self.ID))
 		}
 	}
 	p.handOnAll(ctx, what, parts)
--- a/internal/hosted/convert.go
+++ b/internal/hosted/convert.go
@@ -82,7 +82,7 @@
 			State:      exchangepb.WorkerState(worker.State),
 			Address:    worker.Address,
 			Version:    worker.Version,
-			BornUnixMs: worker.Born,
+			BornUnixMs: worker.StartedAt,
 		})
 	}
 	return messages
@@ -92,14 +92,14 @@
 	list := make([]workers.Worker, 0, len(messages))
 	for _, message := range messages {
 		list = append(list, workers.Worker{
-			Instance: message.GetInstance(),
-			Service:  message.GetService(),
-			Slots:    int(message.GetSlots()),
-			Sequence: message.GetSequence(),
-			State:    workers.State(message.GetState()),
-			Address:  message.GetAddress(),
-			Version:  message.GetVersion(),
-			Born:     message.GetBornUnixMs(),
+			Instance:  message.GetInstance(),
+			Service:   message.GetService(),
+			Slots:     int(message.GetSlots()),
+			Sequence:  message.GetSequence(),
+			State:     workers.State(message.GetState()),
+			Address:   message.GetAddress(),
+			Version:   message.GetVersion(),
+			StartedAt: message.GetBornUnixMs(),
 		})
 	}
 	return list
@@ -189,7 +189,7 @@
 // alone.
 func usable(w workers.Worker) bool {
 	switch w.State {
-	case workers.StateReady, workers.StateSilent:
+	case workers.StateReady, workers.StateUnresponsive:
 		return w.Instance != "" && w.Service != "" && w.Address != "" && w.Slots > 0
 	case workers.StateDraining, workers.StateGone:
 		return w.Instance != ""
--- a/internal/hosted/former.go
+++ b/internal/hosted/former.go
@@ -121,11 +121,11 @@
 // learnFormer takes what former lives of this node have left with others.
 func (a *Agent) learnFormer(merged fleet.Merged, promised []*exchangepb.Worker) {
 	former := workersOf(promised)
-	if merged.FormerSelf != nil {
-		a.config.Table.Outlive(*merged.FormerSelf)
-		former = append(former, merged.FormerSelf.Workers...)
-		a.evidence.takeFormer(*merged.FormerSelf)
-		a.config.Events.FormerLife(merged.FormerSelf.Incarnation, len(promised))
+	if merged.PreviousSelf != nil {
+		a.config.Table.SupersedePrevious(*merged.PreviousSelf)
+		former = append(former, merged.PreviousSelf.Workers...)
+		a.evidence.takeFormer(*merged.PreviousSelf)
+		a.config.Events.FormerLife(merged.PreviousSelf.Incarnation, len(promised))
 	}
 	changed := a.config.Workers.Learn(former, time.Now())
 	if len(changed) > 0 {
@@ -143,7 +143,7 @@
 		return
 	}
 	promised := promisedOnly(former.Workers)
-	a.learnFormer(fleet.Merged{FormerSelf: &former}, workerMessages(promised))
+	a.learnFormer(fleet.Merged{PreviousSelf: &former}, workerMessages(promised))
 }
 
 // inform lets the workers be given work: what former lives have promised is known
@@ -163,7 +163,7 @@
 func promisedOnly(list []workers.Worker) []workers.Worker {
 	var promised []workers.Worker
 	for _, worker := range list {
-		if worker.State.Promised() {
+		if worker.State.DrainCommitted() {
 			promised = append(promised, worker)
 		}
 	}
--- a/internal/hosted/introduction.go
+++ b/internal/hosted/introduction.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return
 	}
-	change, err := i.workers.Introduce(beat, time.Now())
+	change, err := i.workers.RegisterProbed(beat, time.Now())
 	if err != nil {
 		return
 	}
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -189,18 +189,18 @@
 // merge takes records, and hands on what is told of former lives of this node.
 func (p *Peers) merge(nodes []fleet.Node, promised []*exchangepb.Worker) []fleet.Node {
 	merged := p.table.Merge(nodes)
-	for _, id := range merged.NewLives {
+	for _, id := range merged.NewIncarnations {
 		// It was lost, and others have heard from it: it need not be tried first.
 		p.noteContact(id)
 	}
-	if p.rolloutNews != nil && slices.ContainsFunc(merged.News, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
+	if p.rolloutNews != nil && slices.ContainsFunc(merged.Updates, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
 		p.rolloutNews()
 	}
-	p.evidence.takeRecords(merged.News)
-	if merged.FormerSelf != nil || len(promised) > 0 {
+	p.evidence.takeRecords(merged.Updates)
+	if merged.PreviousSelf != nil || len(promised) > 0 {
 		p.former(merged, promised)
 	}
-	return merged.News
+	return merged.Updates
 }
 
 func (p *Peers) noteFailure(id string, err error) {
--- a/internal/hosted/promises.go
+++ b/internal/hosted/promises.go
@@ -60,7 +60,7 @@
 }
 
 // Leave takes a worker's sign-off, like Heartbeat.
-func (a *Agent) Leave(ctx context.Context, life workers.Life) error {
+func (a *Agent) Leave(ctx context.Context, life workers.Incarnation) error {
 	change, err := a.config.Workers.Leave(life, time.Now())
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	}
 	a.refreshWorkers()
 	a.config.Events.WorkerChanged(change.Worker, cause)
-	if !change.Worker.State.Promised() {
+	if !change.Worker.State.DrainCommitted() {
 		a.background(a.spreadRecord)
 		return
 	}
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -39,8 +39,8 @@
 	}
 	p := s.peers
 	sender := request.GetSender().GetId()
-	promised := p.table.Promised(sender)
-	knowsFormer := p.table.KnowsFormer(sender, request.GetSender().GetIncarnation())
+	promised := p.table.DrainCommitted(sender)
+	knowsFormer := p.table.KnowsPrevious(sender, request.GetSender().GetIncarnation())
 	former, known := p.table.View().Node(sender)
 	p.noteContact(sender)
 	p.merge(append(nodesOf(request.GetNodes()...), nodesOf(request.GetSender())...), nil)
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -161,9 +161,9 @@
 func (m *machine) renewWorker() (*worker, error) {
 	m.lives++
 	before := m.worker
-	name := workers.Life{Instance: instanceName(m.id, m.lives), Born: time.Now().UnixMilli()}
+	name := workers.Incarnation{Instance: instanceName(m.id, m.lives), StartedAt: time.Now().UnixMilli()}
 	if before != nil {
-		name.Born = max(name.Born, before.name.Born+1)
+		name.StartedAt = max(name.StartedAt, before.name.StartedAt+1)
 	}
 	next, err := startWorker(name, m.ledger, m)
 	if err != nil {
--- a/internal/lab/soak/worker.go
+++ b/internal/lab/soak/worker.go
@@ -31,7 +31,7 @@
 // worker is one life of a worker.
 type worker struct {
 	// name is that of this life. The next one may have the same instance.
-	name     workers.Life
+	name     workers.Incarnation
 	runTime  time.Duration
 	slowness *slowness
 	ledger   *ledger
@@ -57,7 +57,7 @@
 
 // startWorker starts a life of the worker beside a machine, whose node is asked
 // for at each heartbeat.
-func startWorker(name workers.Life, l *ledger, m *machine) (*worker, error) {
+func startWorker(name workers.Incarnation, l *ledger, m *machine) (*worker, error) {
 	opened, err := m.network.Listen(m.network.AnyPort())
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "worker")
@@ -138,7 +138,7 @@
 		return
 	}
 	err := registrar.Heartbeat(ctx, workers.Heartbeat{
-		Instance: w.name.Instance, Born: w.name.Born, Service: serviceName, Address: w.address, Slots: workerSlots, Sequence: sequence, Draining: draining,
+		Instance: w.name.Instance, StartedAt: w.name.StartedAt, Service: serviceName, Address: w.address, Slots: workerSlots, Sequence: sequence, Draining: draining,
 	})
 	if err == nil && draining && m.currentRegistrar() == registrar {
 		w.ledger.acknowledged(w.name.String(), time.Now())
--- a/internal/sidecar/adapter.go
+++ b/internal/sidecar/adapter.go
@@ -36,7 +36,7 @@
 // worker may be told so.
 type Registrar interface {
 	Heartbeat(ctx context.Context, beat workers.Heartbeat) error
-	Leave(ctx context.Context, life workers.Life) error
+	Leave(ctx context.Context, life workers.Incarnation) error
 	// Reject takes a call that cannot be used: another writer's, or a broken one.
 	Reject(instance string, err error)
 }
--- a/internal/telemetry/hosted.go
+++ b/internal/telemetry/hosted.go
@@ -66,7 +66,7 @@
 func (l *Log) WorkerChanged(worker workers.Worker, cause string) {
 	end(l.begin(eventWorkerChanged).Str("instance", worker.Instance).Str("service", worker.Service).
 		Int("slots", worker.Slots).Str("state", worker.State.String()).Uint64("sequence", worker.Sequence).
-		Int64("born_unix_milliseconds", worker.Born).Str("cause", cause))
+		Int64("born_unix_milliseconds", worker.StartedAt).Str("cause", cause))
 }
 
 // HeartbeatRejected records that a call to the address for workers cannot be used.
--- a/pkg/fleet/example_test.go
+++ b/pkg/fleet/example_test.go
@@ -12,7 +12,7 @@
 		{ID: "b", Incarnation: 2, Sequence: 1, State: fleet.StateLive},
 		{ID: "b", Incarnation: 1, Sequence: 9, State: fleet.StateLeft}, // of a former life
 	})
-	fmt.Println(len(merged.News), "news,", len(table.View().Peers()), "peer")
+	fmt.Println(len(merged.Updates), "news,", len(table.View().Peers()), "peer")
 	// Output: 1 news, 1 peer
 }
 
--- a/pkg/fleet/spread.go
+++ b/pkg/fleet/spread.go
@@ -36,5 +36,5 @@
 	return parts
 }
 
-// Whole returns one part of all the nodes given, which must be one at least.
-func Whole(nodes []*Node, sender string) Part { return Spread(nodes, sender, "", "", 1)[0] }
+// SinglePart returns one part of all the nodes given, which must be one at least.
+func SinglePart(nodes []*Node, sender string) Part { return Spread(nodes, sender, "", "", 1)[0] }
--- a/pkg/fleet/table.go
+++ b/pkg/fleet/table.go
@@ -40,14 +40,14 @@
 
 // Merged tells what a merge did.
 type Merged struct {
-	// News are the records that were taken.
-	News []Node
-	// NewLives are the nodes of which a record of a later life than the one held
+	// Updates are the records that were taken.
+	Updates []Node
+	// NewIncarnations are the nodes of which a record of a later life than the one held
 	// was taken.
-	NewLives []string
-	// FormerSelf is a record of the own node that is newer than the one held, as
+	NewIncarnations []string
+	// PreviousSelf is a record of the own node that is newer than the one held, as
 	// a former life has left it; it is not taken.
-	FormerSelf *Node
+	PreviousSelf *Node
 }
 
 // Merge takes the records that are newer than those held. The own record is
@@ -66,14 +66,14 @@
 		case n.ID == "" || known && !n.NewerThan(held):
 		case n.ID == t.self:
 			former := n
-			merged.FormerSelf = &former
+			merged.PreviousSelf = &former
 		default:
 			if known && held.Incarnation != n.Incarnation {
 				t.keepPromises(held, n)
-				merged.NewLives = append(merged.NewLives, n.ID)
+				merged.NewIncarnations = append(merged.NewIncarnations, n.ID)
 			}
 			taken[n.ID] = &n
-			merged.News = append(merged.News, n)
+			merged.Updates = append(merged.Updates, n)
 		}
 	}
 	if len(taken) > 0 {
@@ -92,7 +92,7 @@
 	t.outlived[next.ID] = true
 	kept := t.promises[next.ID]
 	for _, worker := range former.Workers {
-		if worker.State.Promised() {
+		if worker.State.DrainCommitted() {
 			kept = append(kept, worker)
 		}
 	}
@@ -104,24 +104,24 @@
 	}
 }
 
-// Promised returns the workers that a node, in this life or a former one, has
+// DrainCommitted returns the workers that a node, in this life or a former one, has
 // promised to give no more work.
-func (t *Table) Promised(id string) []workers.Worker {
+func (t *Table) DrainCommitted(id string) []workers.Worker {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	promised := slices.Clone(t.promises[id])
 	held, _ := t.held(id)
 	for _, worker := range held.Workers {
-		if worker.State.Promised() {
+		if worker.State.DrainCommitted() {
 			promised = append(promised, worker)
 		}
 	}
 	return promised
 }
 
-// KnowsFormer reports whether a record of a life of the node before the given
+// KnowsPrevious reports whether a record of a life of the node before the given
 // incarnation is held, or was.
-func (t *Table) KnowsFormer(id string, incarnation uint64) bool {
+func (t *Table) KnowsPrevious(id string, incarnation uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held, known := t.held(id)
@@ -141,8 +141,8 @@
 	return own
 }
 
-// Outlive gives the own record a higher incarnation than a former life had.
-func (t *Table) Outlive(former Node) {
+// SupersedePrevious gives the own record a higher incarnation than a former life had.
+func (t *Table) SupersedePrevious(former Node) {
 	t.Update(func(own *Node) {
 		if own.Incarnation <= former.Incarnation {
 			own.Incarnation = former.Incarnation + 1
--- a/pkg/fleet/table_test.go
+++ b/pkg/fleet/table_test.go
@@ -19,8 +19,8 @@
 	table := NewTable(node("self", 5, 1))
 	table.Merge([]Node{node("a", 2, 2)})
 	merged := table.Merge([]Node{node("a", 1, 9), node("a", 2, 2), node("b", 1, 1)})
-	if len(merged.News) != 1 || merged.News[0].ID != "b" {
-		t.Fatalf("news %v", merged.News)
+	if len(merged.Updates) != 1 || merged.Updates[0].ID != "b" {
+		t.Fatalf("news %v", merged.Updates)
 	}
 	if held, _ := table.View().Node("a"); held.Incarnation != 2 {
 		t.Fatalf("held %v", held)
@@ -32,7 +32,7 @@
 	former := node("self", 7, 3)
 	former.Workers = []workers.Worker{{Instance: "i", State: workers.StateDraining}}
 	merged := table.Merge([]Node{former})
-	if merged.FormerSelf == nil || merged.FormerSelf.Workers[0].Instance != "i" {
+	if merged.PreviousSelf == nil || merged.PreviousSelf.Workers[0].Instance != "i" {
 		t.Fatalf("merged %+v", merged)
 	}
 	if table.View().Self().Incarnation != 5 {
@@ -110,7 +110,7 @@
 	}
 	heads := map[string]int{}
 	for i := range 400 {
-		heads[Whole(peers, fmt.Sprintf("sender %d", i)).Candidates[0].ID]++
+		heads[SinglePart(peers, fmt.Sprintf("sender %d", i)).Candidates[0].ID]++
 	}
 	for id, times := range heads {
 		if times > 20 {
@@ -177,14 +177,14 @@
 		{Instance: "draining", State: workers.StateDraining},
 		{Instance: "ready", State: workers.StateReady},
 	}
-	if table.Merge([]Node{former}); table.KnowsFormer("a", 2) || !table.KnowsFormer("a", 3) {
+	if table.Merge([]Node{former}); table.KnowsPrevious("a", 2) || !table.KnowsPrevious("a", 3) {
 		t.Fatal("the first life is no former one of itself")
 	}
 	table.Merge([]Node{node("a", 3, 1)})
-	if !table.KnowsFormer("a", 3) || table.KnowsFormer("b", 1) {
+	if !table.KnowsPrevious("a", 3) || table.KnowsPrevious("b", 1) {
 		t.Fatal("the former life is forgotten, or one of a node that was never heard of is known")
 	}
-	promised := table.Promised("a")
+	promised := table.DrainCommitted("a")
 	if len(promised) != 1 || promised[0].Instance != "draining" {
 		t.Fatalf("promised %v", promised)
 	}
@@ -193,7 +193,7 @@
 func TestRestartedNodeOutlivesItsFormerRecord(t *testing.T) {
 	table := NewTable(node("self", 5, 1))
 	former := node("self", 9, 4)
-	table.Outlive(former)
+	table.SupersedePrevious(former)
 	if own := table.View().Self(); !own.NewerThan(former) {
 		t.Fatalf("own record %+v", own)
 	}
--- a/pkg/rollout/coordinator.go
+++ b/pkg/rollout/coordinator.go
@@ -4,16 +4,16 @@
 
 // Defaults of CoordinatorOptions.
 const (
-	DefaultSilentBound = 2 * time.Second
+	DefaultUnresponsiveBound = 2 * time.Second
 	// maximumAgeFactor times the silent bound is the default of MaximumAge.
 	maximumAgeFactor = 5
 )
 
 // CoordinatorOptions shapes a Coordinator.
 type CoordinatorOptions struct {
-	// SilentBound is how long nodes that say nothing hold up a proposal that at
+	// UnresponsiveBound is how long nodes that say nothing hold up a proposal that at
 	// least half of the live members have staged. Zero means DefaultSilentBound.
-	SilentBound time.Duration
+	UnresponsiveBound time.Duration
 	// MaximumAge is how long a proposal waits for half of the members. Zero
 	// means five times the silent bound.
 	MaximumAge time.Duration
@@ -40,11 +40,11 @@
 
 // NewCoordinator returns a coordinator that knows nothing yet.
 func NewCoordinator(options CoordinatorOptions) *Coordinator {
-	if options.SilentBound <= 0 {
-		options.SilentBound = DefaultSilentBound
+	if options.UnresponsiveBound <= 0 {
+		options.UnresponsiveBound = DefaultUnresponsiveBound
 	}
 	if options.MaximumAge <= 0 {
-		options.MaximumAge = maximumAgeFactor * options.SilentBound
+		options.MaximumAge = maximumAgeFactor * options.UnresponsiveBound
 	}
 	return &Coordinator{options: options}
 }
@@ -94,9 +94,9 @@
 // CommitVersion tells to commit the proposed version, although Silent live
 // members have not staged it.
 type CommitVersion struct {
-	Version Version
-	ApplyID string
-	Silent  uint32
+	Version      Version
+	ApplyID      string
+	Unresponsive uint32
 }
 
 // AbortVersion tells to abort the proposed version.
@@ -140,7 +140,7 @@
 func (c *Coordinator) patience(ready MemberSum) time.Duration {
 	half := c.live.Count > 0 && 2*uint64(ready.Count) >= uint64(c.live.Count)
 	if half {
-		return c.options.SilentBound
+		return c.options.UnresponsiveBound
 	}
 	return c.options.MaximumAge
 }
@@ -155,7 +155,7 @@
 }
 
 func (c *Coordinator) commit(silent uint32) Decision {
-	return CommitVersion{Version: c.head.Proposed, ApplyID: c.head.ApplyID, Silent: silent}
+	return CommitVersion{Version: c.head.Proposed, ApplyID: c.head.ApplyID, Unresponsive: silent}
 }
 
 func (c *Coordinator) abort(now time.Time) Decision {
--- a/pkg/rollout/coordinator_test.go
+++ b/pkg/rollout/coordinator_test.go
@@ -20,7 +20,7 @@
 }
 
 func proposing(live rollout.MemberSum) *rollout.Coordinator {
-	c := rollout.NewCoordinator(rollout.CoordinatorOptions{SilentBound: 2 * time.Second})
+	c := rollout.NewCoordinator(rollout.CoordinatorOptions{UnresponsiveBound: 2 * time.Second})
 	c.ObserveMembers(live, start)
 	c.ObserveHead(proposedHead(11, 3, 4), start)
 	return c
@@ -59,7 +59,7 @@
 			if _, waits := c.Decide(start.Add(test.bound - 1)).(rollout.Wait); !waits {
 				t.Fatal("decided early")
 			}
-			want := rollout.CommitVersion{Version: 4, ApplyID: applyOf(4), Silent: test.silent}
+			want := rollout.CommitVersion{Version: 4, ApplyID: applyOf(4), Unresponsive: test.silent}
 			if got := c.Decide(start.Add(test.bound)); got != want {
 				t.Fatalf("decision %+v", got)
 			}
--- a/pkg/workers/registry.go
+++ b/pkg/workers/registry.go
@@ -21,8 +21,8 @@
 // Heartbeat is what a worker says of itself.
 type Heartbeat struct {
 	Instance, Service, Address string
-	// Born is as in Worker.
-	Born int64
+	// StartedAt is as in Worker.
+	StartedAt int64
 	// Version is that of the worker's software; empty when it does not say.
 	Version  string
 	Slots    int
@@ -60,7 +60,7 @@
 // heartbeats are late; but the clock of a machine may have been set back between two lives,
 // and then it is the later one.
 type rival struct {
-	life     Life
+	life     Incarnation
 	sequence uint64
 	since    time.Time
 }
@@ -69,7 +69,7 @@
 // one that lives: the registered one has said nothing for the given time, and this one has
 // gone on for as long, which late heartbeats, that come together, do not.
 func (r *registration) lives(beat Heartbeat, silence time.Duration, now time.Time) bool {
-	life := Life{Instance: beat.Instance, Born: beat.Born}
+	life := Incarnation{Instance: beat.Instance, StartedAt: beat.StartedAt}
 	if r.rival.life != life || now.Sub(r.heard) <= silence {
 		r.rival = rival{life: life, sequence: beat.Sequence, since: now}
 		return false
@@ -95,16 +95,16 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	held, known := r.workers[beat.Instance]
-	life := Life{Instance: beat.Instance, Born: beat.Born}
+	life := Incarnation{Instance: beat.Instance, StartedAt: beat.StartedAt}
 	switch {
-	case known && held.Born != 0 && beat.Born == 0:
+	case known && held.StartedAt != 0 && beat.StartedAt == 0:
 		return Change{}, ErrInvalid.New("born is missing, and was told before")
-	case known && life.Before(held.Life()) && !held.lives(beat, r.silence, now):
+	case known && life.Before(held.Incarnation()) && !held.lives(beat, r.silence, now):
 		return Change{Worker: held.Worker}, nil
-	case known && life != held.Life() && held.Born != 0:
+	case known && life != held.Incarnation() && held.StartedAt != 0:
 		delete(r.workers, beat.Instance)
 		known = false
-	case known && (beat.Sequence <= held.Sequence || held.State.Promised() && !beat.Draining):
+	case known && (beat.Sequence <= held.Sequence || held.State.DrainCommitted() && !beat.Draining):
 		return Change{Worker: held.Worker}, nil
 	}
 	if !known {
@@ -115,7 +115,7 @@
 	before := held.Worker
 	held.heard = now
 	held.Worker = Worker{
-		Instance: beat.Instance, Born: beat.Born, Service: beat.Service, Address: beat.Address, Version: beat.Version,
+		Instance: beat.Instance, StartedAt: beat.StartedAt, Service: beat.Service, Address: beat.Address, Version: beat.Version,
 		Slots: beat.Slots, State: StateReady, Sequence: beat.Sequence, Busy: before.Busy,
 	}
 	if beat.ColdRemaining > 0 {
@@ -130,7 +130,7 @@
 	if held.State == StateReady {
 		r.silenceOthers(held)
 	}
-	changed := before.State != held.State || before.Born != held.Born || before.Service != held.Service || before.Slots != held.Slots || before.Address != held.Address || before.Version != held.Version
+	changed := before.State != held.State || before.StartedAt != held.StartedAt || before.Service != held.Service || before.Slots != held.Slots || before.Address != held.Address || before.Version != held.Version
 	return Change{Worker: held.Worker, Changed: changed}, nil
 }
 
@@ -142,15 +142,15 @@
 func (r *Registry) silenceOthers(heard *registration) {
 	for _, other := range r.workers {
 		if other != heard && other.State == StateReady && other.Address == heard.Address {
-			other.State = StateSilent
+			other.State = StateUnresponsive
 		}
 	}
 }
 
-// Introduce takes what a worker has told when it was asked. It changes nothing once
+// RegisterProbed takes what a worker has told when it was asked. It changes nothing once
 // a worker is registered, or was promised to be left alone: heartbeats and promises
 // tell more.
-func (r *Registry) Introduce(beat Heartbeat, now time.Time) (Change, error) {
+func (r *Registry) RegisterProbed(beat Heartbeat, now time.Time) (Change, error) {
 	if err := check(beat); err != nil {
 		return Change{}, err
 	}
@@ -187,13 +187,13 @@
 
 // Leave takes a worker's sign-off, of the life that is known if it tells none. A worker
 // that was never heard of is remembered too, so that a late heartbeat does not bring it in.
-func (r *Registry) Leave(life Life, now time.Time) (Change, error) {
+func (r *Registry) Leave(life Incarnation, now time.Time) (Change, error) {
 	if life.Instance == "" || len(life.Instance) > maximumNameLength {
 		return Change{}, ErrInvalid.New("instance must have 1 to %d bytes", maximumNameLength)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.promise(Worker{Instance: life.Instance, Born: life.Born, State: StateGone}, now), nil
+	return r.promise(Worker{Instance: life.Instance, StartedAt: life.StartedAt, State: StateGone}, now), nil
 }
 
 // Learn takes the promises that a former life of the node has given. It returns
@@ -203,7 +203,7 @@
 	defer r.mutex.Unlock()
 	var changed []Worker
 	for _, worker := range former {
-		if !worker.State.Promised() {
+		if !worker.State.DrainCommitted() {
 			continue
 		}
 		if change := r.promise(worker, now); change.Changed {
@@ -218,9 +218,9 @@
 func (r *Registry) promise(worker Worker, now time.Time) Change {
 	held, known := r.workers[worker.Instance]
 	switch {
-	case known && worker.Life().Before(held.Life()):
+	case known && worker.Incarnation().Before(held.Incarnation()):
 		return Change{Worker: held.Worker}
-	case known && held.Life().Before(worker.Life()):
+	case known && held.Incarnation().Before(worker.Incarnation()):
 		delete(r.workers, worker.Instance)
 		known = false
 	}
@@ -231,7 +231,7 @@
 	}
 	held.heard = now
 	held.Sequence = max(held.Sequence, worker.Sequence)
-	held.Born = max(held.Born, worker.Born)
+	held.StartedAt = max(held.StartedAt, worker.StartedAt)
 	if held.State == StateGone || held.State == worker.State {
 		return Change{Worker: held.Worker}
 	}
@@ -252,7 +252,7 @@
 			delete(r.workers, instance)
 			changed = append(changed, held.Worker)
 		case held.State == StateReady && quiet > r.silence:
-			held.State = StateSilent
+			held.State = StateUnresponsive
 			changed = append(changed, held.Worker)
 		}
 	}
--- a/pkg/workers/registry_test.go
+++ b/pkg/workers/registry_test.go
@@ -39,7 +39,7 @@
 
 func TestSignOffOfAnUnknownWorkerBinds(t *testing.T) {
 	r := NewRegistry(time.Minute)
-	if _, err := r.Leave(Life{Instance: "i1"}, start); err != nil {
+	if _, err := r.Leave(Incarnation{Instance: "i1"}, start); err != nil {
 		t.Fatal(err)
 	}
 	mustBeat(t, r, beat("i1", 9, false), start)
@@ -51,7 +51,7 @@
 // bornBeat is a heartbeat of a life that tells when it began.
 func bornBeat(instance string, born int64, sequence uint64, draining bool) Heartbeat {
 	b := beat(instance, sequence, draining)
-	b.Born = born
+	b.StartedAt = born
 	return b
 }
 
@@ -60,9 +60,9 @@
 func TestWorkerStartsAgainUnderItsInstance(t *testing.T) {
 	for name, end := range map[string]func(r *Registry) error{
 		"drained":    func(r *Registry) error { _, err := r.Heartbeat(bornBeat("i1", 100, 90, true), start); return err },
-		"signed off": func(r *Registry) error { _, err := r.Leave(Life{Instance: "i1"}, start); return err },
+		"signed off": func(r *Registry) error { _, err := r.Leave(Incarnation{Instance: "i1"}, start); return err },
 		"signed off with its birth": func(r *Registry) error {
-			_, err := r.Leave(Life{Instance: "i1", Born: 100}, start)
+			_, err := r.Leave(Incarnation{Instance: "i1", StartedAt: 100}, start)
 			return err
 		},
 		"crashed": func(*Registry) error { return nil },
@@ -74,7 +74,7 @@
 		}
 		change := mustBeat(t, r, bornBeat("i1", 200, 1, false), start)
 		worker, ready := r.Ready("ledger")
-		if !change.Changed || !ready || worker.Born != 200 || worker.Sequence != 1 {
+		if !change.Changed || !ready || worker.StartedAt != 200 || worker.Sequence != 1 {
 			t.Errorf("%s: %+v, ready %t", name, change, ready)
 		}
 	}
@@ -91,16 +91,16 @@
 			t.Errorf("%+v changed something", late)
 		}
 	}
-	if change, err := r.Leave(Life{Instance: "i1", Born: 100}, start); err != nil || change.Changed {
+	if change, err := r.Leave(Incarnation{Instance: "i1", StartedAt: 100}, start); err != nil || change.Changed {
 		t.Errorf("a sign-off of the former life: %+v, %v", change, err)
 	}
-	if changed := r.Learn([]Worker{{Instance: "i1", Born: 100, State: StateGone}}, start); len(changed) != 0 {
+	if changed := r.Learn([]Worker{{Instance: "i1", StartedAt: 100, State: StateGone}}, start); len(changed) != 0 {
 		t.Errorf("a promise of the former life changed %+v", changed)
 	}
 	if _, err := r.Heartbeat(beat("i1", 7, true), start); !errorx.IsOfType(err, ErrInvalid) {
 		t.Errorf("a heartbeat without a birth: %v", err)
 	}
-	if worker, ready := r.Ready("ledger"); !ready || worker.Born != 200 || worker.Sequence != 1 {
+	if worker, ready := r.Ready("ledger"); !ready || worker.StartedAt != 200 || worker.Sequence != 1 {
 		t.Errorf("%+v, ready %t", worker, ready)
 	}
 }
@@ -116,7 +116,7 @@
 		mustBeat(t, r, bornBeat("i1", 100, uint64(n+1), false), now)
 		r.Expire(now)
 	}
-	if worker, ready := r.Ready("ledger"); !ready || worker.Born != 100 || worker.Sequence != 20 {
+	if worker, ready := r.Ready("ledger"); !ready || worker.StartedAt != 100 || worker.Sequence != 20 {
 		t.Errorf("%+v, ready %t", worker, ready)
 	}
 }
@@ -130,7 +130,7 @@
 	for n := range 8 {
 		mustBeat(t, r, bornBeat("i1", 100, uint64(40+n), false), start.Add(time.Minute+time.Duration(n)*100*time.Millisecond))
 	}
-	if worker, _ := r.Ready("ledger"); worker.Born == 100 {
+	if worker, _ := r.Ready("ledger"); worker.StartedAt == 100 {
 		t.Errorf("%+v", worker)
 	}
 }
@@ -140,7 +140,7 @@
 func TestLivesHaveNamesOfTheirOwn(t *testing.T) {
 	names := map[string]bool{}
 	for born := range int64(4) {
-		names[Life{Instance: "i1", Born: born}.String()] = true
+		names[Incarnation{Instance: "i1", StartedAt: born}.String()] = true
 	}
 	if len(names) != 4 {
 		t.Errorf("%v", names)
@@ -150,14 +150,14 @@
 // TestBirthThatBecomesKnownIsNoNewLife introduces a worker that tells its birth later.
 func TestBirthThatBecomesKnownIsNoNewLife(t *testing.T) {
 	r := NewRegistry(time.Minute)
-	if _, err := r.Introduce(beat("i1", 0, false), start); err != nil {
+	if _, err := r.RegisterProbed(beat("i1", 0, false), start); err != nil {
 		t.Fatal(err)
 	}
 	change := mustBeat(t, r, bornBeat("i1", 100, 7, false), start)
-	if !change.Changed || change.Worker.Born != 100 || len(r.Workers()) != 1 {
+	if !change.Changed || change.Worker.StartedAt != 100 || len(r.Workers()) != 1 {
 		t.Errorf("%+v", change)
 	}
-	if _, err := r.Leave(Life{Instance: "i1", Born: 100}, start); err != nil {
+	if _, err := r.Leave(Incarnation{Instance: "i1", StartedAt: 100}, start); err != nil {
 		t.Fatal(err)
 	}
 	if _, ready := r.Ready(""); ready {
@@ -181,7 +181,7 @@
 func TestSilentWorkerComesBackWithItsNextHeartbeat(t *testing.T) {
 	r := NewRegistry(5 * time.Second)
 	mustBeat(t, r, beat("i1", 1, false), start)
-	if changed := r.Expire(start.Add(6 * time.Second)); len(changed) != 1 || changed[0].State != StateSilent {
+	if changed := r.Expire(start.Add(6 * time.Second)); len(changed) != 1 || changed[0].State != StateUnresponsive {
 		t.Fatalf("changed %v", changed)
 	}
 	mustBeat(t, r, beat("i1", 2, false), start.Add(7*time.Second))
@@ -227,11 +227,11 @@
 			case 0:
 				_, _ = r.Heartbeat(beat(instance, sequence, false), now)
 			case 1:
-				if change, _ := r.Heartbeat(beat(instance, sequence, true), now); change.Worker.State.Promised() {
+				if change, _ := r.Heartbeat(beat(instance, sequence, true), now); change.Worker.State.DrainCommitted() {
 					promised[instance] = true
 				}
 			case 2:
-				_, _ = r.Leave(Life{Instance: instance}, now)
+				_, _ = r.Leave(Incarnation{Instance: instance}, now)
 				promised[instance] = true
 			case 3:
 				r.Expire(now)
@@ -247,7 +247,7 @@
 	now := time.Now()
 	r := NewRegistry(time.Minute)
 	asked := Heartbeat{Instance: "w1", Service: "ledger", Address: "10.0.0.1:80", Slots: 4}
-	change, err := r.Introduce(asked, now)
+	change, err := r.RegisterProbed(asked, now)
 	if err != nil || !change.Changed || change.Worker.State != StateReady {
 		t.Fatalf("%+v, %v", change, err)
 	}
@@ -256,7 +256,7 @@
 	if change, err = r.Heartbeat(beat, now); err != nil || !change.Changed || change.Worker.State != StateDraining {
 		t.Fatalf("%+v, %v", change, err)
 	}
-	if change, err = r.Introduce(asked, now); err != nil || change.Changed {
+	if change, err = r.RegisterProbed(asked, now); err != nil || change.Changed {
 		t.Fatalf("an answer undoes a promise: %+v, %v", change, err)
 	}
 	other := asked
@@ -266,10 +266,10 @@
 	}
 	late := asked
 	late.Instance = "w3"
-	if change, err = r.Introduce(late, now); err != nil || change.Changed {
+	if change, err = r.RegisterProbed(late, now); err != nil || change.Changed {
 		t.Fatalf("an answer goes before a heartbeat: %+v, %v", change, err)
 	}
-	if _, err = r.Introduce(Heartbeat{Instance: "w4"}, now); err == nil {
+	if _, err = r.RegisterProbed(Heartbeat{Instance: "w4"}, now); err == nil {
 		t.Fatal("a worker without an address was taken")
 	}
 }
--- a/pkg/workers/worker.go
+++ b/pkg/workers/worker.go
@@ -12,12 +12,12 @@
 	StateDraining
 	// StateGone: the worker has signed off. Final.
 	StateGone
-	// StateSilent: no heartbeat came for long; the next one ends it.
-	StateSilent
+	// StateUnresponsive: no heartbeat came for long; the next one ends it.
+	StateUnresponsive
 )
 
-// Promised reports whether the state is a promise to send no new work.
-func (s State) Promised() bool { return s == StateDraining || s == StateGone }
+// DrainCommitted reports whether the state is a promise to send no new work.
+func (s State) DrainCommitted() bool { return s == StateDraining || s == StateGone }
 
 // String names the state in logs.
 func (s State) String() string {
@@ -28,7 +28,7 @@
 		return "draining"
 	case StateGone:
 		return "gone"
-	case StateSilent:
+	case StateUnresponsive:
 		return "silent"
 	default:
 		return "unknown"
@@ -39,11 +39,11 @@
 type Worker struct {
 	// Instance names the worker; a restarted one may have another, or the same.
 	Instance string
-	// Born is when this life of the instance began, in milliseconds of the Unix time by the
+	// StartedAt is when this life of the instance began, in milliseconds of the Unix time by the
 	// worker's clock; zero when it does not say.
-	Born    int64
-	Service string
-	Address string
+	StartedAt int64
+	Service   string
+	Address   string
 	// Version is that of the worker's software; empty when it does not say.
 	Version string
 	// Slots is how many requests the worker runs at once.
@@ -58,5 +58,7 @@
 	Busy int
 }
 
-// Life returns the name of the worker's life.
-func (w Worker) Life() Life { return Life{Instance: w.Instance, Born: w.Born} }
+// Incarnation returns the name of the worker's life.
+func (w Worker) Incarnation() Incarnation {
+	return Incarnation{Instance: w.Instance, StartedAt: w.StartedAt}
+}
