--- a/pkg/workers/incarnation.go
+++ b/pkg/workers/incarnation.go
@@ -2,30 +2,31 @@
 
 import "strconv"
 
-// Incarnation names one life of a worker: a worker may start again under the instance that it had,
-// and then knows nothing of before.
+// Incarnation identifies one run of a worker process. A worker may restart under the same
+// instance name, and then has no state from its previous run.
 type Incarnation struct {
 	Instance string
-	// StartedAt is when the life began, in milliseconds of the Unix time by the worker's clock;
+	// StartedAt is the start time of the process, in Unix milliseconds by the worker's clock;
 	// zero when it is not known.
 	StartedAt int64
 }
 
-// Same reports whether two names may be of the same life, as far as both tell.
-func (l Incarnation) Same(other Incarnation) bool {
-	return l.Instance == other.Instance && (l.StartedAt == 0 || other.StartedAt == 0 || l.StartedAt == other.StartedAt)
+// Same reports whether both may be the same incarnation. An unknown start time
+// matches any.
+func (i Incarnation) Same(other Incarnation) bool {
+	return i.Instance == other.Instance && (i.StartedAt == 0 || other.StartedAt == 0 || i.StartedAt == other.StartedAt)
 }
 
-// Before reports whether the life is known to have ended when another one of the same
-// instance began.
-func (l Incarnation) Before(other Incarnation) bool {
-	return l.Instance == other.Instance && l.StartedAt != 0 && l.StartedAt < other.StartedAt
+// Before reports whether the incarnation is known to precede the other one of the
+// same instance, and so to have ended when that one started.
+func (i Incarnation) Before(other Incarnation) bool {
+	return i.Instance == other.Instance && i.StartedAt != 0 && i.StartedAt < other.StartedAt
 }
 
-// String returns a name that no other life has.
-func (l Incarnation) String() string {
-	if l.StartedAt == 0 {
-		return l.Instance
+// String returns a name that is unique to the incarnation.
+func (i Incarnation) String() string {
+	if i.StartedAt == 0 {
+		return i.Instance
 	}
-	return l.Instance + "@" + strconv.FormatInt(l.StartedAt, 10)
+	return i.Instance + "@" + strconv.FormatInt(i.StartedAt, 10)
 }
--- a/pkg/workers/registry.go
+++ b/pkg/workers/registry.go
@@ -9,154 +9,155 @@
 
 // Bounds of the registry.
 const (
-	// maximumNameLength bounds identifiers, services and addresses, in bytes.
-	maximumNameLength = 200
-	maximumSlots      = 1 << 16
-	// promiseLife is how long a promise is remembered; heartbeats are no later.
-	promiseLife = 2 * time.Minute
-	// maximumWorkers bounds how many registrations are kept.
+	// maximumNameBytes bounds identifiers, services, addresses and versions.
+	maximumNameBytes = 200
+	maximumSlots     = 1 << 16
+	// commitmentRetention is how long a drain commitment is kept. No heartbeat is delayed longer.
+	commitmentRetention = 2 * time.Minute
+	// maximumWorkers bounds the number of registrations.
 	maximumWorkers = 64
 )
 
-// Heartbeat is what a worker says of itself.
+// Heartbeat is what a worker reports about itself.
 type Heartbeat struct {
 	Instance, Service, Address string
 	// StartedAt is as in Worker.
 	StartedAt int64
-	// Version is that of the worker's software; empty when it does not say.
+	// Version is the version of the worker's software; empty when the worker does not report it.
 	Version  string
 	Slots    int
 	Draining bool
 	Sequence uint64
-	// ColdRemaining is how much longer the worker is slow from its start.
+	// ColdRemaining is the time left of the worker's slow start.
 	ColdRemaining time.Duration
 	// Busy is as in Worker.
 	Busy int
 }
 
-// Change tells what a call did to a registration.
+// Change describes the effect of a call on a registration.
 type Change struct {
 	Worker Worker
-	// Changed is set when others must be told.
+	// Changed is set when other nodes must be notified.
 	Changed bool
 }
 
 // Registry holds the workers beside one node. It is safe for concurrent use.
 type Registry struct {
-	silence time.Duration
-	mutex   sync.Mutex
-	workers map[string]*registration
+	heartbeatTimeout time.Duration
+	mutex            sync.Mutex
+	workers          map[string]*registration
 }
 
 type registration struct {
 	Worker
-	heard time.Time
-	first time.Time
-	// rival is an earlier life by its birth that goes on saying something.
-	rival rival
+	lastHeard    time.Time
+	registeredAt time.Time
+	// earlier is an incarnation with an earlier start time that still sends heartbeats.
+	earlier earlierIncarnation
 }
 
-// rival is a life of an instance that was born before the one that is registered. Mostly its
-// heartbeats are late; but the clock of a machine may have been set back between two lives,
-// and then it is the later one.
-type rival struct {
-	life     Incarnation
-	sequence uint64
-	since    time.Time
+// earlierIncarnation is an incarnation with an earlier start time than the registered one.
+// Usually its heartbeats are delayed ones of a previous incarnation. But if the machine's
+// clock was set back between two incarnations, it is the newer one.
+type earlierIncarnation struct {
+	incarnation Incarnation
+	sequence    uint64
+	since       time.Time
 }
 
-// lives takes a heartbeat of an earlier life by its birth. It reports whether that life is the
-// one that lives: the registered one has said nothing for the given time, and this one has
-// gone on for as long, which late heartbeats, that come together, do not.
-func (r *registration) lives(beat Heartbeat, silence time.Duration, now time.Time) bool {
-	life := Incarnation{Instance: beat.Instance, StartedAt: beat.StartedAt}
-	if r.rival.life != life || now.Sub(r.heard) <= silence {
-		r.rival = rival{life: life, sequence: beat.Sequence, since: now}
+// earlierIsRunning records a heartbeat of an incarnation with an earlier start time. It reports
+// whether that incarnation is the running one: the registered one has sent nothing for the
+// heartbeat timeout, and this one has sent heartbeats for longer than the timeout. Delayed
+// heartbeats arrive together and do not last that long.
+func (r *registration) earlierIsRunning(heartbeat Heartbeat, heartbeatTimeout time.Duration, now time.Time) bool {
+	incarnation := Incarnation{Instance: heartbeat.Instance, StartedAt: heartbeat.StartedAt}
+	if r.earlier.incarnation != incarnation || now.Sub(r.lastHeard) <= heartbeatTimeout {
+		r.earlier = earlierIncarnation{incarnation: incarnation, sequence: heartbeat.Sequence, since: now}
 		return false
 	}
-	newer := beat.Sequence > r.rival.sequence
-	r.rival.sequence = max(r.rival.sequence, beat.Sequence)
-	return newer && now.Sub(r.rival.since) > silence
+	newer := heartbeat.Sequence > r.earlier.sequence
+	r.earlier.sequence = max(r.earlier.sequence, heartbeat.Sequence)
+	return newer && now.Sub(r.earlier.since) > heartbeatTimeout
 }
 
-// NewRegistry returns an empty registry. A worker that is not heard from for the
-// given time is silent.
-func NewRegistry(silence time.Duration) *Registry {
-	return &Registry{silence: silence, workers: map[string]*registration{}}
+// NewRegistry returns an empty registry. A worker that sends no heartbeat for the
+// given time is unresponsive.
+func NewRegistry(heartbeatTimeout time.Duration) *Registry {
+	return &Registry{heartbeatTimeout: heartbeatTimeout, workers: map[string]*registration{}}
 }
 
-// Heartbeat takes a heartbeat. One that is not newer than what is known changes
-// nothing and is no error, since the worker did nothing wrong. A later life of the instance
-// begins anew: drain, sign-off and sequence of the former one are not its own.
-func (r *Registry) Heartbeat(beat Heartbeat, now time.Time) (Change, error) {
-	if err := check(beat); err != nil {
+// Heartbeat records a heartbeat. One that is not newer than the registration changes
+// nothing and is no error, since the worker did nothing wrong. A later incarnation of the
+// instance starts afresh: the drain, sign-off and sequence of the previous one do not apply to it.
+func (r *Registry) Heartbeat(heartbeat Heartbeat, now time.Time) (Change, error) {
+	if err := validate(heartbeat); err != nil {
 		return Change{}, err
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held, known := r.workers[beat.Instance]
-	life := Incarnation{Instance: beat.Instance, StartedAt: beat.StartedAt}
+	held, known := r.workers[heartbeat.Instance]
+	incarnation := Incarnation{Instance: heartbeat.Instance, StartedAt: heartbeat.StartedAt}
 	switch {
-	case known && held.StartedAt != 0 && beat.StartedAt == 0:
-		return Change{}, ErrInvalid.New("born is missing, and was told before")
-	case known && life.Before(held.Incarnation()) && !held.lives(beat, r.silence, now):
+	case known && held.StartedAt != 0 && heartbeat.StartedAt == 0:
+		return Change{}, ErrInvalid.New("born is missing, but is known of this instance")
+	case known && incarnation.Before(held.Incarnation()) && !held.earlierIsRunning(heartbeat, r.heartbeatTimeout, now):
 		return Change{Worker: held.Worker}, nil
-	case known && life != held.Incarnation() && held.StartedAt != 0:
-		delete(r.workers, beat.Instance)
+	case known && incarnation != held.Incarnation() && held.StartedAt != 0:
+		delete(r.workers, heartbeat.Instance)
 		known = false
-	case known && (beat.Sequence <= held.Sequence || held.State.DrainCommitted() && !beat.Draining):
+	case known && (heartbeat.Sequence <= held.Sequence || held.State.DrainCommitted() && !heartbeat.Draining):
 		return Change{Worker: held.Worker}, nil
 	}
 	if !known {
-		held = &registration{first: now}
-		r.makeRoom()
-		r.workers[beat.Instance] = held
+		held = &registration{registeredAt: now}
+		r.evictOldest()
+		r.workers[heartbeat.Instance] = held
 	}
 	before := held.Worker
-	held.heard = now
+	held.lastHeard = now
 	held.Worker = Worker{
-		Instance: beat.Instance, StartedAt: beat.StartedAt, Service: beat.Service, Address: beat.Address, Version: beat.Version,
-		Slots: beat.Slots, State: StateReady, Sequence: beat.Sequence, Busy: before.Busy,
+		Instance: heartbeat.Instance, StartedAt: heartbeat.StartedAt, Service: heartbeat.Service, Address: heartbeat.Address, Version: heartbeat.Version,
+		Slots: heartbeat.Slots, State: StateReady, Sequence: heartbeat.Sequence, Busy: before.Busy,
 	}
-	if beat.ColdRemaining > 0 {
-		held.WarmUntil = now.Add(beat.ColdRemaining)
+	if heartbeat.ColdRemaining > 0 {
+		held.WarmUntil = now.Add(heartbeat.ColdRemaining)
 	}
-	if beat.Draining {
+	if heartbeat.Draining {
 		held.State = StateDraining
 	}
 	if before.State == StateGone {
 		held.State = StateGone
 	}
 	if held.State == StateReady {
-		r.silenceOthers(held)
+		r.markOthersUnresponsive(held)
 	}
 	changed := before.State != held.State || before.StartedAt != held.StartedAt || before.Service != held.Service || before.Slots != held.Slots || before.Address != held.Address || before.Version != held.Version
 	return Change{Worker: held.Worker, Changed: changed}, nil
 }
 
-// silenceOthers marks the other ready workers at the address of one that was just heard
-// from as silent: an address has one process, and the others are former lives that have
-// crashed. Other nodes would go on sending them work until they are silent by themselves.
-// A late heartbeat of a former life is put right by the next one of the living. The mutex
-// is held.
-func (r *Registry) silenceOthers(heard *registration) {
+// markOthersUnresponsive marks the other ready workers at the address of the current one as
+// unresponsive: an address has one process, so the others are previous incarnations that have
+// crashed. Other nodes would otherwise send them work until their heartbeats time out.
+// If a late heartbeat of a previous incarnation marks the running worker, that worker's next
+// heartbeat corrects it. The caller holds the mutex.
+func (r *Registry) markOthersUnresponsive(current *registration) {
 	for _, other := range r.workers {
-		if other != heard && other.State == StateReady && other.Address == heard.Address {
+		if other != current && other.State == StateReady && other.Address == current.Address {
 			other.State = StateUnresponsive
 		}
 	}
 }
 
-// RegisterProbed takes what a worker has told when it was asked. It changes nothing once
-// a worker is registered, or was promised to be left alone: heartbeats and promises
-// tell more.
-func (r *Registry) RegisterProbed(beat Heartbeat, now time.Time) (Change, error) {
-	if err := check(beat); err != nil {
+// RegisterProbed registers a worker by its answer to a query of the node. It changes nothing
+// if the worker is known, or if any worker is ready: heartbeats and drain commitments carry
+// more information and take precedence.
+func (r *Registry) RegisterProbed(probed Heartbeat, now time.Time) (Change, error) {
+	if err := validate(probed); err != nil {
 		return Change{}, err
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if _, known := r.workers[beat.Instance]; known {
+	if _, known := r.workers[probed.Instance]; known {
 		return Change{}, nil
 	}
 	for _, held := range r.workers {
@@ -164,58 +165,58 @@
 			return Change{}, nil
 		}
 	}
-	introduced := Worker{Instance: beat.Instance, Service: beat.Service, Address: beat.Address, Slots: beat.Slots, State: StateReady, Busy: beat.Busy}
-	r.makeRoom()
-	r.workers[beat.Instance] = &registration{Worker: introduced, heard: now, first: now}
-	return Change{Worker: introduced, Changed: true}, nil
+	registered := Worker{Instance: probed.Instance, Service: probed.Service, Address: probed.Address, Slots: probed.Slots, State: StateReady, Busy: probed.Busy}
+	r.evictOldest()
+	r.workers[probed.Instance] = &registration{Worker: registered, lastHeard: now, registeredAt: now}
+	return Change{Worker: registered, Changed: true}, nil
 }
 
-func check(beat Heartbeat) error {
-	for name, value := range map[string]string{"instance": beat.Instance, "service": beat.Service, "address": beat.Address} {
-		if value == "" || len(value) > maximumNameLength {
-			return ErrInvalid.New("%s must have 1 to %d bytes", name, maximumNameLength)
+func validate(heartbeat Heartbeat) error {
+	for name, value := range map[string]string{"instance": heartbeat.Instance, "service": heartbeat.Service, "address": heartbeat.Address} {
+		if value == "" || len(value) > maximumNameBytes {
+			return ErrInvalid.New("%s must have 1 to %d bytes", name, maximumNameBytes)
 		}
 	}
-	if len(beat.Version) > maximumNameLength {
-		return ErrInvalid.New("version must have at most %d bytes", maximumNameLength)
+	if len(heartbeat.Version) > maximumNameBytes {
+		return ErrInvalid.New("version must have at most %d bytes", maximumNameBytes)
 	}
-	if beat.Slots < 1 || beat.Slots > maximumSlots {
+	if heartbeat.Slots < 1 || heartbeat.Slots > maximumSlots {
 		return ErrInvalid.New("slots must be from 1 to %d", maximumSlots)
 	}
 	return nil
 }
 
-// Leave takes a worker's sign-off, of the life that is known if it tells none. A worker
-// that was never heard of is remembered too, so that a late heartbeat does not bring it in.
-func (r *Registry) Leave(life Incarnation, now time.Time) (Change, error) {
-	if life.Instance == "" || len(life.Instance) > maximumNameLength {
-		return Change{}, ErrInvalid.New("instance must have 1 to %d bytes", maximumNameLength)
+// Leave records a worker's sign-off; one without a start time is of the registered incarnation.
+// An unknown worker is recorded too, so that a late heartbeat does not register it.
+func (r *Registry) Leave(incarnation Incarnation, now time.Time) (Change, error) {
+	if incarnation.Instance == "" || len(incarnation.Instance) > maximumNameBytes {
+		return Change{}, ErrInvalid.New("instance must have 1 to %d bytes", maximumNameBytes)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.promise(Worker{Instance: life.Instance, StartedAt: life.StartedAt, State: StateGone}, now), nil
+	return r.commitToDrain(Worker{Instance: incarnation.Instance, StartedAt: incarnation.StartedAt, State: StateGone}, now), nil
 }
 
-// Learn takes the promises that a former life of the node has given. It returns
-// the registrations that changed by it.
-func (r *Registry) Learn(former []Worker, now time.Time) []Worker {
+// Learn applies the drain commitments that a previous incarnation of the node has made.
+// It returns the registrations that changed.
+func (r *Registry) Learn(previous []Worker, now time.Time) []Worker {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var changed []Worker
-	for _, worker := range former {
+	for _, worker := range previous {
 		if !worker.State.DrainCommitted() {
 			continue
 		}
-		if change := r.promise(worker, now); change.Changed {
+		if change := r.commitToDrain(worker, now); change.Changed {
 			changed = append(changed, change.Worker)
 		}
 	}
 	return changed
 }
 
-// promise brings a registration to a promised state. A promise of a former life says nothing
-// of the one that is known. The mutex is held.
-func (r *Registry) promise(worker Worker, now time.Time) Change {
+// commitToDrain moves a registration to a state with a drain commitment. A commitment to a
+// previous incarnation does not affect the registered one. The caller holds the mutex.
+func (r *Registry) commitToDrain(worker Worker, now time.Time) Change {
 	held, known := r.workers[worker.Instance]
 	switch {
 	case known && worker.Incarnation().Before(held.Incarnation()):
@@ -225,11 +226,11 @@
 		known = false
 	}
 	if !known {
-		r.makeRoom()
-		r.workers[worker.Instance] = &registration{Worker: worker, heard: now, first: now}
+		r.evictOldest()
+		r.workers[worker.Instance] = &registration{Worker: worker, lastHeard: now, registeredAt: now}
 		return Change{Worker: worker, Changed: true}
 	}
-	held.heard = now
+	held.lastHeard = now
 	held.Sequence = max(held.Sequence, worker.Sequence)
 	held.StartedAt = max(held.StartedAt, worker.StartedAt)
 	if held.State == StateGone || held.State == worker.State {
@@ -239,19 +240,20 @@
 	return Change{Worker: held.Worker, Changed: true}
 }
 
-// Expire marks workers that were not heard from as silent and forgets promises
-// that no late heartbeat can break any more. It returns what changed.
+// Expire marks workers without recent heartbeats as unresponsive and removes registrations
+// so old that no late heartbeat can break their drain commitment any more. It returns the
+// registrations that changed.
 func (r *Registry) Expire(now time.Time) []Worker {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var changed []Worker
 	for instance, held := range r.workers {
-		quiet := now.Sub(held.heard)
+		elapsed := now.Sub(held.lastHeard)
 		switch {
-		case quiet > promiseLife:
+		case elapsed > commitmentRetention:
 			delete(r.workers, instance)
 			changed = append(changed, held.Worker)
-		case held.State == StateReady && quiet > r.silence:
+		case held.State == StateReady && elapsed > r.heartbeatTimeout:
 			held.State = StateUnresponsive
 			changed = append(changed, held.Worker)
 		}
@@ -259,15 +261,15 @@
 	return changed
 }
 
-// makeRoom forgets the registration that was heard from least lately when there
-// are too many. The mutex is held.
-func (r *Registry) makeRoom() {
+// evictOldest removes the least recently heard registration when there are
+// maximumWorkers of them. The caller holds the mutex.
+func (r *Registry) evictOldest() {
 	if len(r.workers) < maximumWorkers {
 		return
 	}
 	oldest := ""
 	for instance, held := range r.workers {
-		if oldest == "" || held.heard.Before(r.workers[oldest].heard) {
+		if oldest == "" || held.lastHeard.Before(r.workers[oldest].lastHeard) {
 			oldest = instance
 		}
 	}
@@ -287,7 +289,7 @@
 }
 
 // Ready returns the worker that takes the requests of a service: of several
-// ready ones the one that came last. An empty service takes any.
+// ready ones the one that registered last. An empty service matches any worker.
 func (r *Registry) Ready(service string) (Worker, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -296,7 +298,7 @@
 		if held.State != StateReady || service != "" && held.Service != service {
 			continue
 		}
-		if best == nil || held.first.After(best.first) {
+		if best == nil || held.registeredAt.After(best.registeredAt) {
 			best = held
 		}
 	}
@@ -313,7 +315,7 @@
 	defer r.mutex.Unlock()
 	var last *registration
 	for _, held := range r.workers {
-		if held.Service != "" && (last == nil || held.first.After(last.first)) {
+		if held.Service != "" && (last == nil || held.registeredAt.After(last.registeredAt)) {
 			last = held
 		}
 	}
--- a/pkg/workers/worker.go
+++ b/pkg/workers/worker.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// State is what may be done with a worker.
+// State says whether a worker may be given work.
 type State uint8
 
 // The states of a worker.
 const (
 	StateReady State = iota + 1
-	// StateDraining: the worker finishes what it has. Final but for StateGone.
+	// StateDraining: the worker finishes the requests it has. Only StateGone can follow.
 	StateDraining
 	// StateGone: the worker has signed off. Final.
 	StateGone
-	// StateUnresponsive: no heartbeat came for long; the next one ends it.
+	// StateUnresponsive: no heartbeat arrived within the time limit; the next one ends the state.
 	StateUnresponsive
 )
 
-// DrainCommitted reports whether the state is a promise to send no new work.
+// DrainCommitted reports whether the state is a commitment to send no new work.
 func (s State) DrainCommitted() bool { return s == StateDraining || s == StateGone }
 
 // String names the state in logs.
@@ -37,28 +37,28 @@
 
 // Worker is one registration.
 type Worker struct {
-	// Instance names the worker; a restarted one may have another, or the same.
+	// Instance names the worker; a restarted worker may keep its name or get a new one.
 	Instance string
-	// StartedAt is when this life of the instance began, in milliseconds of the Unix time by the
-	// worker's clock; zero when it does not say.
+	// StartedAt is when this incarnation started, in Unix milliseconds by the worker's
+	// clock; zero when the worker does not report it.
 	StartedAt int64
 	Service   string
 	Address   string
-	// Version is that of the worker's software; empty when it does not say.
+	// Version is the version of the worker's software; empty when the worker does not report it.
 	Version string
 	// Slots is how many requests the worker runs at once.
 	Slots int
 	State State
-	// Sequence rises with each heartbeat of one life of the instance.
+	// Sequence rises with each heartbeat of one incarnation.
 	Sequence uint64
-	// WarmUntil is when the worker stops being slow from its start.
+	// WarmUntil is when the worker's slow start ends.
 	WarmUntil time.Time
-	// Busy is how many requests the worker had when it was asked who it is, before this
-	// node gave it any.
+	// Busy is how many requests the worker was running when this node queried its
+	// identity, before the node sent it any.
 	Busy int
 }
 
-// Incarnation returns the name of the worker's life.
+// Incarnation returns the identity of the worker's incarnation.
 func (w Worker) Incarnation() Incarnation {
 	return Incarnation{Instance: w.Instance, StartedAt: w.StartedAt}
 }
