--- a/pkg/rollout/action.go
+++ b/pkg/rollout/action.go
@@ -2,20 +2,20 @@
 
 import "github.com/levertide/levertide/pkg/snapshot"
 
-// Action is what a Participant asks its owner to do.
+// Action is something that a Participant requests from its owner.
 type Action interface{ isAction() }
 
-// FetchVersion asks for a version to be fetched and handed to Deliver. The
-// owner calls FetchFailed when it cannot be had.
+// FetchVersion requests that a version be fetched and passed to Deliver. The
+// owner calls FetchFailed when the fetch fails.
 type FetchVersion struct{ Version Version }
 
-// Activate asks for a snapshot to be put in force, whole and at once.
+// Activate requests that a snapshot be put in force, completely and atomically.
 type Activate struct{ Snapshot *snapshot.Snapshot }
 
-// StateChanged tells that State, and what the node reports upward, has changed.
+// StateChanged reports that State changed, and with it the report to the node's parent.
 type StateChanged struct{}
 
-// RaiseAlarm asks for a person's attention.
+// RaiseAlarm requests an operator's attention.
 type RaiseAlarm struct{ Text string }
 
 func (FetchVersion) isAction() {}
--- a/pkg/rollout/coordinator.go
+++ b/pkg/rollout/coordinator.go
@@ -5,40 +5,40 @@
 // Defaults of CoordinatorOptions.
 const (
 	DefaultUnresponsiveBound = 2 * time.Second
-	// maximumAgeFactor times the silent bound is the default of MaximumAge.
+	// maximumAgeFactor times UnresponsiveBound is the default of MaximumAge.
 	maximumAgeFactor = 5
 )
 
 // CoordinatorOptions shapes a Coordinator.
 type CoordinatorOptions struct {
-	// UnresponsiveBound is how long nodes that say nothing hold up a proposal that at
-	// least half of the live members have staged. Zero means DefaultSilentBound.
+	// UnresponsiveBound is how long unresponsive nodes delay a proposal that at
+	// least half of the live members have staged. Zero means DefaultUnresponsiveBound.
 	UnresponsiveBound time.Duration
 	// MaximumAge is how long a proposal waits for half of the members. Zero
-	// means five times the silent bound.
+	// means five times UnresponsiveBound.
 	MaximumAge time.Duration
 }
 
-// Coordinator decides about the proposed version. Two coordinators at once do
-// no harm: what they decide takes effect by compare-and-swap of the head.
+// Coordinator decides whether to commit or abort the proposed version. Two coordinators
+// may safely run at once: decisions take effect by compare-and-swap of the head.
 type Coordinator struct {
 	options CoordinatorOptions
 
 	head      Head
 	headKnown bool
 	highest   watermark
-	// regressed is set while the store shows less than it once did.
+	// regressed is set while the store returns an older state than it once did.
 	regressed bool
-	// since is when the present proposal was first seen.
+	// since is when the current proposal was first seen.
 	since time.Time
 
 	live      MemberSum
 	readiness Readiness
-	// refused remembers the first refusal of the present proposal.
+	// refused is the first refusal of the current proposal.
 	refused *NodeReason
 }
 
-// NewCoordinator returns a coordinator that knows nothing yet.
+// NewCoordinator returns a coordinator that has observed nothing yet.
 func NewCoordinator(options CoordinatorOptions) *Coordinator {
 	if options.UnresponsiveBound <= 0 {
 		options.UnresponsiveBound = DefaultUnresponsiveBound
@@ -49,8 +49,8 @@
 	return &Coordinator{options: options}
 }
 
-// ObserveHead takes in the head as the store has it. While the store shows
-// less than it once did, nothing is decided.
+// ObserveHead records the head as read from the store. While the store returns an
+// older state than it once did, nothing is decided.
 func (c *Coordinator) ObserveHead(head Head, now time.Time) {
 	if _, lower := c.highest.regression(head); c.headKnown && lower {
 		c.regressed = true
@@ -70,36 +70,36 @@
 	}
 }
 
-// ObserveMembers takes in the sum of the live members.
+// ObserveMembers records the sum of the live members.
 func (c *Coordinator) ObserveMembers(live MemberSum, _ time.Time) { c.live = live }
 
-// ObserveReadiness takes in the summary of all nodes that the coordinator
-// hears of, its own included.
+// ObserveReadiness records the summary of all nodes that report to the
+// coordinator, its own included.
 func (c *Coordinator) ObserveReadiness(readiness Readiness, _ time.Time) {
 	c.readiness = readiness
-	about := c.head.Proposed != 0 && readiness.Proposed == c.head.Proposed
-	if about && c.refused == nil && len(readiness.Refused) > 0 {
+	current := c.head.Proposed != 0 && readiness.Proposed == c.head.Proposed
+	if current && c.refused == nil && len(readiness.Refused) > 0 {
 		first := readiness.Refused[0]
 		c.refused = &first
 	}
 }
 
-// Decision is what a coordinator is to do.
+// Decision is the next step of a coordinator.
 type Decision interface{ isDecision() }
 
-// Wait tells that nothing can be decided. Until is when to ask again if
+// Wait means that nothing can be decided yet. Until is when to call Decide again if
 // nothing is observed before; zero means that only an observation can help.
 type Wait struct{ Until time.Time }
 
-// CommitVersion tells to commit the proposed version, although Silent live
-// members have not staged it.
+// CommitVersion means that the proposed version is to be committed, although
+// Unresponsive live members have not staged it.
 type CommitVersion struct {
 	Version      Version
 	ApplyID      string
 	Unresponsive uint32
 }
 
-// AbortVersion tells to abort the proposed version.
+// AbortVersion means that the proposed version is to be aborted.
 type AbortVersion struct {
 	Version   Version
 	Rejection Rejection
@@ -121,14 +121,14 @@
 	if ready == c.live && ready.Count > 0 {
 		return c.commit(0)
 	}
-	deadline := c.since.Add(c.patience(ready))
+	deadline := c.since.Add(c.waitLimit(ready))
 	if now.Before(deadline) {
 		return Wait{Until: deadline}
 	}
-	return c.commit(c.silent(ready))
+	return c.commit(c.unresponsive(ready))
 }
 
-// ready returns the sum of the members that have staged the present proposal.
+// ready returns the sum of the members that have staged the current proposal.
 func (c *Coordinator) ready() MemberSum {
 	if c.readiness.Proposed != c.head.Proposed {
 		return MemberSum{}
@@ -136,8 +136,8 @@
 	return c.readiness.Ready
 }
 
-// patience returns how long silent members hold up the proposal.
-func (c *Coordinator) patience(ready MemberSum) time.Duration {
+// waitLimit returns how long unresponsive members delay the proposal.
+func (c *Coordinator) waitLimit(ready MemberSum) time.Duration {
 	half := c.live.Count > 0 && 2*uint64(ready.Count) >= uint64(c.live.Count)
 	if half {
 		return c.options.UnresponsiveBound
@@ -145,17 +145,17 @@
 	return c.options.MaximumAge
 }
 
-// silent returns how many live members have not staged the proposal. Members
-// counted twice while they move between parents do not make it negative.
-func (c *Coordinator) silent(ready MemberSum) uint32 {
+// unresponsive returns how many live members have not staged the proposal. Members
+// counted twice while they move between parents cannot make it underflow.
+func (c *Coordinator) unresponsive(ready MemberSum) uint32 {
 	if ready.Count >= c.live.Count {
 		return 0
 	}
 	return c.live.Count - ready.Count
 }
 
-func (c *Coordinator) commit(silent uint32) Decision {
-	return CommitVersion{Version: c.head.Proposed, ApplyID: c.head.ApplyID, Unresponsive: silent}
+func (c *Coordinator) commit(unresponsive uint32) Decision {
+	return CommitVersion{Version: c.head.Proposed, ApplyID: c.head.ApplyID, Unresponsive: unresponsive}
 }
 
 func (c *Coordinator) abort(now time.Time) Decision {
--- a/pkg/rollout/coordinator_test.go
+++ b/pkg/rollout/coordinator_test.go
@@ -43,14 +43,14 @@
 	}
 }
 
-func TestSilentMembersHoldUpForABoundedTime(t *testing.T) {
+func TestUnresponsiveMembersDelayForABoundedTime(t *testing.T) {
 	cases := map[string]struct {
-		staged []string
-		bound  time.Duration
-		silent uint32
+		staged       []string
+		bound        time.Duration
+		unresponsive uint32
 	}{
-		"half have staged": {staged: []string{"a"}, bound: 2 * time.Second, silent: 1},
-		"none has staged":  {bound: 10 * time.Second, silent: 2},
+		"half have staged": {staged: []string{"a"}, bound: 2 * time.Second, unresponsive: 1},
+		"none has staged":  {bound: 10 * time.Second, unresponsive: 2},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 			if _, waits := c.Decide(start.Add(test.bound - 1)).(rollout.Wait); !waits {
 				t.Fatal("decided early")
 			}
-			want := rollout.CommitVersion{Version: 4, ApplyID: applyOf(4), Unresponsive: test.silent}
+			want := rollout.CommitVersion{Version: 4, ApplyID: applyOf(4), Unresponsive: test.unresponsive}
 			if got := c.Decide(start.Add(test.bound)); got != want {
 				t.Fatalf("decision %+v", got)
 			}
@@ -71,7 +71,7 @@
 	c := proposing(members("a", "b"))
 	refusal := rollout.NodeReason{Node: "b", Reason: "too large"}
 	c.ObserveReadiness(rollout.Readiness{Proposed: 4, Ready: members("a"), Refused: []rollout.NodeReason{refusal}}, start)
-	// The node that refused dies: its refusal counts all the same.
+	// The refusing node is gone from the next report: its refusal still counts.
 	c.ObserveMembers(members("a"), start)
 	c.ObserveReadiness(staged(4, "a"), start)
 	abort, aborts := c.Decide(start.Add(time.Hour)).(rollout.AbortVersion)
@@ -81,7 +81,7 @@
 	c.ObserveHead(proposedHead(13, 3, 5), start)
 	c.ObserveReadiness(staged(5, "a"), start)
 	if _, commits := c.Decide(start).(rollout.CommitVersion); !commits {
-		t.Fatal("the refusal of an earlier proposal counts still")
+		t.Fatal("the refusal of an earlier proposal still counts")
 	}
 }
 
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestNothingIsDecidedWhileTheStoreWentBack(t *testing.T) {
+func TestNothingIsDecidedWhileTheStoreIsRegressed(t *testing.T) {
 	c := proposing(members("a"))
 	c.ObserveReadiness(staged(4, "a"), start)
 	c.ObserveHead(proposedHead(20, 2, 3), start)
--- a/pkg/rollout/floor.go
+++ b/pkg/rollout/floor.go
@@ -2,47 +2,47 @@
 
 import "fmt"
 
-// FloorAnswer is what one node tells a restarted one about the lowest version
-// that it may run.
+// FloorAnswer is one node's answer to a restarted node about the lowest version
+// that the restarted node may run.
 type FloorAnswer struct {
-	// Confirmed tells that the store was read after the request began.
+	// Confirmed is set if the store was read after the request began.
 	// Committed is then the committed version.
 	Confirmed bool
-	// SameZone tells that the answering node is of the restarted node's zone.
+	// SameZone is set if the answering node is in the restarted node's zone.
 	SameZone bool
-	// Zone names the zone of an answering node of another zone, with its region.
+	// Zone names the zone, with its region, of an answering node in another zone.
 	Zone string
-	// Known tells that the answering node has itself a floor and a head. An
-	// answer without is not counted.
+	// Known is set if the answering node itself has a floor and a head. Other
+	// answers are not counted.
 	Known bool
 	// Committed is the highest version that the answering node, or any node that
-	// has reported to it, runs or knows to be committed, and Staged the highest
-	// that one of them holds or knows to be proposed. The relay of a zone so
-	// answers for its whole zone.
+	// has reported to it, runs or knows to be committed. Staged is the highest
+	// that one of them holds or knows to be proposed. The relay of a zone thereby
+	// answers for its entire zone.
 	Committed Version
 	Staged    Version
-	// ZoneMembers is how many members of the restarted node's zone, itself left
-	// out, the answering node knows, and Zones in how many other zones it knows
-	// members; lost ones are counted in both. A node that has just started
-	// knows few itself, and must not take the first answer for a majority.
+	// ZoneMembers is how many members of the restarted node's zone, excluding that
+	// node, the answering node knows. Zones is in how many other zones it knows
+	// members. Both count lost members. A node that has just started knows few
+	// members itself, and must not take the first answer for a majority.
 	ZoneMembers int
 	Zones       int
 }
 
-// FloorQuorum says whose answers are needed while the store cannot be read.
+// FloorQuorum describes the members whose answers are needed while the store cannot be read.
 type FloorQuorum struct {
 	// ZoneMembers is the number of other members of the node's zone that it
 	// knows itself, lost ones included.
 	ZoneMembers int
-	// OtherZones tells that there are members in other zones, of which at least
+	// OtherZones is set if there are members in other zones, of which at least
 	// one must answer.
 	OtherZones bool
-	// Zones is the number of other zones that members are known in, lost ones
-	// included. Of all zones, the node's own among them, more than half must answer.
+	// Zones is the number of other zones with known members, lost ones included.
+	// More than half of all zones, counting the node's own, must answer.
 	Zones int
 }
 
-// FloorDecision is what the answers amount to.
+// FloorDecision is the result of evaluating the answers.
 type FloorDecision struct {
 	Floor   Version
 	Decided bool
@@ -60,12 +60,12 @@
 	answeredZones     map[string]struct{}
 }
 
-// DecideFloor works out the lowest version that a restarted node may run. An
-// answer confirmed by the store is enough. Without one it takes a majority of
-// the zone and answers from more than half of all zones, both as the largest
-// view among the answers has them, and none of them may know of a version that could
+// DecideFloor computes the lowest version that a restarted node may run. An
+// answer confirmed by the store is enough. Without one it needs a majority of
+// the zone and answers from more than half of all zones, both counted by the
+// largest view among the answers, and none of them may know of a version that could
 // have been committed without their knowledge. A coordinator commits only what
-// half of the members have staged, so that one of those asked knows of it.
+// half of the members have staged, so at least one of the answering nodes knows of it.
 func DecideFloor(quorum FloorQuorum, answers []FloorAnswer) FloorDecision {
 	tally := floorTally{
 		zoneMembers:   quorum.ZoneMembers,
@@ -106,7 +106,7 @@
 	}
 }
 
-// missing says what keeps the answers of other nodes from being enough; empty
+// missing returns why the answers of other nodes are not sufficient; empty
 // when they are.
 func (t *floorTally) missing() string {
 	neededMembers := t.zoneMembers/2 + 1
--- a/pkg/rollout/head.go
+++ b/pkg/rollout/head.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Version numbers one immutable snapshot. Numbers only rise, and a number that
-// was proposed is never given to other content. Zero means "none".
+// Version is the number of one immutable snapshot. Numbers only rise, and a number
+// that was proposed is never reused for other content. Zero means "none".
 type Version = uint64
 
 // Head is the one mutable record of the version store: what is committed, and
@@ -24,7 +24,7 @@
 	HighestUsed Version `json:"highestUsed"`
 	// ApplyID identifies the apply that the last change of this record belongs to.
 	ApplyID string `json:"applyId"`
-	// LastRejected says what was aborted last and why; nil when nothing was.
+	// LastRejected is the last aborted version with its reason; nil when none was aborted.
 	LastRejected *Rejection `json:"lastRejected,omitempty"`
 	// ChangedAt is the writer's wall clock, for people only; nothing is decided by it.
 	ChangedAt time.Time `json:"changedAt"`
@@ -41,7 +41,7 @@
 
 // names reports whether the head proposes or has committed the version that
 // the given apply proposed. A version committed by another apply under the
-// same number is told apart as long as the head still speaks of that apply.
+// same number is distinguished as long as the head still names that apply.
 func (h Head) names(version Version, applyID string) bool {
 	switch version {
 	case h.Proposed:
--- a/pkg/rollout/main_test.go
+++ b/pkg/rollout/main_test.go
@@ -20,7 +20,7 @@
 	os.Exit(m.Run())
 }
 
-// errTooLarge is what the validators of these tests refuse with.
+// errTooLarge is the error with which the validators of these tests refuse a snapshot.
 var errTooLarge = errors.New("too many routes")
 
 func snapshotOf(version uint64) *snapshot.Snapshot {
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -12,21 +12,21 @@
 	Validate func(*snapshot.Snapshot) error
 }
 
-// Participant is the node's side of a rollout. It stages what is proposed,
-// puts in force what is committed, and never goes back.
+// Participant is the node's side of a rollout. It stages the proposed version,
+// puts the committed one in force, and never returns to a lower version.
 type Participant struct {
 	options ParticipantOptions
 
 	head      Head
 	headKnown bool
-	// highest keeps the highest numbers of any head seen, ignored ones included.
+	// highest holds the highest numbers of any head seen, ignored ones included.
 	highest watermark
 
 	floor      Version
 	floorKnown bool
 
 	inForce *snapshot.Snapshot
-	// staged is the whole proposed snapshot, candidate the whole committed one
+	// staged is the complete proposed snapshot, candidate the complete committed one
 	// that waits for the floor to be known. Each is nil when there is none.
 	staged    *snapshot.Snapshot
 	candidate *snapshot.Snapshot
@@ -35,7 +35,7 @@
 
 	// refused is the version that Validate refused last, with its reason.
 	refused refusal
-	// fetching holds the versions asked for and neither delivered nor failed.
+	// fetching holds the versions requested but neither delivered nor failed.
 	fetching map[Version]struct{}
 
 	alarms  []string
@@ -54,9 +54,9 @@
 	return &Participant{options: options, fetching: make(map[Version]struct{})}
 }
 
-// LearnFloor tells the lowest version that the node may run after its start.
-// Until it is called nothing is put in force. A lower floor than one known
-// already changes nothing.
+// LearnFloor sets the lowest version that the node may run after its start.
+// Until it is called nothing is put in force. A floor lower than the one already
+// known changes nothing.
 func (p *Participant) LearnFloor(version Version) []Action {
 	if p.floorKnown && version <= p.floor {
 		return nil
@@ -68,9 +68,9 @@
 	return p.takeActions()
 }
 
-// ObserveHead takes in a head record. One that is older than the newest seen
-// is ignored. One that takes back what was committed raises an alarm and is
-// ignored too. A repeated head asks again for versions whose fetch has failed.
+// ObserveHead processes a head record. One that is older than the newest seen
+// is ignored. One that reverts what was committed raises an alarm and is
+// ignored too. A repeated head requests versions again whose fetch has failed.
 func (p *Participant) ObserveHead(head Head) []Action {
 	if !p.accepts(head) {
 		return p.takeActions()
@@ -112,12 +112,12 @@
 	return false
 }
 
-// Deliver hands over a whole snapshot. One that is neither proposed nor
+// Deliver passes a complete fetched snapshot. One that is neither proposed nor
 // committed is ignored. One that Validate refuses is never run.
 func (p *Participant) Deliver(delivered *snapshot.Snapshot) []Action {
 	version := delivered.Version()
 	delete(p.fetching, version)
-	if !p.wants(version) {
+	if !p.needs(version) {
 		return p.takeActions()
 	}
 	if err := p.validate(delivered); err != nil {
@@ -147,12 +147,12 @@
 	p.changed()
 }
 
-// FetchFailed tells that a version asked for could not be had. It is asked for
-// again at the next ObserveHead, a repeated head included.
+// FetchFailed reports that a requested version could not be fetched. It is requested
+// again at the next ObserveHead, even of a repeated head.
 func (p *Participant) FetchFailed(version Version) { delete(p.fetching, version) }
 
-// wants reports whether the node lacks a version that the head names.
-func (p *Participant) wants(version Version) bool {
+// needs reports whether the node lacks a version that the head names.
+func (p *Participant) needs(version Version) bool {
 	if !p.headKnown || version == 0 || version <= p.inForceVersion() {
 		return false
 	}
@@ -169,7 +169,7 @@
 	}
 }
 
-// dropAborted forgets what the head no longer names.
+// dropAborted discards snapshots, refusals and fetches of versions that the head no longer names.
 func (p *Participant) dropAborted() {
 	if p.staged != nil && !p.stagedStillNamed() {
 		p.staged, p.stagedApplyID = nil, ""
@@ -188,9 +188,9 @@
 }
 
 // stagedStillNamed reports whether the staged snapshot is the one that the head
-// proposes or has committed. The apply identifier tells it from another
-// snapshot under the same number, which a store restored from an older copy
-// can give out.
+// proposes or has committed. The apply identifier distinguishes it from another
+// snapshot with the same number, which a store restored from an older copy
+// can assign.
 func (p *Participant) stagedStillNamed() bool {
 	version := p.staged.Version()
 	return p.head.names(version, p.stagedApplyID)
@@ -200,7 +200,7 @@
 	return p.refused.version != 0 && p.head.names(p.refused.version, p.refused.applyID)
 }
 
-// advance puts in force what may be, and asks for what is missing.
+// advance puts the committed version in force if allowed, and requests missing versions.
 func (p *Participant) advance() {
 	if !p.headKnown {
 		return
@@ -213,7 +213,8 @@
 	p.fetch(p.head.Proposed)
 }
 
-// activate puts the committed snapshot in force if nothing forbids it.
+// activate puts the committed snapshot in force if it is complete, not below the
+// floor and higher than the version in force.
 func (p *Participant) activate() {
 	next := p.candidate
 	if next == nil || !p.floorKnown || next.Version() < p.floor {
@@ -229,17 +230,17 @@
 }
 
 func (p *Participant) fetch(version Version) {
-	if !p.wants(version) {
+	if !p.needs(version) {
 		return
 	}
-	if _, under := p.fetching[version]; under {
+	if _, pending := p.fetching[version]; pending {
 		return
 	}
 	p.fetching[version] = struct{}{}
 	p.actions = append(p.actions, FetchVersion{Version: version})
 }
 
-// changed asks for one StateChanged at the end of the present call.
+// changed adds a StateChanged to the actions of the current call unless it has one.
 func (p *Participant) changed() {
 	for _, action := range p.actions {
 		if _, already := action.(StateChanged); already {
--- a/pkg/rollout/participant_state.go
+++ b/pkg/rollout/participant_state.go
@@ -7,34 +7,34 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// MaxAlarms bounds the alarms that a participant remembers.
+// MaxAlarms bounds the number of alarms that a participant keeps.
 const MaxAlarms = 16
 
-// ParticipantState is what a participant knows and does at one moment.
+// ParticipantState is the state of a participant at one moment.
 type ParticipantState struct {
 	// Head is the newest head accepted; it is zero until HeadKnown.
 	Head      Head
 	HeadKnown bool
-	// Floor is the lowest version that may be run; it means nothing until FloorKnown.
+	// Floor is the lowest version that may be run; it is valid only if FloorKnown is set.
 	Floor      Version
 	FloorKnown bool
-	// InForce is what the node runs and Staged what it holds beside it; each is
+	// InForce is the snapshot that the node runs, Staged the one held beside it; each is
 	// nil when there is none.
 	InForce *snapshot.Snapshot
 	Staged  *snapshot.Snapshot
 	// Refusal says why the node cannot run the proposed or the committed
 	// version; nil when it can.
 	Refusal *NodeReason
-	// RefusedVersion is the version that Refusal speaks of.
+	// RefusedVersion is the version that Refusal is about.
 	RefusedVersion Version
-	// Ready tells that the node may take calls; Reason says why it may not.
+	// Ready is set if the node may take calls; Reason says why it may not.
 	Ready  bool
 	Reason string
-	// Alarms lists what needs a person's attention, each text once.
+	// Alarms lists what needs an operator's attention, each text once.
 	Alarms []string
 }
 
-// State returns what the participant knows and does.
+// State returns the present state of the participant.
 func (p *Participant) State() ParticipantState {
 	state := ParticipantState{
 		Head: p.head, HeadKnown: p.headKnown,
@@ -51,7 +51,7 @@
 	return state
 }
 
-// unreadyReason says why the node may not take calls; empty when it may.
+// unreadyReason returns why the node may not take calls; empty when it may.
 func (p *Participant) unreadyReason() string {
 	switch {
 	case !p.floorKnown:
--- a/pkg/rollout/participant_test.go
+++ b/pkg/rollout/participant_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestStoreThatWentBackRaisesAnAlarm(t *testing.T) {
+func TestRegressedStoreRaisesAnAlarm(t *testing.T) {
 	heads := map[string]rollout.Head{
 		"committed":    committedHead(20, 4),
 		"highest used": {Generation: 20, Committed: 5, HighestUsed: 5, ApplyID: applyOf(5)},
@@ -154,10 +154,10 @@
 	head := proposedHead(11, 3, 4)
 	p.ObserveHead(head)
 	if got := sorted(p.ObserveHead(head)); got.fetched != nil {
-		t.Fatal("asked for twice while it is under way")
+		t.Fatal("requested again while the fetch is pending")
 	}
 	p.FetchFailed(4)
 	if got := sorted(p.ObserveHead(head)); !slices.Equal(got.fetched, []rollout.Version{4}) {
-		t.Fatal("not asked for again")
+		t.Fatal("not requested again after the fetch failed")
 	}
 }
--- a/pkg/rollout/readiness.go
+++ b/pkg/rollout/readiness.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MemberSum is an order-free sum over a set of members: how many there are,
+// MemberSum is an order-independent sum over a set of members: how many there are,
 // and the sum of a hash of each member's identifier and incarnation. Two sets
 // with the same sum are taken to be the same set, so that a relay can add up
 // the sums of its children without listing the members, and a member counted
@@ -48,23 +48,23 @@
 	Reason string
 }
 
-// Readiness sums up a subtree: who has staged the proposed version, who
-// refuses it, who runs the committed one, and some of those who do not yet.
+// Readiness summarizes a subtree: which nodes have staged the proposed version,
+// which refuse it, which run the committed one, and some of those that do not yet.
 type Readiness struct {
-	// Proposed is the version that Ready and Refused speak of; zero when none.
+	// Proposed is the version that Ready and Refused are about; zero when none.
 	Proposed Version
 	Ready    MemberSum
 	// Refused lists refusals, at most MaxListedNodes of them.
 	Refused []NodeReason
-	// Committed is the version that InForce speaks of.
+	// Committed is the version that InForce is about.
 	Committed Version
 	InForce   MemberSum
 	// Lagging lists some of the nodes counted in neither sum they should be in.
 	Lagging []NodeReason
 }
 
-// MergeReadiness sums up two disjoint subtrees. Of two that speak of different
-// versions, the sums of the higher version count.
+// MergeReadiness combines the summaries of two disjoint subtrees. If they are about
+// different versions, only the sums of the higher version count.
 func MergeReadiness(a, b Readiness) Readiness {
 	merged := Readiness{
 		Proposed:  max(a.Proposed, b.Proposed),
--- a/pkg/rollout/watermark.go
+++ b/pkg/rollout/watermark.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// watermark keeps the highest numbers seen in any head.
+// watermark holds the highest numbers seen in any head.
 type watermark struct {
 	generation  uint64
 	committed   Version
@@ -15,8 +15,8 @@
 	w.highestUsed = max(w.highestUsed, head.HighestUsed)
 }
 
-// regression reports whether a head takes back what an earlier one said,
-// and describes how. A store that was restored from an older copy does that.
+// regression reports whether a head has a lower number than an earlier one,
+// and describes which. It happens after a store was restored from an older copy.
 func (w *watermark) regression(head Head) (string, bool) {
 	switch {
 	case head.Committed < w.committed:
