--- a/pkg/fleet/bench_test.go
+++ b/pkg/fleet/bench_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// benchmarkSizes are the nodes of the meshes that the benchmarks look at.
+// benchmarkSizes are the sizes of the benchmarked meshes, in nodes.
 var benchmarkSizes = []int{1000, 4000}
 
 // benchmarkMesh returns a view of a mesh of six zones, in which one of sixteen machines carries
-// ten times as much as the others.
+// ten times the capacity of the others.
 func benchmarkMesh(size int) *View {
 	table := NewTable(Node{ID: "self", Zone: "zone-0", State: StateLive, ReadsStore: true, Capacity: 20})
 	nodes := make([]Node, 0, size)
@@ -27,9 +27,9 @@
 	return table.View()
 }
 
-// BenchmarkReaders chooses the readers, as each node does four times a second: 208 and
-// 759 microseconds with a hash of each identifier for each reader, 44 and 176 with one
-// where the capacities are equal.
+// BenchmarkReaders chooses the readers, as each node does four times a second. A hash of
+// each identifier for each reader took 208 and 759 microseconds for the two sizes; a hash
+// only where the capacities are equal took 44 and 176.
 func BenchmarkReaders(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -42,9 +42,9 @@
 	}
 }
 
-// BenchmarkHubs orders the nodes of a zone, as each node does for each news of its own: 40
-// and 369 microseconds with two hashes for each comparison, 38 and 233 where the
-// capacities are equal only.
+// BenchmarkHubs orders the nodes of a zone, as each node does for each update of its own.
+// Two hashes for each comparison took 40 and 369 microseconds for the two sizes; hashes
+// only where the capacities are equal took 38 and 233.
 func BenchmarkHubs(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/pkg/fleet/contacts.go
+++ b/pkg/fleet/contacts.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Contacts is what one node believes of whether it reaches the others. A node
-// that was never tried counts as reachable. It is safe for concurrent use.
+// Contacts holds which other nodes one node considers reachable. A node that was
+// never contacted counts as reachable. It is safe for concurrent use.
 type Contacts struct {
 	mutex sync.Mutex
 	lost  map[string]lostContact
-	// count is the number of lost nodes: mostly there are none, and calls ask often.
+	// count is the number of lost nodes. It spares the mutex in the usual case of none,
+	// since every call checks reachability.
 	count atomic.Int32
 }
 
@@ -20,28 +21,28 @@
 	failures    int
 }
 
-// Pauses between tries of a node that cannot be reached.
+// Pauses between attempts to contact an unreachable node.
 const (
-	firstContactPause   = 200 * time.Millisecond
-	longestContactPause = 3 * time.Second
+	initialRetryPause = 200 * time.Millisecond
+	maximumRetryPause = 3 * time.Second
 )
 
-// NewContacts returns beliefs of a node that has tried nobody.
+// NewContacts returns contacts in which every node is reachable.
 func NewContacts() *Contacts { return &Contacts{lost: map[string]lostContact{}} }
 
-// Reached notes that a node answered or called. It reports whether the node was
-// taken to be unreachable before.
+// Reached records that a node answered or called. It reports whether the node was
+// considered unreachable before.
 func (c *Contacts) Reached(id string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	_, was := c.lost[id]
+	_, wasLost := c.lost[id]
 	delete(c.lost, id)
 	c.count.Store(int32(len(c.lost)))
-	return was
+	return wasLost
 }
 
-// Failed notes that a node could not be reached. It reports whether it was taken
-// to be reachable before. Jitter from 0 to 1 spreads the next try.
+// Failed records that a node could not be reached. It reports whether the node was
+// considered reachable before. A jitter from 0 to 1 spreads the time of the next attempt.
 func (c *Contacts) Failed(id string, now time.Time, jitter float64) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -50,14 +51,14 @@
 		contact.since = now
 	}
 	contact.failures++
-	pause := min(firstContactPause<<min(contact.failures-1, 8), longestContactPause)
+	pause := min(initialRetryPause<<min(contact.failures-1, 8), maximumRetryPause)
 	contact.next = now.Add(pause/2 + time.Duration(float64(pause)*jitter))
 	c.lost[id] = contact
 	c.count.Store(int32(len(c.lost)))
 	return !known
 }
 
-// Reachable reports whether a node is taken to be reachable.
+// Reachable reports whether a node is considered reachable.
 func (c *Contacts) Reachable(id string) bool {
 	if c.count.Load() == 0 {
 		return true
@@ -68,7 +69,7 @@
 	return !lost
 }
 
-// Due returns the unreachable nodes whose next try has come.
+// Due returns the unreachable nodes whose next attempt is due.
 func (c *Contacts) Due(now time.Time) []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -81,7 +82,7 @@
 	return due
 }
 
-// LostSince returns since when a node is unreachable; false when it is not.
+// LostSince returns when a node became unreachable; false when it is reachable.
 func (c *Contacts) LostSince(id string) (time.Time, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/pkg/fleet/doc.go
+++ b/pkg/fleet/doc.go
@@ -1,13 +1,13 @@
-// Package fleet holds what the nodes of a mesh tell of themselves, for
-// deployments where every node may talk to every other one.
+// Package fleet holds the records that the nodes of a mesh publish about themselves,
+// for deployments where every node may connect to every other one.
 //
 // Each node writes one record, its own. Records of one node are totally ordered
 // by incarnation and sequence, so that tables merge in any order and two nodes
-// that have exchanged all they hold are equal. Nobody writes the record of
-// another node: that a node cannot be reached is a belief of the one who tried,
-// kept in Contacts, and never travels.
+// that have exchanged all their records have equal tables. No node writes the record
+// of another node: that a node cannot be reached is local knowledge of the node that
+// tried; it is held in Contacts and never sent.
 //
-// Spread parts the nodes for a broadcast, and Readers chooses the few that read
+// Spread divides the nodes for a broadcast, and Readers chooses the few that read
 // the store. Both are plain functions of a view; there are no clocks, sockets
 // or goroutines here.
 package fleet
--- a/pkg/fleet/hubs.go
+++ b/pkg/fleet/hubs.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Hubs orders nodes by how well they suit to collect the news of their zone: those
-// that stay before those that leave, the highest capacity first, and then by a hash
+// Hubs orders nodes by their suitability to collect the updates of their zone: live
+// nodes before leaving ones, the highest capacity first, and then by a hash
 // of their identifiers, so that all nodes with the same view agree.
 func Hubs(nodes []*Node) []*Node {
 	ordered := slices.Clone(nodes)
-	slices.SortFunc(ordered, hubsBefore)
+	slices.SortFunc(ordered, compareHubs)
 	return ordered
 }
 
@@ -19,19 +19,19 @@
 	if len(nodes) == 0 {
 		return nil
 	}
-	return slices.MinFunc(nodes, hubsBefore)
+	return slices.MinFunc(nodes, compareHubs)
 }
 
-func hubsBefore(a, b *Node) int {
+func compareHubs(a, b *Node) int {
 	if order := cmp.Compare(a.State, b.State); order != 0 {
 		return order
 	}
-	return readsBefore(a, b)
+	return compareReaders(a, b)
 }
 
-// Partners returns the nodes that one node compares notes with: some of its own
-// zone and some of others, different ones for each node, and the same as long as
-// these nodes stay. Together they connect the mesh, over few connections each.
+// Partners returns the nodes with which one node makes anti-entropy exchanges: some of
+// its own zone and some of other zones. They differ from node to node, and stay the same
+// as long as these nodes stay. Together they connect the mesh, with few connections each.
 func Partners(nodes []*Node, self, zone string, near, far int) []*Node {
 	partners := make([]*Node, 0, near+far)
 	for _, n := range rank(nodes, self) {
--- a/pkg/fleet/node.go
+++ b/pkg/fleet/node.go
@@ -7,49 +7,49 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// State is what a node says of its own stay.
+// State is the stage of its life cycle that a node reports.
 type State uint8
 
 // The states of a node, in the order in which it passes through them.
 const (
 	StateLive State = iota + 1
-	// StateLeaving: the node finishes what it has and takes no calls from others.
+	// StateLeaving: the node finishes its calls and accepts none from other nodes.
 	StateLeaving
-	// StateLeft: the node has ended as planned.
+	// StateLeft: the node has shut down as planned.
 	StateLeft
 )
 
-// Node is the record that one node writes of itself. A record that was handed
-// out is never changed.
+// Node is the record that one node writes about itself. A published record is
+// never changed.
 type Node struct {
 	ID string
-	// Incarnation rises with each life of the process, Sequence with each
-	// change within one.
+	// Incarnation rises with each start of the process, Sequence with each
+	// change within one incarnation.
 	Incarnation, Sequence uint64
 	Region, Zone          string
 	// ControlAddress takes control messages, CallAddress takes calls.
 	ControlAddress, CallAddress string
 	State                       State
-	// ReadsStore tells that the node reaches the store and may read for others.
+	// ReadsStore is set if the node reaches the store and may read it for others.
 	ReadsStore bool
-	// Capacity tells how much the machine can carry, compared with others; zero
-	// when it is not known.
+	// Capacity is the capacity of the machine relative to others; zero when it is
+	// not known.
 	Capacity int
-	// Workers are those that the node vouches for, with those that it has
-	// promised to leave alone.
+	// Workers are the workers that the node confirms, including those to which it has
+	// committed to send no new work.
 	Workers []workers.Worker
-	// Rollouts are what the node knows of moves of services to other versions, and
-	// steers by.
+	// Rollouts are the moves of services to other versions that the node knows and by
+	// which it routes requests.
 	Rollouts []Rollout
-	// Quarantined are the requests that the node has seen crash workers and that are
-	// run nowhere any more.
+	// Quarantined are the requests that the node has seen crash workers and that no node
+	// runs any more.
 	Quarantined []quarantine.Verdict
-	// StoreEra is the highest era of the store that the node has seen begin; zero when it
+	// StoreEra is the highest era of the store whose begin the node has seen; zero when it
 	// saw none.
 	StoreEra uint64
 }
 
-// NewerThan reports whether the record replaces the other one of the same node.
+// NewerThan reports whether the record replaces another one of the same node.
 func (n Node) NewerThan(other Node) bool {
 	if n.Incarnation != other.Incarnation {
 		return n.Incarnation > other.Incarnation
@@ -57,11 +57,11 @@
 	return n.Sequence > other.Sequence
 }
 
-// class parts nodes by their capacity so that only a difference of about two times
+// capacityClass groups nodes by capacity, so that only a difference of about a factor of two
 // counts.
-func (n *Node) class() int { return bits.Len(uint(max(n.Capacity, 0))) }
+func (n *Node) capacityClass() int { return bits.Len(uint(max(n.Capacity, 0))) }
 
-// Serves returns the worker of the service that may be given work, if the node
+// Serves returns the node's worker that can take requests of the service, if it
 // has one.
 func (n Node) Serves(service string) (workers.Worker, bool) {
 	if n.State != StateLive {
--- a/pkg/fleet/readers_test.go
+++ b/pkg/fleet/readers_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// plainReaders chooses readers one after the other, as they are defined.
-func plainReaders(nodes []*Node, count int) []string {
+// readersByDefinition chooses readers one at a time, as the definition of Readers says.
+func readersByDefinition(nodes []*Node, count int) []string {
 	left := slices.Clone(nodes)
 	zones := map[string]bool{}
 	var chosen []string
@@ -24,7 +24,7 @@
 				return 1
 			}
 			return cmp.Or(
-				cmp.Compare(b.class(), a.class()),
+				cmp.Compare(b.capacityClass(), a.capacityClass()),
 				cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)),
 				cmp.Compare(a.ID, b.ID),
 			)
@@ -49,7 +49,7 @@
 		count := rapid.IntRange(1, 6).Draw(t, "count")
 		view := table.View()
 		got := Readers(view, func(string) bool { return true }, count)
-		if want := plainReaders(view.Nodes(), count); !slices.Equal(got, want) {
+		if want := readersByDefinition(view.Nodes(), count); !slices.Equal(got, want) {
 			t.Fatalf("%v, not %v", got, want)
 		}
 	})
--- a/pkg/fleet/rollout.go
+++ b/pkg/fleet/rollout.go
@@ -6,16 +6,16 @@
 	"github.com/levertide/levertide/pkg/canary"
 )
 
-// Rollout is what a node knows of the move of a service to another version of its
-// workers. A value that was handed out is never changed.
+// Rollout is a node's knowledge of the move of a service to another version of its
+// workers. A published value is never changed.
 type Rollout struct {
 	Service string
 	// Target is the version that the service moves to.
 	Target string
-	// Era and Revision are those of the operators' order in the store: revisions begin anew
-	// with each era.
+	// Era and Revision identify the operators' order in the store: revisions restart with
+	// each era.
 	Era, Revision uint64
-	// Ordered and Deadline are the times of day of the order and of its end, by the
+	// Ordered and Deadline are the wall-clock times of the order and of its end, by the
 	// clock of the node that read it.
 	Ordered, Deadline time.Time
 	// Step rises with each decision on the order; State and Share are the last one.
@@ -23,11 +23,11 @@
 	State canary.State
 	// Share is the share of the requests that go to the target, from 0 to 1.
 	Share float64
-	// Runs are what the worker beside the node did since the order, by route.
+	// Runs are the results of the worker beside the node since the order, by route.
 	Runs []RouteRuns
 }
 
-// RouteRuns is what a worker did on one route.
+// RouteRuns is the tally of a worker's results on one route.
 type RouteRuns struct {
 	Route string
 	canary.Tally
@@ -44,15 +44,15 @@
 	case r.State.Final() != other.State.Final():
 		return r.State.Final()
 	case r.State != other.State:
-		// Two final states are two answers of the store, which never gives both; if it
-		// ever did, nothing may run on a version that was found bad.
+		// Two different final states come from two answers of the store, which never gives
+		// both. If it ever did, nothing may run on a version that was found bad.
 		return r.State == canary.RolledBack
 	default:
 		return r.Step > other.Step
 	}
 }
 
-// SameDecision reports whether two nodes steer alike.
+// SameDecision reports whether both values lead to the same routing.
 func (r Rollout) SameDecision(other Rollout) bool {
 	return r.Era == other.Era && r.Revision == other.Revision && r.State == other.State && r.Step == other.Step
 }
--- a/pkg/fleet/spread.go
+++ b/pkg/fleet/spread.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Part is a range of nodes in a broadcast. The first of Candidates that takes
-// the news hands it on to the others of the range.
+// Part is a range of nodes in a broadcast. The first of Candidates that accepts
+// the update forwards it to the others of the range.
 type Part struct {
-	// Candidates are the nodes of the range, in an order of the sender's own, so
-	// that not the same few nodes hand on what all others send.
+	// Candidates are the nodes of the range, in an order that differs by sender, so
+	// that the forwarding does not fall to the same few nodes.
 	Candidates []*Node
-	// After and Until bound the range: identifiers that sort after the one and
-	// not after the other.
+	// After and Until bound the range: the identifiers that sort after After and
+	// not after Until.
 	After, Until string
 }
 
 // Spread divides the peers whose identifiers lie in the range from after
 // (exclusive) to until (inclusive) into at most fanOut parts of about the same
-// size, for a sender that is none of them. An empty until has no end.
+// size, for a sender that is none of them. An empty until means no upper bound.
 func Spread(peers []*Node, sender, after, until string, fanOut int) []Part {
 	inside := make([]*Node, 0, len(peers))
 	for _, peer := range peers {
@@ -36,5 +36,5 @@
 	return parts
 }
 
-// SinglePart returns one part of all the nodes given, which must be one at least.
+// SinglePart returns one part with all the given nodes. There must be at least one.
 func SinglePart(nodes []*Node, sender string) Part { return Spread(nodes, sender, "", "", 1)[0] }
--- a/pkg/fleet/subset.go
+++ b/pkg/fleet/subset.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Subset returns the nodes, of those given, that one node sends its calls to: at
+// Subset returns those of the given nodes to which one node sends its calls: at
 // most total of them, and of these at most near from its own zone unless the other
-// zones have too few. Each node gets a subset of its own, so that together they
-// spread evenly; a node that comes or goes changes few of them.
+// zones have too few. Each node gets its own subset, so that the load
+// spreads evenly; a node that joins or leaves changes few subsets.
 func Subset(nodes []*Node, self, zone string, near, total int) []*Node {
 	if len(nodes) <= total {
 		return nodes
@@ -41,7 +41,8 @@
 	return n
 }
 
-// rank orders nodes by a score that differs from one ranking node to the next.
+// rank orders nodes by a hash that depends on the ranking node too, so that each node
+// ranks them differently.
 func rank(nodes []*Node, self string) []*Node {
 	type scored struct {
 		*Node
--- a/pkg/fleet/table.go
+++ b/pkg/fleet/table.go
@@ -14,118 +14,118 @@
 	self string
 	mu   sync.Mutex
 	// nodes are ordered by identifier. The records are never changed, and the
-	// slice is replaced whole, since views share both.
+	// slice is replaced rather than modified, since views share both.
 	nodes []*Node
-	// digests holds, for each bucket, the digests of its records by exclusive or.
+	// digests holds, for each bucket, the exclusive or of the digests of its records.
 	digests [Buckets]uint64
-	// promises are workers that former lives of nodes have promised to leave
-	// alone. A new life starts with a record that does not name them.
-	promises map[string][]workers.Worker
-	// outlived are nodes of which a record of a former life was held.
-	outlived map[string]bool
-	view     atomic.Pointer[View]
+	// commitments are workers to which previous incarnations of nodes have committed to
+	// send no new work. A new incarnation starts with a record that does not name them.
+	commitments map[string][]workers.Worker
+	// restarted are nodes of which a record of a previous incarnation was held.
+	restarted map[string]bool
+	view      atomic.Pointer[View]
 }
 
-// NewTable returns a table that holds the record of the node that keeps it.
+// NewTable returns a table that holds the record of the node that owns it.
 func NewTable(self Node) *Table {
 	table := &Table{
-		self:     self.ID,
-		promises: map[string][]workers.Worker{},
-		outlived: map[string]bool{},
+		self:        self.ID,
+		commitments: map[string][]workers.Worker{},
+		restarted:   map[string]bool{},
 	}
 	table.put([]*Node{&self})
 	table.publish()
 	return table
 }
 
-// Merged tells what a merge did.
+// Merged is the result of a merge.
 type Merged struct {
-	// Updates are the records that were taken.
+	// Updates are the records that were accepted.
 	Updates []Node
-	// NewIncarnations are the nodes of which a record of a later life than the one held
-	// was taken.
+	// NewIncarnations are the nodes of which a record of a later incarnation than the
+	// one held was accepted.
 	NewIncarnations []string
-	// PreviousSelf is a record of the own node that is newer than the one held, as
-	// a former life has left it; it is not taken.
+	// PreviousSelf is a record of the own node, written by a previous incarnation, that
+	// is newer than the one held; it is not accepted.
 	PreviousSelf *Node
 }
 
-// Merge takes the records that are newer than those held. The own record is
+// Merge accepts the records that are newer than those held. The own record is
 // written with Update only.
 func (t *Table) Merge(nodes []Node) Merged {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var merged Merged
-	taken := map[string]*Node{}
+	accepted := map[string]*Node{}
 	for _, n := range nodes {
 		held, known := t.held(n.ID)
-		if earlier, again := taken[n.ID]; again {
+		if earlier, again := accepted[n.ID]; again {
 			held, known = *earlier, true
 		}
 		switch {
 		case n.ID == "" || known && !n.NewerThan(held):
 		case n.ID == t.self:
-			former := n
-			merged.PreviousSelf = &former
+			previous := n
+			merged.PreviousSelf = &previous
 		default:
 			if known && held.Incarnation != n.Incarnation {
-				t.keepPromises(held, n)
+				t.keepCommitments(held, n)
 				merged.NewIncarnations = append(merged.NewIncarnations, n.ID)
 			}
-			taken[n.ID] = &n
+			accepted[n.ID] = &n
 			merged.Updates = append(merged.Updates, n)
 		}
 	}
-	if len(taken) > 0 {
-		t.put(slices.SortedFunc(maps.Values(taken), byID))
+	if len(accepted) > 0 {
+		t.put(slices.SortedFunc(maps.Values(accepted), byID))
 		t.publish()
 	}
 	return merged
 }
 
-// maximumPromises bounds what is kept of the former lives of one node.
-const maximumPromises = 32
+// maximumCommitments bounds the commitments kept of the previous incarnations of one node.
+const maximumCommitments = 32
 
-// keepPromises remembers what a life of a node has promised when the next one
-// replaces its record. The mu is held.
-func (t *Table) keepPromises(former, next Node) {
-	t.outlived[next.ID] = true
-	kept := t.promises[next.ID]
-	for _, worker := range former.Workers {
+// keepCommitments saves the drain commitments of an incarnation of a node when the next
+// one replaces its record. The caller holds mu.
+func (t *Table) keepCommitments(previous, next Node) {
+	t.restarted[next.ID] = true
+	kept := t.commitments[next.ID]
+	for _, worker := range previous.Workers {
 		if worker.State.DrainCommitted() {
 			kept = append(kept, worker)
 		}
 	}
-	if surplus := len(kept) - maximumPromises; surplus > 0 {
+	if surplus := len(kept) - maximumCommitments; surplus > 0 {
 		kept = slices.Clone(kept[surplus:])
 	}
 	if len(kept) > 0 {
-		t.promises[next.ID] = kept
+		t.commitments[next.ID] = kept
 	}
 }
 
-// DrainCommitted returns the workers that a node, in this life or a former one, has
-// promised to give no more work.
+// DrainCommitted returns the workers to which a node, in this incarnation or a previous
+// one, has committed to send no more work.
 func (t *Table) DrainCommitted(id string) []workers.Worker {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	promised := slices.Clone(t.promises[id])
+	committed := slices.Clone(t.commitments[id])
 	held, _ := t.held(id)
 	for _, worker := range held.Workers {
 		if worker.State.DrainCommitted() {
-			promised = append(promised, worker)
+			committed = append(committed, worker)
 		}
 	}
-	return promised
+	return committed
 }
 
-// KnowsPrevious reports whether a record of a life of the node before the given
-// incarnation is held, or was.
+// KnowsPrevious reports whether a record of an incarnation of the node previous to the
+// given one is held, or was held.
 func (t *Table) KnowsPrevious(id string, incarnation uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	held, known := t.held(id)
-	return t.outlived[id] || known && held.Incarnation != incarnation
+	return t.restarted[id] || known && held.Incarnation != incarnation
 }
 
 // Update writes the own record with the next sequence and returns it.
@@ -141,16 +141,16 @@
 	return own
 }
 
-// SupersedePrevious gives the own record a higher incarnation than a former life had.
-func (t *Table) SupersedePrevious(former Node) {
+// SupersedePrevious gives the own record a higher incarnation than the previous one had.
+func (t *Table) SupersedePrevious(previous Node) {
 	t.Update(func(own *Node) {
-		if own.Incarnation <= former.Incarnation {
-			own.Incarnation = former.Incarnation + 1
+		if own.Incarnation <= previous.Incarnation {
+			own.Incarnation = previous.Incarnation + 1
 		}
 	})
 }
 
-// Remove forgets a node, until a record of it comes again.
+// Remove deletes a node until a record of it arrives again.
 func (t *Table) Remove(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -158,21 +158,21 @@
 		return
 	}
 	if i, known := t.find(id); known {
-		t.count(t.nodes[i])
+		t.toggleDigest(t.nodes[i])
 		t.nodes = slices.Delete(slices.Clone(t.nodes), i, i+1)
 	}
-	delete(t.promises, id)
-	delete(t.outlived, id)
+	delete(t.commitments, id)
+	delete(t.restarted, id)
 	t.publish()
 }
 
-// View returns the records held now.
+// View returns the current records.
 func (t *Table) View() *View { return t.view.Load() }
 
-// find returns the place of a node's record. The mutex is held.
+// find returns the index of a node's record. The caller holds the mutex.
 func (t *Table) find(id string) (int, bool) { return findNode(t.nodes, id) }
 
-// held returns the record held of a node. The mutex is held.
+// held returns the record held of a node. The caller holds the mutex.
 func (t *Table) held(id string) (Node, bool) {
 	i, known := t.find(id)
 	if !known {
@@ -181,28 +181,28 @@
 	return *t.nodes[i], true
 }
 
-// put takes records, ordered by identifier, in place of those held. The mutex is
-// held, or the table is new; views keep the former slice.
-func (t *Table) put(news []*Node) {
-	former := t.nodes
-	t.nodes = make([]*Node, 0, len(former)+len(news))
-	for _, n := range news {
-		i, known := findNode(former, n.ID)
-		t.nodes = append(append(t.nodes, former[:i]...), n)
-		t.count(n)
-		former = former[i:]
+// put inserts or replaces records, given in the order of their identifiers. The caller
+// holds the mutex, or the table is new; views keep the previous slice.
+func (t *Table) put(updates []*Node) {
+	previous := t.nodes
+	t.nodes = make([]*Node, 0, len(previous)+len(updates))
+	for _, n := range updates {
+		i, known := findNode(previous, n.ID)
+		t.nodes = append(append(t.nodes, previous[:i]...), n)
+		t.toggleDigest(n)
+		previous = previous[i:]
 		if known {
-			t.count(former[0])
-			former = former[1:]
+			t.toggleDigest(previous[0])
+			previous = previous[1:]
 		}
 	}
-	t.nodes = append(t.nodes, former...)
+	t.nodes = append(t.nodes, previous...)
 }
 
-// count takes a record into the digest of its bucket, or out of it.
-func (t *Table) count(n *Node) { t.digests[bucketOf(n.ID)] ^= digestOf(n) }
+// toggleDigest adds a record to the digest of its bucket, or removes it.
+func (t *Table) toggleDigest(n *Node) { t.digests[bucketOf(n.ID)] ^= digestOf(n) }
 
-// publish makes the records visible. The mutex is held, or the table is new.
+// publish makes the records visible in View. The caller holds the mutex, or the table is new.
 func (t *Table) publish() {
 	t.view.Store(&View{self: t.self, nodes: t.nodes, digests: t.digests})
 }
--- a/pkg/fleet/table_test.go
+++ b/pkg/fleet/table_test.go
@@ -20,23 +20,23 @@
 	table.Merge([]Node{node("a", 2, 2)})
 	merged := table.Merge([]Node{node("a", 1, 9), node("a", 2, 2), node("b", 1, 1)})
 	if len(merged.Updates) != 1 || merged.Updates[0].ID != "b" {
-		t.Fatalf("news %v", merged.Updates)
+		t.Fatalf("updates %v", merged.Updates)
 	}
 	if held, _ := table.View().Node("a"); held.Incarnation != 2 {
 		t.Fatalf("held %v", held)
 	}
 }
 
-func TestFormerLifeIsToldAndNotTaken(t *testing.T) {
+func TestRecordOfAPreviousIncarnationIsReportedAndNotAccepted(t *testing.T) {
 	table := NewTable(node("self", 5, 1))
-	former := node("self", 7, 3)
-	former.Workers = []workers.Worker{{Instance: "i", State: workers.StateDraining}}
-	merged := table.Merge([]Node{former})
+	previous := node("self", 7, 3)
+	previous.Workers = []workers.Worker{{Instance: "i", State: workers.StateDraining}}
+	merged := table.Merge([]Node{previous})
 	if merged.PreviousSelf == nil || merged.PreviousSelf.Workers[0].Instance != "i" {
 		t.Fatalf("merged %+v", merged)
 	}
 	if table.View().Self().Incarnation != 5 {
-		t.Fatal("the record of the former life was taken")
+		t.Fatal("the record of the previous incarnation was accepted")
 	}
 }
 
@@ -63,7 +63,7 @@
 	})
 }
 
-// TestSpreadReachesEveryNodeOnce plays a broadcast through and counts.
+// TestSpreadReachesEveryNodeOnce simulates broadcasts and counts how often each node is reached.
 func TestSpreadReachesEveryNodeOnce(t *testing.T) {
 	for _, size := range []int{0, 1, 2, 5, 12, 100, 301} {
 		var peers []*Node
@@ -100,9 +100,9 @@
 	return deepest + 1
 }
 
-// TestHeadsDifferByTheSender counts how often each node is the first that others
-// send to.
-func TestHeadsDifferByTheSender(t *testing.T) {
+// TestFirstRelaysDifferByTheSender counts how often each node is the first candidate of a
+// sender, which forwards the broadcast.
+func TestFirstRelaysDifferByTheSender(t *testing.T) {
 	var peers []*Node
 	for i := range 100 {
 		record := node(fmt.Sprintf("n%04d", i), 1, 1)
@@ -157,51 +157,51 @@
 	}
 }
 
-func TestContactsSpreadTries(t *testing.T) {
+func TestContactsSpreadRetries(t *testing.T) {
 	contacts, now := NewContacts(), time.Unix(1000, 0)
 	if !contacts.Reachable("a") || !contacts.Failed("a", now, 0.5) || contacts.Failed("a", now, 0.5) {
-		t.Fatal("only the first failure changes the belief")
+		t.Fatal("only the first failure makes a reachable node unreachable")
 	}
 	if contacts.Reachable("a") || len(contacts.Due(now)) != 0 || len(contacts.Due(now.Add(time.Minute))) != 1 {
-		t.Fatal("the next try is not spread")
+		t.Fatal("the next attempt is not delayed")
 	}
 	if !contacts.Reached("a") || !contacts.Reachable("a") {
-		t.Fatal("an answer must end the belief")
+		t.Fatal("an answer must make the node reachable again")
 	}
 }
 
-func TestPromisesOutliveTheNodeThatGaveThem(t *testing.T) {
+func TestDrainCommitmentsOutliveTheIncarnationThatMadeThem(t *testing.T) {
 	table := NewTable(node("self", 1, 1))
-	former := node("a", 2, 3)
-	former.Workers = []workers.Worker{
+	previous := node("a", 2, 3)
+	previous.Workers = []workers.Worker{
 		{Instance: "draining", State: workers.StateDraining},
 		{Instance: "ready", State: workers.StateReady},
 	}
-	if table.Merge([]Node{former}); table.KnowsPrevious("a", 2) || !table.KnowsPrevious("a", 3) {
-		t.Fatal("the first life is no former one of itself")
+	if table.Merge([]Node{previous}); table.KnowsPrevious("a", 2) || !table.KnowsPrevious("a", 3) {
+		t.Fatal("the first incarnation must not count as previous to itself")
 	}
 	table.Merge([]Node{node("a", 3, 1)})
 	if !table.KnowsPrevious("a", 3) || table.KnowsPrevious("b", 1) {
-		t.Fatal("the former life is forgotten, or one of a node that was never heard of is known")
+		t.Fatal("the previous incarnation is forgotten, or one of an unknown node is known")
 	}
-	promised := table.DrainCommitted("a")
-	if len(promised) != 1 || promised[0].Instance != "draining" {
-		t.Fatalf("promised %v", promised)
+	committed := table.DrainCommitted("a")
+	if len(committed) != 1 || committed[0].Instance != "draining" {
+		t.Fatalf("drain commitments %v", committed)
 	}
 }
 
 func TestRestartedNodeOutlivesItsFormerRecord(t *testing.T) {
 	table := NewTable(node("self", 5, 1))
-	former := node("self", 9, 4)
-	table.SupersedePrevious(former)
-	if own := table.View().Self(); !own.NewerThan(former) {
+	previous := node("self", 9, 4)
+	table.SupersedePrevious(previous)
+	if own := table.View().Self(); !own.NewerThan(previous) {
 		t.Fatalf("own record %+v", own)
 	}
 }
 
-// TestComparingBucketsFindsWhatIsLacking gives a table what the differing buckets
-// of another one hold.
-func TestComparingBucketsFindsWhatIsLacking(t *testing.T) {
+// TestDifferingBucketsHoldTheMissingRecords merges the records of the differing buckets of
+// one table into another, which must then be equal.
+func TestDifferingBucketsHoldTheMissingRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := NewTable(node("self", 1, 1)), NewTable(node("other", 1, 1))
 		two.Merge([]Node{node("self", 1, 1)})
@@ -213,8 +213,8 @@
 			}
 		}
 		digests := one.View().Digests()
-		for _, lacking := range two.View().InBuckets(two.View().Differing(digests[:])) {
-			one.Merge([]Node{*lacking})
+		for _, missing := range two.View().InBuckets(two.View().Differing(digests[:])) {
+			one.Merge([]Node{*missing})
 		}
 		if one.View().Digest() != two.View().Digest() {
 			t.Fatal("tables differ")
@@ -222,8 +222,8 @@
 	})
 }
 
-// TestViewsStayAsTheyWere changes a table after a view of it was taken.
-func TestViewsStayAsTheyWere(t *testing.T) {
+// TestViewsAreImmutable changes a table after a view of it was taken; the view must not change.
+func TestViewsAreImmutable(t *testing.T) {
 	table := NewTable(node("m", 1, 1))
 	table.Merge([]Node{node("a", 1, 1), node("z", 1, 1)})
 	before := table.View()
--- a/pkg/fleet/view.go
+++ b/pkg/fleet/view.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is how many parts the records are divided into, by their identifiers,
-// when two nodes compare what they hold.
+// Buckets is the number of parts into which the records are divided, by their
+// identifiers, for an anti-entropy exchange between two nodes.
 const Buckets = 64
 
 // View is an immutable set of records, ordered by identifier.
@@ -37,8 +37,8 @@
 // Digests returns the digest of each bucket, equal for equal sets of records.
 func (v *View) Digests() [Buckets]uint64 { return v.digests }
 
-// Differing returns the buckets whose digests differ from those given; all when
-// the given ones are not as many.
+// Differing returns the buckets whose digests differ from the given ones; all
+// buckets when the number of digests is not Buckets.
 func (v *View) Differing(digests []uint64) []uint32 {
 	var differing []uint32
 	for i, digest := range v.digests {
@@ -86,7 +86,7 @@
 	return peers
 }
 
-// findNode returns the place of a node's record among those ordered by identifier.
+// findNode returns the index of a node's record among those ordered by identifier.
 func findNode(nodes []*Node, id string) (int, bool) {
 	return slices.BinarySearchFunc(nodes, id, func(n *Node, id string) int { return strings.Compare(n.ID, id) })
 }
@@ -95,7 +95,8 @@
 
 func bucketOf(id string) uint32 { return uint32(xxhash.Sum64String(id) % Buckets) }
 
-// digestOf tells records of a node apart by what orders them.
+// digestOf returns a hash of the node's identifier, incarnation and sequence, which
+// together identify a record.
 func digestOf(n *Node) uint64 {
 	var number [16]byte
 	binary.LittleEndian.PutUint64(number[:8], n.Incarnation)
