--- a/pkg/lease/example_test.go
+++ b/pkg/lease/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/store/memory"
 )
 
-// Two processes want to do the same work; the lease keeps one of them from it.
+// Two processes try to acquire the same lease; only one of them gets it.
 func Example() {
 	ctx := context.Background()
 	platform := memory.New(memory.Options{})
--- a/pkg/lease/held_lease.go
+++ b/pkg/lease/held_lease.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// renewalsPerTTL is how many renewals fit into the time to live.
+	// renewalsPerTTL is the number of renewals in one time to live.
 	renewalsPerTTL = 3
-	// retriesPerTTL is how many attempts fit into it after one has failed.
+	// retriesPerTTL is the number of attempts in one time to live after a renewal has failed.
 	retriesPerTTL = 10
 )
 
@@ -62,9 +62,9 @@
 	return false
 }
 
-// remaining is how long the lease may be trusted without another renewal;
-// nothing once it has ended. Both clocks are looked at: the monotonic one may
-// stand still while a machine is suspended.
+// remaining returns how long the lease may be trusted without another renewal;
+// zero once it has ended. It checks the wall clock as well as the monotonic one,
+// which may stand still while a machine is suspended.
 func (h *heldLease) remaining() time.Duration {
 	now := h.options.Now()
 	h.mutex.Lock()
@@ -108,8 +108,8 @@
 	}
 }
 
-// renew prolongs the session. What counts is when the request was sent: the
-// store cannot have begun to count before that.
+// renew extends the session. The lease counts from when the request was sent: the
+// store cannot have started the time to live before that.
 func (h *heldLease) renew(ctx context.Context) error {
 	sent := h.options.Now()
 	ctx, cancel := context.WithTimeout(ctx, h.remaining())
@@ -142,7 +142,7 @@
 	return err
 }
 
-// sleep waits and reports false when the context ended first.
+// sleep waits for the duration and returns false when the context ended first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -19,7 +19,7 @@
 	testTTL = 9 * time.Second
 )
 
-// platform is an in-memory store whose time follows the clock of the test.
+// platform is an in-memory store that runs on the clock of the test.
 type platform struct {
 	*memory.Store
 	faults atomic.Uint32
@@ -108,7 +108,7 @@
 	})
 }
 
-// slowStore carries renewals out at once and answers them late.
+// slowStore performs renewals at once and answers them late.
 type slowStore struct {
 	store.Store
 	delay   time.Duration
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// TestLeaseCountsFromTheSendingOfARenewal would fail if it counted from the
-// answer: the store has been counting since it carried the renewal out.
+// TestLeaseCountsFromTheSendingOfARenewal fails if the lease counts from the
+// answer: the store counts from when it performed the renewal.
 func TestLeaseCountsFromTheSendingOfARenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPlatform(t)
@@ -174,8 +174,8 @@
 	})
 }
 
-// TestPausedHolderNoticesAtOnce moves the holder's clocks on while its
-// goroutine does not run, as a stopped process finds them on its return.
+// TestPausedHolderNoticesAtOnce advances the holder's clocks while its
+// goroutine does not run, as a stopped process finds them when it resumes.
 func TestPausedHolderNoticesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPlatform(t)
--- a/pkg/lease/store_lessor.go
+++ b/pkg/lease/store_lessor.go
@@ -9,23 +9,23 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// DefaultTTL is the time to live of a lease, the shortest that the platform takes.
+// DefaultTTL is the default time to live of a lease, the shortest that the platform accepts.
 const DefaultTTL = 10 * time.Second
 
 // Options configure a StoreLessor; zero fields other than Store take the defaults.
 type Options struct {
 	// Store is the platform's key-value service.
 	Store store.Store
-	// Name is given to the sessions, for people who look at the platform.
+	// Name is the name of the sessions, for people who inspect the platform.
 	Name string
 	// TTL is how long a lease lasts without renewal.
 	TTL time.Duration
-	// Now returns the time; nil means time.Now, whose monotonic reading goes
-	// on while the process is stopped.
+	// Now returns the time; nil means time.Now, whose monotonic reading advances
+	// while the process is stopped.
 	Now func() time.Time
 }
 
-// StoreLessor hands out leases that are sessions of a store.Store.
+// StoreLessor grants leases that are sessions of a store.Store.
 type StoreLessor struct {
 	options Options
 }
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	if holder.Held {
-		return nil, ErrLeaseHeld.New("%s is held by another", key)
+		return nil, ErrLeaseHeld.New("key %s is held by another process", key)
 	}
 	sent := l.options.Now()
 	session, err := l.options.Store.CreateSession(ctx, l.options.Name, l.options.TTL)
@@ -79,12 +79,12 @@
 		return nil, err
 	}
 	if !acquired {
-		return nil, ErrLeaseHeld.New("%s was taken by another", key)
+		return nil, ErrLeaseHeld.New("key %s was acquired by another process", key)
 	}
 	return l.hold(key, session, sent), nil
 }
 
-// acquire takes the key, and reads back who holds it when the answer is lost.
+// acquire acquires the key. When the answer is lost, it reads back which session holds the key.
 func (l *StoreLessor) acquire(ctx context.Context, key string, value []byte, session string) (bool, error) {
 	acquired, err := l.options.Store.Acquire(ctx, key, value, session)
 	if !errorx.IsOfType(err, store.ErrUnknownOutcome) {
