--- a/pkg/membership/example_test.go
+++ b/pkg/membership/example_test.go
@@ -6,7 +6,7 @@
 	"github.com/levertide/levertide/pkg/membership"
 )
 
-// Example shows a loss that is reported by a former parent and refuted by the
+// Example shows a loss that is reported by a previous parent and refuted by the
 // node itself.
 func Example() {
 	node := membership.Record{ID: "node-1", Incarnation: 7, Attachment: 1, Zone: "west", Service: "ledger"}
--- a/pkg/membership/interner.go
+++ b/pkg/membership/interner.go
@@ -6,11 +6,11 @@
 )
 
 // minimumSweepSize is the number of records below which an Interner does not
-// look for records that are no longer used.
+// sweep unused records.
 const minimumSweepSize = 1024
 
-// Interner makes tables share equal records. It holds records weakly: one that
-// no table refers to any more is freed. It is safe for concurrent use.
+// Interner makes tables share equal records. It holds them by weak pointers: a record
+// that no table refers to any more is freed. It is safe for concurrent use.
 type Interner struct {
 	mutex   sync.Mutex
 	records map[Record]weak.Pointer[Record]
--- a/pkg/membership/record.go
+++ b/pkg/membership/record.go
@@ -1,39 +1,39 @@
 package membership
 
-// State is what is known of one incarnation of a node.
+// State is the known state of one incarnation of a node.
 type State uint8
 
 // The states, in the order in which a later one replaces an earlier one of the
 // same incarnation and attachment.
 const (
-	// StateLive takes calls and control work.
+	// StateLive: the node accepts calls and control work.
 	StateLive State = iota
-	// StateLeaving finishes what it has and takes nothing new.
+	// StateLeaving: the node finishes its work and accepts nothing new.
 	StateLeaving
-	// StateLost was not heard from within the bound.
+	// StateLost: the node did not report within the time limit.
 	StateLost
 )
 
-// Record is one node as its peers know it. Records are immutable.
+// Record describes one node as known to its peers. Records are immutable.
 type Record struct {
 	ID string
 	// Incarnation rises with each start of the node's process.
 	Incarnation uint64
-	// Attachment rises each time this incarnation takes a new parent, which
-	// refutes a loss reported by the former parent.
+	// Attachment rises each time this incarnation attaches to a new parent, which
+	// refutes a loss reported by the previous parent.
 	Attachment uint64
 	State      State
 	Region     string
 	Zone       string
 	// Service is the name of the service that the worker beside the node
-	// answers for; empty for a node without a worker.
+	// serves; empty for a node without a worker.
 	Service string
 	// ControlAddress and CallAddress are IP:port of the node's listeners for
 	// control messages and for calls from other nodes.
 	ControlAddress string
 	CallAddress    string
-	// Reader tells that the node reads the platform's store. A node whose
-	// Reader changes attaches again under a higher attachment number.
+	// Reader is set if the node reads the platform's store. A node whose
+	// Reader changes attaches again with a higher attachment number.
 	Reader bool
 }
 
--- a/pkg/membership/record_sum.go
+++ b/pkg/membership/record_sum.go
@@ -2,15 +2,15 @@
 
 import "github.com/levertide/levertide/pkg/rollout"
 
-// stateBits is the room that a State takes in the number that sum hashes.
+// stateBits is the width of a State in the number that sum hashes.
 const stateBits = 2
 
-// memberSum is the sum of this one member, as a rollout.Readiness counts it.
+// memberSum returns the sum of this one member, as a rollout.Readiness counts it.
 func (r *Record) memberSum() rollout.MemberSum {
 	return rollout.SumOf(r.ID, r.Incarnation)
 }
 
-// sum tells this record from every other record of the node.
+// sum returns a sum that distinguishes this record from every other record of the node.
 func (r *Record) sum() rollout.MemberSum {
 	member := rollout.SumOf(r.ID, r.Incarnation)
 	change := rollout.SumOf(r.ID, r.Attachment<<stateBits|uint64(r.State))
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -7,14 +7,14 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// entry is one record and the place of its last change in the table's sequence.
+// entry is one record and the sequence number of its last change in the table.
 type entry struct {
 	record   *Record
 	sequence uint64
 }
 
 // Table holds the newest known record of each node. It is not safe for
-// concurrent use; the View that it hands out is.
+// concurrent use; the View that it returns is.
 type Table struct {
 	// entries is sorted by node identifier.
 	entries  []entry
@@ -35,8 +35,8 @@
 	return &Table{interner: interner}
 }
 
-// Merge takes in each record that supersedes the one held of the same node,
-// and returns those that did. The order of merging does not change the result.
+// Merge accepts each record that is new or supersedes the one held of the same node,
+// and returns the accepted ones. The order of merging does not change the result.
 func (t *Table) Merge(records ...Record) []Record {
 	var changed []Record
 	for index := range records {
@@ -63,7 +63,7 @@
 	return true
 }
 
-// set places a record and adds it to the sums.
+// set stores a record at the index and adds it to the sums.
 func (t *Table) set(index int, record *Record) {
 	t.sequence++
 	t.entries[index] = entry{record: t.share(record), sequence: t.sequence}
@@ -111,8 +111,8 @@
 // Len returns how many records are held, lost and leaving nodes included.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Since returns the records that changed after the given place in the table's
-// sequence, in the order of their changes, and the place to ask from next.
+// Since returns the records that changed after the given sequence number of the
+// table, in the order of their changes, and the sequence number for the next call.
 // Since(0) returns all records.
 func (t *Table) Since(sequence uint64) ([]Record, uint64) {
 	if sequence >= t.sequence {
@@ -132,7 +132,7 @@
 	return records, t.sequence
 }
 
-// Sequence returns the place of the newest change.
+// Sequence returns the sequence number of the newest change.
 func (t *Table) Sequence() uint64 { return t.sequence }
 
 // Sum returns the sum of all records that are not lost, states and attachments
@@ -144,10 +144,10 @@
 // rollout.Readiness.
 func (t *Table) LiveSum() rollout.MemberSum { return t.liveSum }
 
-// PurgeLost removes the records of lost nodes whose last change lies at or
-// before the given place in the sequence, and returns how many it removed. A
-// caller that wants to keep tombstones for a time notes Sequence and passes it
-// once that time has gone by.
+// PurgeLost removes the records of lost nodes whose last change has the given
+// sequence number or a lower one, and returns how many it removed. To keep
+// tombstones for a time, a caller saves Sequence and passes it to PurgeLost
+// once that time has elapsed.
 func (t *Table) PurgeLost(before uint64) int {
 	held := len(t.entries)
 	t.entries = slices.DeleteFunc(t.entries, func(candidate entry) bool {
@@ -164,7 +164,7 @@
 	return removed
 }
 
-// View returns the members as they are now. It is built once after each change.
+// View returns the current members. It is built once after each change.
 func (t *Table) View() *View {
 	if t.view == nil {
 		t.view = newView(t.entries)
--- a/pkg/membership/table_test.go
+++ b/pkg/membership/table_test.go
@@ -139,7 +139,7 @@
 	a.Merge(record)
 	b.Merge(record)
 	if a.View().Live()[0] != b.View().Live()[0] {
-		t.Fatal("not shared")
+		t.Fatal("equal records are not shared between the tables")
 	}
 }
 
--- a/pkg/membership/view.go
+++ b/pkg/membership/view.go
@@ -15,8 +15,8 @@
 	all  []*Record
 	live []*Record
 	lost int
-	// byZone holds the live members sorted by zone and identifier, byService
-	// by service and identifier; each is built at its first use.
+	// byZone returns the live members sorted by zone and identifier, byService
+	// by service and identifier; each list is built at its first use.
 	byZone    func() []*Record
 	byService func() []*Record
 }
@@ -53,7 +53,8 @@
 	return sorted
 }
 
-// section returns the run of records whose field has the given value.
+// section returns the records whose field has the given value, which are
+// contiguous in a list sorted by that field.
 func section(sorted []*Record, field func(*Record) string, value string) []*Record {
 	compare := func(record *Record, value string) int { return cmp.Compare(field(record), value) }
 	start, found := slices.BinarySearchFunc(sorted, value, compare)
@@ -74,7 +75,7 @@
 // ByZone returns the live members of a zone sorted by identifier.
 func (v *View) ByZone(zone string) []*Record { return section(v.byZone(), zoneOf, zone) }
 
-// ByService returns the live members whose worker answers for a service,
+// ByService returns the live members whose worker serves a service,
 // sorted by identifier.
 func (v *View) ByService(service string) []*Record {
 	return section(v.byService(), serviceOf, service)
