--- a/pkg/model/doc.go
+++ b/pkg/model/doc.go
@@ -3,5 +3,5 @@
 // address derived from that encoding.
 //
 // Values of this package are plain data. Once a resource has been placed in a
-// snapshot nobody may change it; code that needs a variation makes a copy.
+// snapshot it must not be changed; code that needs a variation makes a copy.
 package model
--- a/pkg/model/encoding.go
+++ b/pkg/model/encoding.go
@@ -21,8 +21,8 @@
 }
 
 // escapedReplacement is how the JSON library writes a byte that is not UTF-8.
-// It writes U+FFFD itself in another way, so that one more pass is needed
-// before the encoding is the one of what it decodes to.
+// It writes U+FFFD itself differently, so one more pass is needed to get the
+// encoding of the decoded resource.
 var escapedReplacement = []byte(`\ufffd`)
 
 func marshal(resource Resource) []byte {
@@ -64,7 +64,7 @@
 	return resource, nil
 }
 
-// describeDecodeError tells what is wrong without repeating any value.
+// describeDecodeError describes the error without repeating any value, which may be secret.
 func describeDecodeError(err error) string {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) {
@@ -80,8 +80,8 @@
 	return "a field is unknown"
 }
 
-// CheckShape returns ErrMalformed unless exactly the body that the kind asks
-// for is set.
+// CheckShape returns ErrMalformed unless exactly the body that the kind requires
+// is set.
 func (r Resource) CheckShape() error {
 	bodies := 0
 	for _, present := range []bool{r.Service != nil, r.Route != nil, r.Secret != nil, r.Tenant != nil, r.OutOfScope != nil} {
--- a/pkg/model/encoding_test.go
+++ b/pkg/model/encoding_test.go
@@ -80,7 +80,7 @@
 			continue
 		}
 		if strings.Contains(err.Error(), "hush") || strings.Contains(err.Error(), "31337") {
-			t.Errorf("%s: the error tells the secret: %v", name, err)
+			t.Errorf("%s: the error contains the secret: %v", name, err)
 		}
 	}
 }
--- a/pkg/model/errors.go
+++ b/pkg/model/errors.go
@@ -5,6 +5,6 @@
 // errorNamespace groups the errors of this package.
 var errorNamespace = errorx.NewNamespace("levertide.model")
 
-// ErrMalformed tells that bytes are not the canonical encoding of a resource.
-// Its text never holds any part of the bytes, which may be a secret.
+// ErrMalformed means that bytes are not the canonical encoding of a resource.
+// Its text never contains any part of the bytes, which may be a secret.
 var ErrMalformed = errorNamespace.NewType("malformed")
--- a/pkg/model/match.go
+++ b/pkg/model/match.go
@@ -4,24 +4,24 @@
 
 // The forms of Match.Host besides an exact name.
 const (
-	// AnyHost takes every host.
+	// AnyHost matches every host.
 	AnyHost = "*"
-	// AnySubdomain begins a host that takes every sub-domain of what follows.
+	// AnySubdomain is the prefix of a host that matches every sub-domain of the rest.
 	AnySubdomain = "*."
 )
 
-// CanonicalHost returns Host as hosts are compared: in lower case and without
-// a trailing dot.
+// CanonicalHost returns Host in the form used for comparison: in lower case and
+// without a trailing dot.
 func (m Match) CanonicalHost() string {
 	return strings.ToLower(strings.TrimSuffix(m.Host, "."))
 }
 
-// CanonicalPrefix returns PathPrefix as prefixes are compared: without a
+// CanonicalPrefix returns PathPrefix in the form used for comparison: without a
 // trailing slash, so that the prefix of every path is empty.
 func (m Match) CanonicalPrefix() string { return strings.TrimSuffix(m.PathPrefix, "/") }
 
-// Overlaps reports whether both matches take some host and path in common.
-// Their methods are not looked at.
+// Overlaps reports whether some host and path satisfies both matches.
+// Methods are ignored.
 func (m Match) Overlaps(other Match) bool {
 	return hostsOverlap(m.CanonicalHost(), other.CanonicalHost()) && m.pathsOverlap(other)
 }
@@ -30,7 +30,7 @@
 	return hostCovers(one, other) || hostCovers(other, one)
 }
 
-// hostCovers reports whether wide takes every host that narrow takes.
+// hostCovers reports whether wide matches every host that narrow matches.
 func hostCovers(wide, narrow string) bool {
 	switch {
 	case wide == AnyHost || wide == narrow:
@@ -48,16 +48,16 @@
 	case m.Path != "" && other.Path != "":
 		return m.Path == other.Path
 	case m.Path != "":
-		return prefixTakes(other.CanonicalPrefix(), m.Path)
+		return prefixCovers(other.CanonicalPrefix(), m.Path)
 	case other.Path != "":
-		return prefixTakes(m.CanonicalPrefix(), other.Path)
+		return prefixCovers(m.CanonicalPrefix(), other.Path)
 	default:
 		one, two := m.CanonicalPrefix(), other.CanonicalPrefix()
-		return prefixTakes(one, two) || prefixTakes(two, one)
+		return prefixCovers(one, two) || prefixCovers(two, one)
 	}
 }
 
-// prefixTakes reports whether a canonical prefix takes a path or a longer prefix.
-func prefixTakes(prefix, path string) bool {
+// prefixCovers reports whether a canonical prefix matches a path or a longer prefix.
+func prefixCovers(prefix, path string) bool {
 	return strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
--- a/pkg/model/resource.go
+++ b/pkg/model/resource.go
@@ -17,8 +17,8 @@
 	KindTenant  Kind = "Tenant"
 )
 
-// KindOutOfScope is the kind that stands, in a part of a set, for a route that
-// the part does not hold. Operators cannot declare it.
+// KindOutOfScope is the kind of the placeholder, in a partial set, for a route that
+// the partial set does not hold. Operators cannot declare it.
 const KindOutOfScope Kind = "OutOfScope"
 
 // Key identifies one resource inside a file set or a snapshot.
@@ -55,11 +55,11 @@
 	Route   *Route   `json:"route,omitempty"`
 	Secret  *Secret  `json:"secret,omitempty"`
 	Tenant  *Tenant  `json:"tenant,omitempty"`
-	// OutOfScope is what a route that is not held takes.
+	// OutOfScope is the match of a route that is not held.
 	OutOfScope *Match `json:"outOfScope,omitempty"`
 }
 
-// Service is a group of interchangeable workers that answer the same requests.
+// Service is a group of interchangeable workers that serve the same requests.
 // Workers are not listed here: each node announces the worker beside it.
 type Service struct {
 	// Calls lists the services that workers of this one call. It limits which
@@ -72,18 +72,18 @@
 	Connections int `json:"connections"`
 	// Queue is how many requests may wait for a slot at the worker's node.
 	Queue int `json:"queue"`
-	// SlowStart is how long a worker that has just come up takes to reach its
-	// full share of requests. Zero switches slow start off.
+	// SlowStart is how long a worker that has just started takes to reach its
+	// full share of requests. Zero disables slow start.
 	SlowStart time.Duration `json:"slowStart"`
-	// Timeout bounds one request, unless its route sets a bound of its own.
+	// Timeout bounds one request, unless its route has its own bound.
 	// Zero means DefaultTimeout.
 	Timeout time.Duration `json:"timeout"`
-	// HealthPath is where a worker tells whether it is healthy; empty when it
-	// does not.
+	// HealthPath is the path at which a worker reports whether it is healthy; empty
+	// when it does not.
 	HealthPath string `json:"healthPath,omitempty"`
 }
 
-// DefaultTimeout bounds a request when neither route nor service says otherwise.
+// DefaultTimeout bounds a request when neither route nor service sets a bound.
 const DefaultTimeout = 30 * time.Second
 
 // Repeatable says which requests of a route may be sent to a worker again
@@ -119,18 +119,18 @@
 	Timeout    time.Duration `json:"timeout"`
 	// Credential, when set, is added to each request before it reaches the worker.
 	Credential *Credential `json:"credential,omitempty"`
-	// Backends parts the requests among services by weight. When it is empty,
+	// Backends divides the requests among services by weight. When it is empty,
 	// Service takes them all; otherwise Service is the first of them.
 	Backends []Backend `json:"backends,omitempty"`
-	// Attempts bounds how many workers one request is sent to; zero sets no
-	// bound beside the budget of retries.
+	// Attempts bounds how many workers one request is sent to; with zero only the
+	// retry budget bounds it.
 	Attempts int `json:"attempts,omitempty"`
 	// Rank orders routes where requests wait for a slot: the lowest goes first.
 	Rank int `json:"rank,omitempty"`
-	// TargetLatency is the time within which an answer is worth most to the
-	// caller; zero when nothing is said.
+	// TargetLatency is the time within which an answer has the highest value for the
+	// caller; zero when it is not set.
 	TargetLatency time.Duration `json:"targetLatency,omitempty"`
-	// Public has the route take requests without a key of a tenant.
+	// Public makes the route accept requests without a tenant's key.
 	Public bool `json:"public,omitempty"`
 }
 
@@ -141,7 +141,7 @@
 	Weight int `json:"weight"`
 }
 
-// Match says which requests a route takes. All parts given must agree.
+// Match defines which requests a route takes. A request must satisfy every part that is set.
 type Match struct {
 	// Host is an exact host name, "*.suffix" for any sub-domain, or "*" for any host.
 	Host string `json:"host"`
@@ -149,7 +149,7 @@
 	Path string `json:"path,omitempty"`
 	// PathPrefix is a prefix that ends at a segment boundary.
 	PathPrefix string `json:"pathPrefix,omitempty"`
-	// Methods lists the methods taken; empty means every method.
+	// Methods lists the matching methods; empty means every method.
 	Methods []string `json:"methods,omitempty"`
 }
 
