--- a/pkg/rollout/floor.go
+++ b/pkg/rollout/floor.go
@@ -113,11 +113,11 @@
 	neededZones := (t.otherZones + 1) / 2
 	switch {
 	case t.zoneMembers == 0 && neededZones == 0:
-		return "neither the store nor another node can be asked"
+		return "the store cannot be read, and no other node is known"
 	case t.zoneMembers > 0 && t.sameZone < neededMembers:
-		return fmt.Sprintf("the store cannot be read, and %d of the %d answers needed from the zone have come", t.sameZone, neededMembers)
+		return fmt.Sprintf("the store cannot be read, and %d of the %d answers needed from the zone have arrived", t.sameZone, neededMembers)
 	case len(t.answeredZones) < neededZones:
-		return fmt.Sprintf("the store cannot be read, and %d of the %d answers needed from other zones have come", len(t.answeredZones), neededZones)
+		return fmt.Sprintf("the store cannot be read, and %d of the %d answers needed from other zones have arrived", len(t.answeredZones), neededZones)
 	case t.staged > t.committed:
 		return fmt.Sprintf("the store cannot be read, and version %d may have been committed", t.staged)
 	default:
--- a/pkg/rollout/watermark.go
+++ b/pkg/rollout/watermark.go
@@ -20,11 +20,11 @@
 func (w *watermark) regression(head Head) (string, bool) {
 	switch {
 	case head.Committed < w.committed:
-		return fmt.Sprintf("the store went back: committed version %d after %d", head.Committed, w.committed), true
+		return fmt.Sprintf("the store returned an older state: committed version %d after %d", head.Committed, w.committed), true
 	case head.HighestUsed < w.highestUsed:
-		return fmt.Sprintf("the store went back: highest version %d after %d", head.HighestUsed, w.highestUsed), true
+		return fmt.Sprintf("the store returned an older state: highest version %d after %d", head.HighestUsed, w.highestUsed), true
 	case head.Generation < w.generation:
-		return fmt.Sprintf("the store went back: head generation %d after %d", head.Generation, w.generation), true
+		return fmt.Sprintf("the store returned an older state: head generation %d after %d", head.Generation, w.generation), true
 	default:
 		return "", false
 	}
