--- a/pkg/rollout/watermark.go
+++ b/pkg/rollout/watermark.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// watermark keeps the highest numbers seen in any head.
+// watermark holds the highest numbers seen in any head.
 type watermark struct {
 	generation  uint64
 	committed   Version
@@ -15,16 +15,16 @@
 	w.highestUsed = max(w.highestUsed, head.HighestUsed)
 }
 
-// regression reports whether a head takes back what an earlier one said,
-// and describes how. A store that was restored from an older copy does that.
+// regression reports whether a head has a lower number than an earlier one,
+// and describes which. It happens after a store was restored from an older copy.
 func (w *watermark) regression(head Head) (string, bool) {
 	switch {
 	case head.Committed < w.committed:
-		return fmt.Sprintf("the store went back: committed version %d after %d", head.Committed, w.committed), true
+		return fmt.Sprintf("the store returned an older state: committed version %d after %d", head.Committed, w.committed), true
 	case head.HighestUsed < w.highestUsed:
-		return fmt.Sprintf("the store went back: highest version %d after %d", head.HighestUsed, w.highestUsed), true
+		return fmt.Sprintf("the store returned an older state: highest version %d after %d", head.HighestUsed, w.highestUsed), true
 	case head.Generation < w.generation:
-		return fmt.Sprintf("the store went back: head generation %d after %d", head.Generation, w.generation), true
+		return fmt.Sprintf("the store returned an older state: head generation %d after %d", head.Generation, w.generation), true
 	default:
 		return "", false
 	}
