--- a/internal/command/apply/run.go
+++ b/internal/command/apply/run.go
@@ -165,7 +165,7 @@
 		a.terminal.Progress("no node answers: %v", err)
 		return nil
 	}
-	a.versions.NoteHead(controlpb.HeadOf(answer.GetHead()))
+	a.versions.ObserveHead(controlpb.HeadOf(answer.GetHead()))
 	head, _, err := a.versions.ReadHead(ctx, true)
 	if err != nil {
 		return a.stop(exit.OfRead(err), "nothing was written: "+err.Error()+restoreHint(err))
--- a/internal/control/versions.go
+++ b/internal/control/versions.go
@@ -19,7 +19,7 @@
 // headAdvanced wakes everything that waits for a newer head.
 func (n *Node) headAdvanced(head rollout.Head) {
 	if n.versions != nil {
-		n.versions.NoteHead(head)
+		n.versions.ObserveHead(head)
 	}
 	n.waiters.wake()
 	n.kick()
--- a/pkg/versionstore/head.go
+++ b/pkg/versionstore/head.go
@@ -35,9 +35,9 @@
 	return state.head, state.waitIndex, err
 }
 
-// NoteHead takes in a head learned from elsewhere, such as another node, so
+// ObserveHead takes in a head learned from elsewhere, such as another node, so
 // that a store that is behind it is noticed.
-func (v *VersionStore) NoteHead(head rollout.Head) { v.guard.learn(head) }
+func (v *VersionStore) ObserveHead(head rollout.Head) { v.guard.learn(head) }
 
 // NewestHead returns the newest head seen or noted; it is not read from the store.
 func (v *VersionStore) NewestHead() rollout.Head { return v.guard.newest() }
--- a/pkg/versionstore/restore_test.go
+++ b/pkg/versionstore/restore_test.go
@@ -26,7 +26,7 @@
 	requireType(t, err, versionstore.ErrStoreRegressed)
 
 	newcomer := open(backend)
-	newcomer.NoteHead(known)
+	newcomer.ObserveHead(known)
 	_, _, err = newcomer.ReadHead(t.Context(), true)
 	requireType(t, err, versionstore.ErrStoreRegressed)
 
