--- a/pkg/versionstore/benchmark_test.go
+++ b/pkg/versionstore/benchmark_test.go
@@ -7,7 +7,7 @@
 	"github.com/levertide/levertide/pkg/store/memory"
 )
 
-// benchmarkResources is two resources for each service name.
+// benchmarkServices is the number of service names; each has two resources.
 const benchmarkServices = 100
 
 func BenchmarkProposeAndCommitOneChange(b *testing.B) {
--- a/pkg/versionstore/compression.go
+++ b/pkg/versionstore/compression.go
@@ -9,8 +9,8 @@
 const (
 	// maxRecordBytes bounds a version record once it is decompressed.
 	maxRecordBytes = 4 << 20
-	// compressionWindow is how far back the compressor looks, in bytes. It
-	// bounds the memory of both sides.
+	// compressionWindow is the size of the match window in bytes. It bounds the
+	// memory of compressor and decompressor.
 	compressionWindow = 256 << 10
 )
 
@@ -27,7 +27,7 @@
 		zstd.WithLowerEncoderMem(true),
 	)
 	if err != nil {
-		panic(fmt.Sprintf("versionstore: the compressor's options are wrong: %v", err))
+		panic(fmt.Sprintf("versionstore: invalid zstd compressor options: %v", err))
 	}
 	return encoder
 }
@@ -39,15 +39,15 @@
 		zstd.WithDecoderMaxMemory(maxRecordBytes),
 	)
 	if err != nil {
-		panic(fmt.Sprintf("versionstore: the decompressor's options are wrong: %v", err))
+		panic(fmt.Sprintf("versionstore: invalid zstd decompressor options: %v", err))
 	}
 	return decoder
 }
 
-// compress returns what is stored of a version record.
+// compress returns the stored form of an encoded version record.
 func compress(plain []byte) []byte { return compressor.EncodeAll(plain, nil) }
 
-// decompress returns ErrCorrupt for what compress did not write, and for a
+// decompress returns ErrCorrupt for data that compress did not write, and for a
 // record larger than maxRecordBytes.
 func decompress(stored []byte) ([]byte, error) {
 	plain, err := decompressor.DecodeAll(stored, nil)
--- a/pkg/versionstore/config.go
+++ b/pkg/versionstore/config.go
@@ -19,31 +19,32 @@
 	DefaultMaximumPause     = 2 * time.Second
 )
 
-// Config configures a VersionStore; zero fields other than Store take the defaults.
+// Config configures a VersionStore. Zero fields other than Store get the defaults.
 type Config struct {
-	// Store is the platform's key-value service. A store that is a
-	// *ratelimit.View keeps its limiter; any other gets one with Rate.
+	// Store is the platform's key-value service. A *ratelimit.View keeps its own
+	// limiter; any other store is wrapped in one that uses Rate.
 	Store store.Store
-	// Prefix is put before all keys and ends with a slash.
+	// Prefix is prepended to all keys and ends with a slash.
 	Prefix string
 	// Rate bounds the requests sent to Store.
 	Rate ratelimit.Options
 	// Retain is how many of the newest versions are kept besides those that
-	// the head names. SweepSlack is how many more may gather before Sweep
+	// the head names. SweepSlack is how many more may accumulate before Sweep
 	// removes them.
 	Retain     int
 	SweepSlack int
 	// MaxResources and MaxResourceBytes bound one version.
 	MaxResources     int
 	MaxResourceBytes int
-	// SettleTimeout bounds how long the store is read back after a lost answer.
+	// SettleTimeout bounds how long a write is read back or repeated after its
+	// response was lost.
 	SettleTimeout time.Duration
-	// MinimumPause and MaximumPause bound the pauses, with full jitter, between
-	// attempts to read back.
+	// MinimumPause and MaximumPause are the first and the largest bound of the
+	// pauses, with full jitter, between such attempts.
 	MinimumPause time.Duration
 	MaximumPause time.Duration
-	// Now returns the wall clock for the times shown to people; nothing is
-	// decided by it. Nil means time.Now.
+	// Now returns the wall clock for the times shown to people; no decision
+	// depends on it. Nil means time.Now.
 	Now func() time.Time
 }
 
@@ -70,7 +71,7 @@
 	}
 }
 
-// VersionStore reads and writes versions. It may be used by several goroutines.
+// VersionStore reads and writes versions. It is safe for concurrent use.
 type VersionStore struct {
 	config       Config
 	store        store.Store
--- a/pkg/versionstore/content.go
+++ b/pkg/versionstore/content.go
@@ -6,7 +6,7 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// content is a checked set of resources, ready to be written.
+// content is a validated and encoded set of resources, ready to be written.
 type content struct {
 	references []ResourceReference
 	values     map[model.Digest][]byte
@@ -16,17 +16,17 @@
 // newContent checks the resources against the limits and encodes them.
 func newContent(resources []model.Resource, config Config) (content, error) {
 	if len(resources) == 0 {
-		return content{}, ErrInvalidRequest.New("a version without resources is refused")
+		return content{}, ErrInvalidRequest.New("a version needs at least one resource")
 	}
 	if len(resources) > config.MaxResources {
 		return content{}, ErrTooLarge.New("%d resources exceed the limit of %d", len(resources), config.MaxResources)
 	}
-	whole, err := snapshot.New(0, resources)
+	complete, err := snapshot.New(0, resources)
 	if err != nil {
-		return content{}, ErrInvalidRequest.Wrap(err, "the resources are no valid set")
+		return content{}, ErrInvalidRequest.Wrap(err, "the resources do not form a valid snapshot")
 	}
-	result := content{values: make(map[model.Digest][]byte, whole.Len()), digest: whole.Digest()}
-	for resource := range whole.Resources() {
+	result := content{values: make(map[model.Digest][]byte, complete.Len()), digest: complete.Digest()}
+	for resource := range complete.Resources() {
 		value, digest := model.Encode(resource)
 		if len(value) > config.MaxResourceBytes {
 			return content{}, ErrTooLarge.New("%s takes %d bytes, the limit is %d", resource.Key, len(value), config.MaxResourceBytes)
@@ -37,8 +37,9 @@
 	return result, nil
 }
 
-// writes returns the transactions that store what known does not hold yet.
-func (v *VersionStore) writes(of content, known []ResourceReference) [][]store.Operation {
+// missingWrites returns the transactions, within the size limits of the store,
+// that write the resources of set whose content known does not reference.
+func (v *VersionStore) missingWrites(set content, known []ResourceReference) [][]store.Operation {
 	stored := make(map[model.Digest]bool, len(known))
 	for _, reference := range known {
 		stored[reference.Digest] = true
@@ -46,7 +47,7 @@
 	var batches [][]store.Operation
 	var batch []store.Operation
 	size := 0
-	for _, reference := range of.references {
+	for _, reference := range set.references {
 		if stored[reference.Digest] {
 			continue
 		}
@@ -54,7 +55,7 @@
 		operation := store.Operation{
 			Verb:  store.VerbSet,
 			Key:   v.resourceKey(reference.Digest),
-			Value: of.values[reference.Digest],
+			Value: set.values[reference.Digest],
 		}
 		full := len(batch) == store.MaxTransactionOperations || size+operation.EncodedSize() > store.MaxTransactionBytes
 		if full {
--- a/pkg/versionstore/decide.go
+++ b/pkg/versionstore/decide.go
@@ -10,14 +10,15 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// decideAttempts bounds how often a decision starts over after the head moved.
+// decideAttempts bounds the attempts at a commit or abort when the head changes
+// concurrently.
 const decideAttempts = 3
 
-// maxReasonBytes bounds the reason kept in the head and in the version record.
+// maxReasonBytes bounds the rejection reason stored in the head and in the version record.
 const maxReasonBytes = 1 << 10
 
-// Commit makes a proposed version the committed one. Committing what is
-// committed already returns the head as it is. ErrConflict tells that the
+// Commit makes a proposed version the committed one. If it is
+// already committed, the current head is returned. ErrConflict means that the
 // version is not the one proposed under applyID.
 func (v *VersionStore) Commit(ctx context.Context, version rollout.Version, applyID string) (rollout.Head, error) {
 	return v.decide(ctx, version, ApplyCommitted, func(state headState) (headChange, bool, error) {
@@ -36,9 +37,9 @@
 	})
 }
 
-// Abort gives up a proposed version, whose number is never used again.
-// Aborting what is aborted already returns the head as it is. ErrConflict
-// tells that the version is not proposed any more.
+// Abort rejects a proposed version, whose number is never used again. If it was
+// the last version to be aborted, the current head is returned. ErrConflict
+// means that the version is not proposed any more.
 func (v *VersionStore) Abort(ctx context.Context, version rollout.Version, rejection rollout.Rejection) (rollout.Head, error) {
 	return v.decide(ctx, version, ApplyAborted, func(state headState) (headChange, bool, error) {
 		last := state.head.LastRejected
@@ -48,7 +49,7 @@
 		if state.head.Proposed != version {
 			return headChange{}, false, notProposed(state.head, version)
 		}
-		change, err := v.abortion(ctx, state, rejection)
+		change, err := v.abortChange(ctx, state, rejection)
 		return change, false, err
 	})
 }
@@ -58,16 +59,17 @@
 		version, head.Committed, head.Proposed), head)
 }
 
-// decide reads the head, lets plan build the change and carries it out. plan
-// reports done when the head needs no change.
+// decide commits or aborts a version: it reads the head, lets plan build the
+// change and applies it. plan returns done when the head needs no change.
+// intended is the phase of the version that the change leads to.
 func (v *VersionStore) decide(
 	ctx context.Context,
 	version rollout.Version,
-	wanted ApplyPhase,
+	intended ApplyPhase,
 	plan func(headState) (change headChange, done bool, err error),
 ) (rollout.Head, error) {
 	if version == 0 {
-		return rollout.Head{}, ErrInvalidRequest.New("version zero stands for none and cannot be decided")
+		return rollout.Head{}, ErrInvalidRequest.New("version 0 stands for no version and can be neither committed nor aborted")
 	}
 	state, err := v.readHead(ctx, store.ReadOptions{Consistent: true})
 	for attempt := 0; err == nil && attempt < decideAttempts; attempt++ {
@@ -83,34 +85,34 @@
 		case swapDone:
 			return change.to, nil
 		case swapSuperseded:
-			return v.supersededDecision(ctx, version, wanted, outcome.found.head)
+			return v.supersededDecision(ctx, version, intended, outcome.found.head)
 		}
 		state, err = v.readHead(ctx, store.ReadOptions{Consistent: true})
 	}
 	if err != nil {
 		return rollout.Head{}, err
 	}
-	return rollout.Head{}, withHead(ErrConflict.New("the head moved while version %d was decided", version), v.guard.newest())
+	return rollout.Head{}, withHead(ErrConflict.New("the head changed during each attempt to commit or abort version %d", version), v.guard.newest())
 }
 
-// supersededDecision tells, from the version's own record, how it was decided.
-// The caller's write may be what decided it, so that a failure to read leaves
-// the outcome unknown.
-func (v *VersionStore) supersededDecision(ctx context.Context, version rollout.Version, wanted ApplyPhase, head rollout.Head) (rollout.Head, error) {
+// supersededDecision determines from the version's own record whether it was
+// committed or aborted. The caller's write may have done that, so a failure to
+// read leaves the outcome unknown.
+func (v *VersionStore) supersededDecision(ctx context.Context, version rollout.Version, intended ApplyPhase, head rollout.Head) (rollout.Head, error) {
 	record, err := v.ReadVersion(ctx, version)
 	if err != nil {
-		return rollout.Head{}, ErrUnknownOutcome.Wrap(err, "how version %d was decided could not be read back", version)
+		return rollout.Head{}, ErrUnknownOutcome.Wrap(err, "whether version %d was committed or aborted could not be read back", version)
 	}
-	if phaseOf(record, head) != wanted {
+	if phaseOf(record, head) != intended {
 		return head, notProposed(head, version)
 	}
 	return head, nil
 }
 
-// abortion builds the change that rejects the proposed version, in the head
-// and in the version's own record. A record that cannot be read does not keep
-// the version from being aborted.
-func (v *VersionStore) abortion(ctx context.Context, state headState, rejection rollout.Rejection) (headChange, error) {
+// abortChange builds the change that rejects the proposed version, in the head
+// and in the version's own record. If the record is missing or corrupt, only the
+// head is changed, so that the version can still be aborted.
+func (v *VersionStore) abortChange(ctx context.Context, state headState, rejection rollout.Rejection) (headChange, error) {
 	now := v.config.Now()
 	rejection.Version = state.head.Proposed
 	rejection.ApplyID = state.head.ApplyID
@@ -136,7 +138,7 @@
 	if err != nil {
 		return headChange{}, err
 	}
-	change.with = []store.Operation{{
+	change.additional = []store.Operation{{
 		Verb:  store.VerbCompareAndSwap,
 		Key:   v.versionKey(rejection.Version),
 		Value: value,
--- a/pkg/versionstore/example_test.go
+++ b/pkg/versionstore/example_test.go
@@ -11,8 +11,8 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// Two operators build on the same version. One of them succeeds, and the
-// other is told what it was overtaken by.
+// Two operators build on the same version. One succeeds; the other gets
+// ErrConflict with the current head.
 func Example() {
 	ctx := context.Background()
 	versions := versionstore.New(versionstore.Config{Store: memory.New(memory.Options{})})
--- a/pkg/versionstore/guard.go
+++ b/pkg/versionstore/guard.go
@@ -6,7 +6,7 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// guard remembers the newest head seen, and tells when the store has gone back.
+// guard remembers the newest head seen and detects a regression of the store.
 type guard struct {
 	mutex sync.Mutex
 	seen  rollout.Head
@@ -19,8 +19,8 @@
 	return g.seen
 }
 
-// learn takes in a head that was once in the store.
-func (g *guard) learn(head rollout.Head) {
+// observe records a head that was once in the store, if it is the newest.
+func (g *guard) observe(head rollout.Head) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if head.Generation > g.seen.Generation {
@@ -28,21 +28,21 @@
 	}
 }
 
-// check compares a head with the newest one that was seen before its read
-// began. An older head that is newer than that is an answer that crossed
-// another on the way, not a regression.
+// check compares a head with seenBefore, the newest one seen before its read
+// began. A head that is newer than seenBefore but older than one seen since is a
+// response overtaken by another one, not a regression.
 func (g *guard) check(found, seenBefore rollout.Head) error {
 	if Regressed(found, seenBefore) {
 		return withHead(ErrStoreRegressed.New(
 			"the store holds head %d with version %d committed, but head %d with version %d was seen before",
 			found.Generation, found.Committed, seenBefore.Generation, seenBefore.Committed), found)
 	}
-	g.learn(found)
+	g.observe(found)
 	return nil
 }
 
-// Regressed reports whether a store that holds found has gone back behind
-// seen, a head that it held before, or gives another history since.
+// Regressed reports whether a store that holds found is older than seen, a head
+// that it held before, or has a history that diverges from seen.
 func Regressed(found, seen rollout.Head) bool {
 	switch {
 	case found.Generation < seen.Generation:
@@ -54,7 +54,8 @@
 	}
 }
 
-// sameHead compares all that decides anything; times are left out.
+// sameHead compares all fields that affect the rollout. Times and the last
+// rejection are left out.
 func sameHead(a, b rollout.Head) bool {
 	return a.Generation == b.Generation &&
 		a.Committed == b.Committed &&
--- a/pkg/versionstore/head.go
+++ b/pkg/versionstore/head.go
@@ -10,12 +10,12 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// headState is the head and what is needed to replace it.
+// headState is the head with the store indexes needed to replace it and to wait on it.
 type headState struct {
 	head rollout.Head
-	// modifyIndex is compared when the head is replaced; zero when there is none.
+	// modifyIndex is compared when the head is replaced; zero when the store holds no head.
 	modifyIndex uint64
-	// waitIndex is what a blocking read waits on.
+	// waitIndex is the index that a blocking read waits to be passed.
 	waitIndex uint64
 }
 
@@ -28,22 +28,22 @@
 }
 
 // WatchHead returns as soon as the head's index has passed index, or after
-// wait, with the head of that moment and the next index to wait on. The index
-// may go back after the platform's store was restored.
+// wait, with the current head and the next index to wait on. The index may
+// decrease after the platform's store is restored from a backup.
 func (v *VersionStore) WatchHead(ctx context.Context, index uint64, wait time.Duration) (rollout.Head, uint64, error) {
 	state, err := v.readHead(ctx, store.ReadOptions{WaitIndex: index, Wait: wait})
 	return state.head, state.waitIndex, err
 }
 
-// ObserveHead takes in a head learned from elsewhere, such as another node, so
-// that a store that is behind it is noticed.
-func (v *VersionStore) ObserveHead(head rollout.Head) { v.guard.learn(head) }
+// ObserveHead records a head learned from elsewhere, such as another node, so
+// that a store that is behind it is reported as regressed.
+func (v *VersionStore) ObserveHead(head rollout.Head) { v.guard.observe(head) }
 
-// NewestHead returns the newest head seen or noted; it is not read from the store.
+// NewestHead returns the newest head read or observed so far; it does not read the store.
 func (v *VersionStore) NewestHead() rollout.Head { return v.guard.newest() }
 
-// readHead reads the head and checks it. An answer that looks older may come
-// from a lagging server, so a regression is only reported after a consistent read.
+// readHead reads the head and checks it for regression. An older head may come
+// from a lagging store server, so a regression is only reported after a consistent read.
 func (v *VersionStore) readHead(ctx context.Context, options store.ReadOptions) (headState, error) {
 	state, err := v.readCheckedHead(ctx, options)
 	if errorx.IsOfType(err, ErrStoreRegressed) && !options.Consistent {
--- a/pkg/versionstore/keys.go
+++ b/pkg/versionstore/keys.go
@@ -18,7 +18,8 @@
 	resourceDirectory = "resource/"
 )
 
-// versionDigits makes the order of keys that of numbers.
+// versionDigits is the zero-padded width of version numbers in keys, so that keys
+// sort in numeric order.
 const versionDigits = 20
 
 func (v *VersionStore) headKey() string  { return v.config.Prefix + headName }
@@ -32,24 +33,24 @@
 	return v.config.Prefix + resourceDirectory + digest.String()
 }
 
-// versionOfKey reads the number out of a key below versionDirectory.
+// versionOfKey parses the version number in a key below versionDirectory.
 func (v *VersionStore) versionOfKey(key string) (rollout.Version, error) {
 	text := strings.TrimPrefix(key, v.config.Prefix+versionDirectory)
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, ErrCorrupt.New("%s is no version's key", key)
+		return 0, ErrCorrupt.New("%s is not the key of a version record", key)
 	}
 	return version, nil
 }
 
-// parseDigest reads a digest in hexadecimal.
+// parseDigest parses a hexadecimal digest.
 func parseDigest(text string) (model.Digest, error) {
 	var digest model.Digest
 	if hex.DecodedLen(len(text)) != len(digest) {
-		return digest, ErrCorrupt.New("%q is no digest", text)
+		return digest, ErrCorrupt.New("%q is not a hexadecimal digest", text)
 	}
 	if _, err := hex.Decode(digest[:], []byte(text)); err != nil {
-		return digest, ErrCorrupt.New("%q is no digest", text)
+		return digest, ErrCorrupt.New("%q is not a hexadecimal digest", text)
 	}
 	return digest, nil
 }
--- a/pkg/versionstore/load.go
+++ b/pkg/versionstore/load.go
@@ -12,11 +12,11 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// listThreshold is how many missing resources make one listing of them all
-// cheaper than batches.
+// listThreshold is the number of missing resources above which listing all
+// stored resources in one request is cheaper than fetching them in batches.
 const listThreshold = 4 * store.MaxTransactionOperations
 
-// recordsPerRequest bounds the size of an answer that holds version records.
+// recordsPerRequest bounds the size of a response that holds version records.
 const recordsPerRequest = 8
 
 // ReadVersion returns the record of one version, or ErrVersionNotFound.
@@ -37,8 +37,8 @@
 	return record, found.ModifyIndex, err
 }
 
-// ListVersions returns the newest versions that the store keeps, the newest
-// first and at most limit of them.
+// ListVersions returns the records of at most limit versions in the store,
+// newest first. A negative limit returns all of them.
 func (v *VersionStore) ListVersions(ctx context.Context, limit int) ([]VersionRecord, error) {
 	keys, err := v.store.ListKeys(ctx, v.config.Prefix+versionDirectory)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return readRecords(ctx, v.store, keys)
 }
 
-// readRecords reads version records in batches; those removed meanwhile are left out.
+// readRecords reads version records in batches; records removed in the meantime are left out.
 func readRecords(ctx context.Context, from store.Store, keys []string) ([]VersionRecord, error) {
 	var records []VersionRecord
 	for batch := range slices.Chunk(keys, recordsPerRequest) {
@@ -70,30 +70,31 @@
 	return records, nil
 }
 
-// LoadSnapshot returns the whole snapshot of a version. Resources that base
-// holds with the same content are taken from it; base may be nil.
+// LoadSnapshot returns the complete snapshot of a version. Resources that base
+// holds with the same content are reused instead of fetched; base may be nil.
 func (v *VersionStore) LoadSnapshot(ctx context.Context, version rollout.Version, base *snapshot.Snapshot) (*snapshot.Snapshot, error) {
 	record, err := v.ReadVersion(ctx, version)
 	if err != nil {
 		return nil, err
 	}
-	resources, missing := takeFrom(base, record.Resources)
+	resources, missing := reuseFromBase(base, record.Resources)
 	fetched, err := v.fetch(ctx, missing)
 	if err != nil {
 		return nil, err
 	}
 	loaded, err := snapshot.New(version, append(resources, fetched...))
 	if err != nil {
-		return nil, ErrCorrupt.Wrap(err, "version %d does not hold together", version)
+		return nil, ErrCorrupt.Wrap(err, "the resources of version %d do not form a valid snapshot", version)
 	}
 	if loaded.Digest() != record.Snapshot {
-		return nil, ErrCorrupt.New("version %d does not match its digest", version)
+		return nil, ErrCorrupt.New("the snapshot of version %d does not match the digest in its record", version)
 	}
 	return loaded, nil
 }
 
-// takeFrom splits references into the resources that base holds and those that it lacks.
-func takeFrom(base *snapshot.Snapshot, references []ResourceReference) (held []model.Resource, missing []ResourceReference) {
+// reuseFromBase splits references into the resources that base holds with the
+// same digest and the references that have to be fetched.
+func reuseFromBase(base *snapshot.Snapshot, references []ResourceReference) (held []model.Resource, missing []ResourceReference) {
 	if base == nil {
 		return nil, references
 	}
@@ -125,7 +126,7 @@
 	return resources, nil
 }
 
-// fetchValues returns the stored bytes of the referenced resources by key.
+// fetchValues returns the stored bytes of the referenced resources by store key.
 func (v *VersionStore) fetchValues(ctx context.Context, references []ResourceReference) (map[string][]byte, error) {
 	values := make(map[string][]byte, len(references))
 	collect := func(records []store.Record, err error) error {
@@ -158,7 +159,7 @@
 		return model.Resource{}, ErrCorrupt.Wrap(err, "the content of %s cannot be read", reference.Key)
 	}
 	if resource.Key != reference.Key {
-		return model.Resource{}, ErrCorrupt.New("the content of %s names %s", reference.Key, resource.Key)
+		return model.Resource{}, ErrCorrupt.New("the content stored for %s belongs to %s", reference.Key, resource.Key)
 	}
 	return resource, nil
 }
--- a/pkg/versionstore/machine_test.go
+++ b/pkg/versionstore/machine_test.go
@@ -13,7 +13,7 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// disturbance is what happens to, or just before, one request.
+// disturbance is a fault of one request, or a concurrent event just before it.
 type disturbance uint8
 
 const (
@@ -30,7 +30,8 @@
 	disturbances
 )
 
-// machine drives a version store against a simple model of the head.
+// machine compares a version store, the client, with a simple model of the head,
+// while a second version store, the rival, writes concurrently.
 type machine struct {
 	backend *memory.Store
 	client  *versionstore.VersionStore
@@ -38,10 +39,12 @@
 
 	plan    []disturbance
 	applies int
-	// rivalAccepted is the version that a rival's proposal was given meanwhile.
+	// rivalAccepted is the version assigned to a proposal of the rival during
+	// the current action.
 	rivalAccepted rollout.Version
 	rivalApplyID  string
-	// rivalDecided is how a rival decided the proposed version meanwhile.
+	// rivalDecided is the phase into which the rival brought the proposed version
+	// during the current action.
 	rivalDecided versionstore.ApplyPhase
 	deciding     bool
 
@@ -73,7 +76,7 @@
 	}
 	next := m.plan[0]
 	rest := m.plan[1:]
-	m.plan = nil // what a disturbance does is not disturbed itself
+	m.plan = nil // requests made by a disturbance are not disturbed
 	defer func() { m.plan = rest }()
 	switch next {
 	case refuse:
@@ -116,7 +119,7 @@
 	}
 }
 
-// rivalDecides commits or aborts the version that the client is deciding on.
+// rivalDecides commits or aborts the version that the client is committing or aborting.
 func (m *machine) rivalDecides(decision disturbance) {
 	if !m.deciding {
 		return
@@ -134,7 +137,7 @@
 	}
 }
 
-// disturb draws what happens to the requests of the next action.
+// disturb draws the disturbances of the requests of the next action.
 func (m *machine) disturb(t *rapid.T) {
 	m.rivalAccepted, m.rivalDecided = 0, versionstore.ApplyNotWritten
 	for _, drawn := range rapid.SliceOfN(rapid.Uint8Range(0, uint8(disturbances)-1), 0, 10).Draw(t, "disturbances") {
@@ -142,8 +145,8 @@
 	}
 }
 
-// settleRival takes what a rival did meanwhile into the model.
-func (m *machine) settleRival(t *rapid.T) {
+// applyRivalProposal adds a proposal that the rival made during the action to the model.
+func (m *machine) applyRivalProposal(t *rapid.T) {
 	m.plan = nil
 	if m.rivalAccepted != 0 {
 		m.accept(t, m.rivalApplyID, m.rivalAccepted, "rival")
@@ -169,7 +172,7 @@
 	content := rapid.SampledFrom([]string{"ledger", "archive", "listings"}).Draw(t, "content")
 	m.disturb(t)
 	result, err := m.client.Propose(background, request(applyID, base, content))
-	m.settleRival(t)
+	m.applyRivalProposal(t)
 	switch {
 	case err == nil && base != m.head.Committed:
 		t.Fatalf("a proposal based on %d was accepted over %d", base, m.head.Committed)
@@ -177,9 +180,9 @@
 		m.accept(t, applyID, result.Version, content)
 	case store.NotWritten(err):
 	case base != m.head.Committed:
-		requireRapid(t, err, versionstore.ErrConflict)
+		requireTypeInRapid(t, err, versionstore.ErrConflict)
 	case m.head.Proposed != 0:
-		requireRapid(t, err, versionstore.ErrRolloutInProgress)
+		requireTypeInRapid(t, err, versionstore.ErrRolloutInProgress)
 	default:
 		t.Fatalf("a proposal on top of %+v gave %v", m.head, err)
 	}
@@ -199,8 +202,8 @@
 	})
 }
 
-// decide commits or aborts while a rival may do either. Both may succeed only
-// if they decide alike.
+// decide commits or aborts while the rival may do either. Both may succeed only
+// if they make the same decision.
 func (m *machine) decide(t *rapid.T, phase versionstore.ApplyPhase, carryOut func() error) {
 	if m.head.Proposed == 0 {
 		return
@@ -221,10 +224,10 @@
 	case !store.NotWritten(err):
 		t.Fatalf("%v on top of %+v gave %v", phase, m.head, err)
 	}
-	m.settleRival(t)
+	m.applyRivalProposal(t)
 }
 
-// readBack tells how the version was decided when the client could not.
+// readBack resolves whether the version was committed or aborted after an unknown outcome.
 func (m *machine) readBack(t *rapid.T) versionstore.ApplyPhase {
 	state, err := m.client.Resolve(background, m.head.ApplyID)
 	if err != nil || state.Phase == versionstore.ApplyNotWritten || state.Phase == versionstore.ApplyProposed {
@@ -257,7 +260,8 @@
 	}
 }
 
-// check compares the store with the model, and that both named versions load whole.
+// check compares the store with the model, and checks that the committed and the
+// proposed version can be loaded completely.
 func (m *machine) check(t *rapid.T) {
 	head, _, err := m.client.ReadHead(background, true)
 	if err != nil {
@@ -280,7 +284,7 @@
 	}
 }
 
-func requireRapid(t *rapid.T, err error, want *errorx.Type) {
+func requireTypeInRapid(t *rapid.T, err error, want *errorx.Type) {
 	if !errorx.IsOfType(err, want) {
 		t.Fatalf("got error %v, want %s", err, want.FullName())
 	}
--- a/pkg/versionstore/main_test.go
+++ b/pkg/versionstore/main_test.go
@@ -20,8 +20,8 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// Fixed, so that each run checks the same; more steps than by default, so
-	// that writes held back come to meet later ones.
+	// The seed is fixed so that each run checks the same cases. There are more
+	// steps than by default, so that held-back writes are delivered after later ones.
 	for name, value := range map[string]string{
 		"rapid.seed":       "1",
 		"rapid.checks":     "400",
@@ -35,10 +35,10 @@
 	os.Exit(m.Run())
 }
 
-// unlimited keeps the client-side rate limit out of tests of other things.
+// unlimited disables the client-side rate limit, which these tests do not cover.
 var unlimited = ratelimit.Options{RequestsPerSecond: 1e9, Burst: 1e9, MinimumPause: 1, MaximumPause: 1}
 
-// open returns a version store that never waits long.
+// open returns a version store without rate limit and with minimal pauses.
 func open(over store.Store) *versionstore.VersionStore {
 	return versionstore.New(versionstore.Config{
 		Store:        over,
@@ -72,7 +72,7 @@
 	}
 }
 
-// publish proposes and commits, and returns the version.
+// publish proposes and commits a version and returns its number.
 func publish(t *testing.T, versions *versionstore.VersionStore, applyID string, names ...string) rollout.Version {
 	t.Helper()
 	proposed, err := versions.Propose(t.Context(), request(applyID, versions.NewestHead().Committed, names...))
@@ -92,7 +92,8 @@
 	}
 }
 
-// oneFault returns an Intercept that breaks the n-th request of one kind, counted from one.
+// oneFault returns an Intercept that injects fault into the n-th request of one
+// kind, counted from one.
 func oneFault(kind memory.RequestKind, n int, fault memory.Fault) func(memory.Request) memory.Fault {
 	return func(request memory.Request) memory.Fault {
 		if request.Kind != kind {
--- a/pkg/versionstore/propose.go
+++ b/pkg/versionstore/propose.go
@@ -10,67 +10,67 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// proposeAttempts bounds how often a proposal starts over because old
-// versions were swept at the same time.
+// proposeAttempts bounds the attempts at a proposal when a concurrent sweep of
+// old versions makes it start over.
 const proposeAttempts = 5
 
 // ProposeRequest asks for a set of resources to become the next version.
 type ProposeRequest struct {
-	// ApplyID is unique to this apply. A request that is sent again under the
-	// same identifier is not written twice.
+	// ApplyID is unique to this apply. A request that is repeated with the same
+	// identifier is not written twice.
 	ApplyID  string
 	Operator string
 	// Base is the version that the resources were based on; it must still be
 	// the committed one.
 	Base      rollout.Version
 	Resources []model.Resource
-	// KnownHead is set only after the platform's store was restored from an
-	// older copy: the newest head that the nodes hold. A store that is behind
-	// it is then brought past it instead of being refused, and what was
-	// proposed in it or in the store is given up.
+	// KnownHead is the newest head that the nodes hold. It is set only after the
+	// platform's store was restored from an older copy. A store that is behind
+	// KnownHead is then advanced past it instead of being refused, and a version
+	// proposed in KnownHead or in the store is abandoned.
 	KnownHead *rollout.Head
 }
 
-// ProposeResult says what an apply became.
+// ProposeResult is the result of a proposal.
 type ProposeResult struct {
-	// Version is the number given to the resources.
+	// Version is the number assigned to the set of resources.
 	Version rollout.Version
-	// Head is the newest head known to carry the proposal, or a later one.
+	// Head is the head that names the proposed version, or a later one.
 	Head rollout.Head
 }
 
 // Propose writes the resources and names them in the head as the version to
-// stage next. ErrConflict and ErrRolloutInProgress tell that nothing was
-// proposed, and so do errors that store.NotWritten reports. After
-// ErrUnknownOutcome, Resolve tells more.
+// stage next. ErrConflict, ErrRolloutInProgress and errors for which
+// store.NotWritten is true mean that nothing was proposed. After
+// ErrUnknownOutcome, Resolve can determine the outcome.
 func (v *VersionStore) Propose(ctx context.Context, request ProposeRequest) (ProposeResult, error) {
 	if request.ApplyID == "" {
-		return ProposeResult{}, ErrInvalidRequest.New("an apply needs an identifier")
+		return ProposeResult{}, ErrInvalidRequest.New("the apply has no identifier")
 	}
 	set, err := newContent(request.Resources, v.config)
 	if err != nil {
 		return ProposeResult{}, err
 	}
 	for range proposeAttempts {
-		result, again, err := v.proposeOnce(ctx, request, set)
-		if !again {
+		result, retry, err := v.proposeOnce(ctx, request, set)
+		if !retry {
 			return result, err
 		}
 	}
 	return ProposeResult{}, withHead(ErrConflict.New("the store changed during each attempt"), v.guard.newest())
 }
 
-// proposeOnce makes one attempt; again tells that it is worth another.
-func (v *VersionStore) proposeOnce(ctx context.Context, request ProposeRequest, set content) (result ProposeResult, again bool, err error) {
+// proposeOnce makes one attempt; retry is true when another one may succeed.
+func (v *VersionStore) proposeOnce(ctx context.Context, request ProposeRequest, set content) (result ProposeResult, retry bool, err error) {
 	state, sweepIndex, err := v.readForProposal(ctx, request)
 	if err != nil {
 		return ProposeResult{}, false, err
 	}
 	if refusal := checkProposal(state.head, request); refusal != nil {
-		result, err = v.writtenBefore(ctx, request, refusal)
+		result, err = v.resolveRefused(ctx, request, refusal)
 		return result, false, err
 	}
-	change, err := v.proposal(state, sweepIndex, request, set)
+	change, err := v.proposalChange(state, sweepIndex, request, set)
 	if err != nil {
 		return ProposeResult{}, false, err
 	}
@@ -113,25 +113,27 @@
 		state = headState{head: head, modifyIndex: record.ModifyIndex}
 	}
 	if known := request.KnownHead; known != nil && Regressed(state.head, *known) {
-		err := v.checkKnown(*known, state.head, seenBefore)
-		state.head = broughtPast(state.head, *known)
+		err := v.checkKnownHead(*known, state.head, seenBefore)
+		state.head = advancedPast(state.head, *known)
 		return state, sweepIndex, err
 	}
 	return state, sweepIndex, v.guard.check(state.head, seenBefore)
 }
 
-// checkKnown refuses a known head that is older than one seen before. What the
-// store still holds is no such evidence: it is the history to be brought past.
-func (v *VersionStore) checkKnown(known, found, seenBefore rollout.Head) error {
+// checkKnownHead refuses a known head that is older than one seen before. If the
+// newest head seen is the one still in the store, it is no evidence against the
+// known head, because it belongs to the history that the store is advanced past.
+func (v *VersionStore) checkKnownHead(known, found, seenBefore rollout.Head) error {
 	if sameHead(found, seenBefore) {
 		return nil
 	}
 	return v.guard.check(known, seenBefore)
 }
 
-// broughtPast returns the head to build on when the store has gone back: what
-// the nodes run, with generation and numbers that neither side has used.
-func broughtPast(found, known rollout.Head) rollout.Head {
+// advancedPast returns the head to build on when the store has regressed: the
+// one known to the nodes, with the higher generation and version number of both
+// histories, so that the next ones are unused in either.
+func advancedPast(found, known rollout.Head) rollout.Head {
 	next := known
 	next.Generation = max(found.Generation, known.Generation)
 	next.HighestUsed = max(found.HighestUsed, known.HighestUsed)
@@ -152,9 +154,9 @@
 	}
 }
 
-// writtenBefore tells a proposal that was refused because an earlier attempt
-// of the same apply took effect from one that was overtaken.
-func (v *VersionStore) writtenBefore(ctx context.Context, request ProposeRequest, refusal error) (ProposeResult, error) {
+// resolveRefused handles a refused proposal. If an earlier attempt of the same
+// apply took effect, it returns that attempt's result, otherwise the refusal.
+func (v *VersionStore) resolveRefused(ctx context.Context, request ProposeRequest, refusal error) (ProposeResult, error) {
 	state, err := v.Resolve(ctx, request.ApplyID)
 	if err != nil {
 		return ProposeResult{}, err
@@ -165,8 +167,9 @@
 	return ProposeResult{Version: state.Version, Head: state.Head}, nil
 }
 
-// proposal builds the change of the head, within the bounds of a transaction.
-func (v *VersionStore) proposal(state headState, sweepIndex uint64, request ProposeRequest, set content) (headChange, error) {
+// proposalChange builds the change that proposes the next version, or returns
+// ErrTooLarge when the version record exceeds the size limit of the store.
+func (v *VersionStore) proposalChange(state headState, sweepIndex uint64, request ProposeRequest, set content) (headChange, error) {
 	now := v.config.Now()
 	next := state.head
 	next.Generation++
@@ -190,28 +193,28 @@
 		return headChange{}, ErrTooLarge.New("the record of %d resources takes %d bytes, the limit is %d",
 			len(set.references), len(value), store.MaxValueBytes)
 	}
-	return headChange{from: state, to: next, with: []store.Operation{
+	return headChange{from: state, to: next, additional: []store.Operation{
 		{Verb: store.VerbCheckIndex, Key: v.sweepKey(), Index: sweepIndex},
 		{Verb: store.VerbCompareAndSwap, Key: v.versionKey(next.Proposed), Value: value},
 	}}, nil
 }
 
-// writeResources stores what the base version does not hold. Content-addressed
-// records may be written any number of times.
+// writeResources writes the resources that the base version does not reference.
+// They are content-addressed, so that writing them repeatedly is harmless.
 func (v *VersionStore) writeResources(ctx context.Context, set content, base rollout.Version) error {
-	known, err := v.knownReferences(ctx, base)
+	known, err := v.baseReferences(ctx, base)
 	if err != nil {
 		return err
 	}
-	for _, batch := range v.writes(set, known) {
-		if err := v.writeRepeatably(ctx, batch); err != nil {
+	for _, batch := range v.missingWrites(set, known) {
+		if err := v.writeIdempotent(ctx, batch); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (v *VersionStore) knownReferences(ctx context.Context, base rollout.Version) ([]ResourceReference, error) {
+func (v *VersionStore) baseReferences(ctx context.Context, base rollout.Version) ([]ResourceReference, error) {
 	if base == 0 {
 		return nil, nil
 	}
@@ -222,9 +225,9 @@
 	return record.Resources, err
 }
 
-// writeRepeatably sends operations whose repetition changes nothing until an
-// answer arrives.
-func (v *VersionStore) writeRepeatably(ctx context.Context, operations []store.Operation) error {
+// writeIdempotent sends idempotent operations, repeatedly until a response arrives
+// or SettleTimeout has passed.
+func (v *VersionStore) writeIdempotent(ctx context.Context, operations []store.Operation) error {
 	ctx, cancel := context.WithTimeout(ctx, v.config.SettleTimeout)
 	defer cancel()
 	for attempt := 0; ; attempt++ {
@@ -233,12 +236,13 @@
 			return err
 		}
 		if !v.pause(ctx, attempt) {
-			return store.ErrUnreachable.Wrap(err, "the resources could not be written, and no version names them")
+			return store.ErrUnreachable.Wrap(err, "the resources could not be written; no version references them")
 		}
 	}
 }
 
-// supersededProposal tells, from the version record, who was given the number.
+// supersededProposal determines from the version record which apply the number
+// was assigned to.
 func (v *VersionStore) supersededProposal(ctx context.Context, request ProposeRequest, version rollout.Version) (ProposeResult, error) {
 	record, err := v.ReadVersion(ctx, version)
 	if err != nil {
--- a/pkg/versionstore/record.go
+++ b/pkg/versionstore/record.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// ResourceReference names one resource of a version and its content.
+// ResourceReference identifies one resource of a version and its content.
 type ResourceReference struct {
 	Key    model.Key
 	Digest model.Digest
@@ -20,14 +20,14 @@
 	Number   rollout.Version
 	ApplyID  string
 	Operator string
-	// CreatedAt is the writer's wall clock, for people only.
+	// CreatedAt is the writer's wall clock, shown to people only.
 	CreatedAt time.Time
 	// Base is the version that the operator's files were based on.
 	Base      rollout.Version
 	Resources []ResourceReference
-	// Snapshot is the digest of the whole snapshot.
+	// Snapshot is the digest of the complete snapshot.
 	Snapshot model.Digest
-	// Rejection says why the version was aborted; nil when it was not.
+	// Rejection is why the version was aborted; nil if it was not.
 	Rejection *rollout.Rejection
 }
 
@@ -48,8 +48,8 @@
 	Rejection *rollout.Rejection `json:"rejection,omitempty"`
 }
 
-// encodeRecord writes a record as compressed JSON: most of it is digests in
-// hexadecimal and the names of fields.
+// encodeRecord encodes a record as JSON and compresses it, because most of it is
+// hexadecimal digests and field names.
 func encodeRecord(record VersionRecord) ([]byte, error) {
 	encoded := encodedRecord{
 		Number:    record.Number,
--- a/pkg/versionstore/requests_test.go
+++ b/pkg/versionstore/requests_test.go
@@ -7,7 +7,8 @@
 	"github.com/levertide/levertide/pkg/store/memory"
 )
 
-// TestRequestsOfEachStep holds the numbers that docs/STORE.md gives.
+// TestRequestsOfEachStep checks the number of store requests that docs/STORE.md
+// gives for each step.
 func TestRequestsOfEachStep(t *testing.T) {
 	versions := open(memory.New(memory.Options{}))
 	publish(t, versions, "apply-1", names(20)...)
@@ -18,7 +19,7 @@
 	steps := []struct {
 		name     string
 		requests uint64
-		carryOut func() error
+		run      func() error
 	}{
 		{"propose", 4, func() error {
 			_, err := versions.Propose(t.Context(), request("apply-2", 1, names(21)...))
@@ -59,7 +60,7 @@
 	}
 	for _, step := range steps {
 		before := versions.Requests()
-		if err := step.carryOut(); err != nil {
+		if err := step.run(); err != nil {
 			t.Fatalf("%s: %v", step.name, err)
 		}
 		if sent := versions.Requests() - before; sent != step.requests {
--- a/pkg/versionstore/resolve.go
+++ b/pkg/versionstore/resolve.go
@@ -8,17 +8,17 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// ApplyPhase says how far an apply has come.
+// ApplyPhase is the progress of an apply.
 type ApplyPhase uint8
 
 // The phases of an apply.
 const (
-	// ApplyNotWritten: no version that the store keeps belongs to the apply. A
-	// request that is still under way may change that.
+	// ApplyNotWritten: no version in the store belongs to the apply. A request
+	// still in flight may change that.
 	ApplyNotWritten ApplyPhase = iota
 	// ApplyProposed: its version is being staged.
 	ApplyProposed
-	// ApplyCommitted: its version is committed or was followed by a later one.
+	// ApplyCommitted: its version is committed, or was committed and then replaced by a later one.
 	ApplyCommitted
 	// ApplyAborted: its version was rejected and no node ran any of it.
 	ApplyAborted
@@ -40,51 +40,52 @@
 	}
 }
 
-// ApplyState is what became of one apply.
+// ApplyState is the state of one apply.
 type ApplyState struct {
 	Phase ApplyPhase
-	// Version is the number given to it; zero when it was not written.
+	// Version is the number assigned to the apply; zero when it was not written.
 	Version rollout.Version
 	// Rejection says why it was aborted, if it was.
 	Rejection *rollout.Rejection
-	// Head is the head on which the answer rests.
+	// Head is the head from which the state was determined.
 	Head rollout.Head
-	// Oldest is the version down to which every one was looked at. An apply
-	// that was based on a version lower than Oldest-1 may have been written and
+	// Oldest is the lowest version of the unbroken range that was searched. An
+	// apply based on a version lower than Oldest-1 may have been written and
 	// removed since.
 	Oldest rollout.Version
 }
 
-// Resolve tells what became of an apply by reading; it writes nothing.
+// Resolve returns the state of an apply. It only reads the store.
 func (v *VersionStore) Resolve(ctx context.Context, applyID string) (ApplyState, error) {
 	state, err := v.readHead(ctx, store.ReadOptions{Consistent: true})
 	if err != nil {
 		return ApplyState{}, err
 	}
 	if state.head.ApplyID == applyID {
-		return stateInHead(state.head, applyID), nil
+		return stateFromHead(state.head, applyID), nil
 	}
 	records, err := v.ListVersions(ctx, -1)
 	if err != nil {
 		return ApplyState{}, err
 	}
-	result := ApplyState{Head: state.head, Oldest: unbrokenFrom(records)}
-	place := slices.IndexFunc(records, func(record VersionRecord) bool { return record.ApplyID == applyID })
-	if place < 0 {
+	result := ApplyState{Head: state.head, Oldest: oldestContiguous(records)}
+	index := slices.IndexFunc(records, func(record VersionRecord) bool { return record.ApplyID == applyID })
+	if index < 0 {
 		return result, nil
 	}
-	record := records[place]
+	record := records[index]
 	result.Version, result.Rejection = record.Number, record.Rejection
 	result.Phase = phaseOf(record, state.head)
 	return result, nil
 }
 
-// unbrokenFrom returns the lowest number of the run without gaps that begins
-// with the newest version; a committed version may be kept below a gap.
-func unbrokenFrom(records []VersionRecord) rollout.Version {
+// oldestContiguous returns the lowest number of the unbroken range that ends at
+// the newest version. records is ordered newest first; the committed version
+// may be kept below a gap.
+func oldestContiguous(records []VersionRecord) rollout.Version {
 	var lowest rollout.Version
-	for place, record := range records {
-		if place > 0 && record.Number+1 != lowest {
+	for index, record := range records {
+		if index > 0 && record.Number+1 != lowest {
 			break
 		}
 		lowest = record.Number
@@ -92,8 +93,8 @@
 	return lowest
 }
 
-// stateInHead reads the state of the apply that the head's last change belongs to.
-func stateInHead(head rollout.Head, applyID string) ApplyState {
+// stateFromHead returns the state of the apply that made or last changed the head's newest version.
+func stateFromHead(head rollout.Head, applyID string) ApplyState {
 	result := ApplyState{Head: head, Version: head.HighestUsed, Oldest: head.HighestUsed}
 	last := head.LastRejected
 	switch {
@@ -107,8 +108,8 @@
 	return result
 }
 
-// phaseOf reads the phase of a version that an apply wrote earlier. A version
-// above the head it is compared with was proposed after that head was read.
+// phaseOf returns the phase of a version from its record and the head. A version
+// above head.HighestUsed was proposed after that head was read.
 func phaseOf(record VersionRecord, head rollout.Head) ApplyPhase {
 	switch {
 	case record.Rejection != nil:
--- a/pkg/versionstore/restore_test.go
+++ b/pkg/versionstore/restore_test.go
@@ -9,7 +9,7 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-func TestRestoredStoreIsRefusedUntilItIsBroughtPast(t *testing.T) {
+func TestRestoredStoreIsRefusedUntilAdvancedPastKnownHead(t *testing.T) {
 	backend := memory.New(memory.Options{})
 	versions := open(backend)
 	publish(t, versions, "apply-1", "ledger")
@@ -60,7 +60,8 @@
 	}
 	for name, fault := range faults {
 		t.Run(name, func(t *testing.T) {
-			// The transactions before are: two of each proposal, one commit.
+			// Six transactions come before: two for each of the two earlier
+			// proposals, one commit, and the resources of the recovery itself.
 			const recoveryTransaction = 7
 			backend := memory.New(memory.Options{Intercept: oneFault(memory.RequestTransact, recoveryTransaction, fault)})
 			versions := open(backend)
@@ -94,17 +95,17 @@
 	publish(t, versions, "apply-2", "archive")
 	known := versions.NewestHead()
 	backend.Restore(empty)
-	astray := open(backend)
+	diverged := open(backend)
 	for i := range 3 {
-		proposed, err := astray.Propose(t.Context(), request(fmt.Sprintf("astray-%d", i), 0, "listings"))
+		proposed, err := diverged.Propose(t.Context(), request(fmt.Sprintf("astray-%d", i), 0, "listings"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := astray.Abort(t.Context(), proposed.Version, rollout.Rejection{}); err != nil {
+		if _, err := diverged.Abort(t.Context(), proposed.Version, rollout.Rejection{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ahead := astray.NewestHead()
+	ahead := diverged.NewestHead()
 	recovery := request("apply-3", known.Committed, "archive")
 	recovery.KnownHead = &known
 	result, err := versions.Propose(t.Context(), recovery)
--- a/pkg/versionstore/settle_test.go
+++ b/pkg/versionstore/settle_test.go
@@ -14,8 +14,9 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// outageAfterSweep loses the first write of the head, sweeps before the second,
-// and takes the store down from then on.
+// outageAfterSweep loses the first write of the head, changes the sweep record
+// just before the second, so that it conflicts, and refuses all requests from
+// then on.
 type outageAfterSweep struct {
 	store    *memory.Store
 	sweeping bool
@@ -46,8 +47,9 @@
 	return memory.FaultNone
 }
 
-// A conflict on the second write, followed by an outage, once made the read
-// back spin without a pause and past its bounds.
+// Guards against a fault in reading back a lost write: a conflict on the second
+// write, followed by an outage, made it loop without a pause and beyond its time
+// limit.
 func TestReadBackEndsInAnOutageAfterAConflict(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/pkg/versionstore/swap.go
+++ b/pkg/versionstore/swap.go
@@ -11,30 +11,30 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// headChange is one replacement of the head.
+// headChange is one replacement of the head by compare-and-swap.
 type headChange struct {
 	from headState
 	to   rollout.Head
-	// with lists the operations that take effect together with it.
-	with []store.Operation
+	// additional lists further operations of the same transaction.
+	additional []store.Operation
 }
 
-// swapResult says what became of a headChange.
+// swapResult is the result of a headChange.
 type swapResult uint8
 
 const (
-	// swapUnknown: it may have taken effect, or may still do so.
+	// swapUnknown: the change may have taken effect, or may still do so.
 	swapUnknown swapResult = iota
-	// swapDone: it took effect.
+	// swapDone: the change took effect.
 	swapDone
-	// swapRefused: it did not take effect and never will.
+	// swapRefused: the change did not take effect and never will.
 	swapRefused
-	// swapSuperseded: the head has been replaced more than once since, so the
-	// head alone does not tell. It may have taken effect.
+	// swapSuperseded: the head has been replaced more than once since, so that
+	// it no longer shows whether the change took effect. It may have.
 	swapSuperseded
 )
 
-// swapOutcome is a result with the head that was read back for it, if one was.
+// swapOutcome is a result with the head that was read back to determine it, if any.
 type swapOutcome struct {
 	result swapResult
 	found  headState
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	operations := append([]store.Operation{}, change.with...)
+	operations := append([]store.Operation{}, change.additional...)
 	return append(operations, store.Operation{
 		Verb:  store.VerbCompareAndSwap,
 		Key:   v.headKey(),
@@ -54,8 +54,8 @@
 	}), nil
 }
 
-// swapHead replaces the head and, when the answer is lost, finds out whether
-// that took effect.
+// swapHead replaces the head. When the response is lost, it reads the store back
+// to determine whether the change took effect.
 func (v *VersionStore) swapHead(ctx context.Context, change headChange) (swapOutcome, error) {
 	operations, err := v.headOperations(change)
 	if err != nil {
@@ -64,7 +64,7 @@
 	err = v.store.Transact(ctx, operations)
 	switch {
 	case err == nil:
-		v.guard.learn(change.to)
+		v.guard.observe(change.to)
 		return swapOutcome{result: swapDone}, nil
 	case errorx.IsOfType(err, store.ErrConflict):
 		return swapOutcome{result: swapRefused}, nil
@@ -75,29 +75,29 @@
 	}
 }
 
-// settle reads the store back until it is known what became of a change whose
-// answer was lost. While the head has not moved, the write may still be on its
-// way. The same transaction is then sent again: both compare the same index,
-// so that at most one of them takes effect, whichever comes first.
+// settle determines whether a change whose response was lost took effect, by
+// reading the store back. While the head is unchanged, the write may still be in
+// flight. The same transaction is then sent again: both compare the same index,
+// so that at most one of them takes effect, whichever arrives first.
 func (v *VersionStore) settle(ctx context.Context, change headChange, operations []store.Operation) (swapOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, v.config.SettleTimeout)
 	defer cancel()
 	refused := false
 	for attempt := 0; ; attempt++ {
-		// Only what this write became is asked here; a store that has gone back
-		// is noticed by the next read.
+		// The head is not checked for regression here, where only the outcome of
+		// this write matters; the next checked read detects a regressed store.
 		found, err := v.readUncheckedHead(ctx, store.ReadOptions{Consistent: true})
 		switch {
 		case err == nil && found.modifyIndex != change.from.modifyIndex:
-			v.guard.learn(found.head)
-			return swapOutcome{result: compareMoved(change, found), found: found}, nil
+			v.guard.observe(found.head)
+			return swapOutcome{result: classifyMovedHead(change, found), found: found}, nil
 		case err == nil && refused:
 			return swapOutcome{result: swapRefused}, nil
 		case err == nil:
 			err = v.store.Transact(ctx, operations)
 			refused = errorx.IsOfType(err, store.ErrConflict)
 			if err == nil {
-				v.guard.learn(change.to)
+				v.guard.observe(change.to)
 				return swapOutcome{result: swapDone}, nil
 			}
 		}
@@ -107,8 +107,9 @@
 	}
 }
 
-// compareMoved decides from a head that replaced the one a change started from.
-func compareMoved(change headChange, found headState) swapResult {
+// classifyMovedHead determines the result of a change from a head that has
+// replaced the one the change started from.
+func classifyMovedHead(change headChange, found headState) swapResult {
 	switch {
 	case sameHead(found.head, change.to):
 		return swapDone
@@ -119,8 +120,8 @@
 	}
 }
 
-// pause waits with full jitter below a doubling bound; false tells that the
-// context ended.
+// pause waits for a random time (full jitter) below a bound that doubles with
+// each attempt. It returns false when the context ended.
 func (v *VersionStore) pause(ctx context.Context, attempt int) bool {
 	bound := v.config.MaximumPause
 	if shifted := v.config.MinimumPause << attempt; shifted > 0 && shifted < bound {
--- a/pkg/versionstore/sweep.go
+++ b/pkg/versionstore/sweep.go
@@ -10,21 +10,21 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// deletionsPerSweep leaves room for the two compares in each transaction.
+// deletionsPerSweep leaves space for the two compare operations in each transaction.
 const deletionsPerSweep = store.MaxTransactionOperations - 2
 
-// SweepResult says what a sweep removed.
+// SweepResult counts what a sweep removed.
 type SweepResult struct {
 	Versions  int
 	Resources int
 }
 
-// Sweep removes old versions, and resources that no version left names, once
-// more than Retain+SweepSlack versions have gathered. It is meant for the
-// coordinator, at its leisure: its requests give way to all others, and it
-// stops with ErrConflict as soon as the head moves. It never removes what the
-// head names, nor what a proposal under way relies on: each of its
-// transactions changes the sweep record, which every proposal compares.
+// Sweep removes old versions, and resources that no remaining version
+// references, once more than Retain+SweepSlack versions are stored. It is meant
+// for the coordinator, as background work: its requests have the lowest
+// priority, and it stops with ErrConflict as soon as the head changes. It never
+// removes what the head names, nor what a proposal in progress relies on: each
+// of its transactions changes the sweep record, which every proposal compares.
 func (v *VersionStore) Sweep(ctx context.Context) (SweepResult, error) {
 	plan, err := v.planSweep(ctx)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return result, nil
 }
 
-// sweepPlan lists the keys to remove while the head has headIndex.
+// sweepPlan lists the keys to remove as long as the modify index of the head is headIndex.
 type sweepPlan struct {
 	headIndex uint64
 	versions  []string
@@ -73,16 +73,16 @@
 	return sweepPlan{headIndex: state.modifyIndex, versions: removed, resources: resources}, nil
 }
 
-// splitVersions parts the keys, which are ordered by number, into those to
-// keep and those to remove.
+// splitVersions splits the keys, which are ordered by version number, into those
+// to keep and those to remove.
 func (v *VersionStore) splitVersions(keys []string, head rollout.Head) (kept, removed []string, err error) {
 	newest := len(keys) - v.config.Retain
-	for place, key := range keys {
+	for index, key := range keys {
 		number, err := v.versionOfKey(key)
 		if err != nil {
 			return nil, nil, err
 		}
-		if place >= newest || number == head.Committed || number == head.Proposed {
+		if index >= newest || number == head.Committed || number == head.Proposed {
 			kept = append(kept, key)
 			continue
 		}
@@ -92,7 +92,8 @@
 }
 
 // unreferenced returns the keys of resources that none of the kept versions
-// names. It fails rather than guess when one of them cannot be read.
+// references. It fails when one of those versions cannot be read, since its
+// resources would otherwise be removed.
 func (v *VersionStore) unreferenced(ctx context.Context, kept []string) ([]string, error) {
 	records, err := readRecords(ctx, v.housekeeping, kept)
 	if err != nil {
@@ -101,21 +102,21 @@
 	if len(records) != len(kept) {
 		return nil, ErrConflict.New("versions were removed during the sweep")
 	}
-	named := make(map[string]bool)
+	referenced := make(map[string]bool)
 	for _, record := range records {
 		for _, reference := range record.Resources {
-			named[v.resourceKey(reference.Digest)] = true
+			referenced[v.resourceKey(reference.Digest)] = true
 		}
 	}
 	keys, err := v.housekeeping.ListKeys(ctx, v.config.Prefix+resourceDirectory)
 	if err != nil {
 		return nil, err
 	}
-	return slices.DeleteFunc(keys, func(key string) bool { return named[key] }), nil
+	return slices.DeleteFunc(keys, func(key string) bool { return referenced[key] }), nil
 }
 
-// sweepBatch removes keys unless the head has moved, and makes proposals that
-// began before it start over.
+// sweepBatch removes keys unless the head has changed. It also changes the sweep
+// record, so that proposals begun earlier start over.
 func (v *VersionStore) sweepBatch(ctx context.Context, headIndex uint64, keys []string) error {
 	count, index, err := v.readSweep(ctx)
 	if err != nil {
@@ -131,7 +132,8 @@
 	return v.housekeeping.Transact(ctx, operations)
 }
 
-// readSweep returns how many batches were swept so far, and the record's index.
+// readSweep returns the number of batches swept so far and the modify index of
+// the sweep record.
 func (v *VersionStore) readSweep(ctx context.Context) (count, index uint64, err error) {
 	records, err := v.housekeeping.GetMany(ctx, []string{v.sweepKey()}, true)
 	if err != nil || len(records) == 0 {
--- a/pkg/versionstore/sweep_test.go
+++ b/pkg/versionstore/sweep_test.go
@@ -11,7 +11,7 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// interruptedStore calls before ahead of each transaction.
+// interruptedStore calls before immediately before each transaction.
 type interruptedStore struct {
 	store.Store
 	before func()
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestSweepDuringProposal sweeps away a resource after a proposal that needs
-// it has written it, and before that proposal names it.
+// TestSweepDuringProposal removes a resource by a sweep after a proposal has
+// written it and before the proposed version references it.
 func TestSweepDuringProposal(t *testing.T) {
 	var beforeProposal func()
 	transactions := 0
@@ -79,7 +79,7 @@
 			t.Errorf("sweep gave %+v, %v", result, err)
 		}
 	}
-	// service-0 is stored already, and only the version to be swept names it.
+	// service-0 is already stored, and only a version to be swept references it.
 	proposed, err := open(interrupted).Propose(t.Context(), request("apply-again", 4, "service-0"))
 	if err != nil {
 		t.Fatal(err)
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestProposalDuringSweep proposes, after a sweep has found a resource to be
-// unused and before it removes it, a version that uses it.
+// TestProposalDuringSweep proposes a version that uses a resource after a sweep
+// has found the resource unreferenced and before the sweep removes it.
 func TestProposalDuringSweep(t *testing.T) {
 	backend := memory.New(memory.Options{})
 	proposing := open(backend)
--- a/pkg/versionstore/versionstore_test.go
+++ b/pkg/versionstore/versionstore_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// overtakenStore calls overtake once, between a read and its answer.
+// overtakenStore calls overtake once, after a read and before its result is returned.
 type overtakenStore struct {
 	store.Store
 	overtake func()
