--- a/pkg/internal/fixedseed/fixedseed.go
+++ b/pkg/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed runs tests whose property checks draw the same cases each
-// time. Only tests import it.
+// Package fixedseed runs the tests of a package with a fixed rapid seed, so that
+// property checks draw the same cases each time. Only tests import it.
 package fixedseed
 
 import (
@@ -9,14 +9,15 @@
 	"testing"
 )
 
-// settings are flags of rapid. Failures are shown in full, so that no file with
-// them has to be kept.
+// settings holds the values of rapid's flags. No fail files are written, because
+// rapid prints each failure in full and a fixed seed reproduces it.
 var settings = map[string]string{
 	"rapid.seed":       "1",
 	"rapid.nofailfile": "true",
 }
 
-// Main is the body of a TestMain in a package that uses rapid.
+// Main sets the flags, runs the tests and exits. Call it from the TestMain of a
+// package that uses rapid.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range settings {
--- a/pkg/manifest/document.go
+++ b/pkg/manifest/document.go
@@ -12,9 +12,9 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// parseDocument reads one document. It returns no document when there is
-// nothing in it, or when its kind or name cannot be read; a document whose spec
-// has faults comes without a body.
+// parseDocument reads one document. It returns nil when the document is empty or
+// when its kind or name cannot be read. For a document whose spec has faults,
+// only the key of the resource is set.
 func parseDocument(file string, part documentText) (*Document, []Fault) {
 	reader := &documentReader{file: file, firstLine: part.line, positions: map[string]position{}}
 	if len(part.text) > MaxDocumentBytes {
@@ -36,15 +36,15 @@
 	faults    []Fault
 }
 
-func (r *documentReader) reportAt(place position, field, message, hint string) {
-	r.faults = append(r.faults, Fault{File: r.file, Line: place.line, Column: place.column, Field: field, Message: message, Hint: hint})
+func (r *documentReader) reportAt(at position, field, message, hint string) {
+	r.faults = append(r.faults, Fault{File: r.file, Line: at.line, Column: at.column, Field: field, Message: message, Hint: hint})
 }
 
 // parse returns the root of the document, or nil after a fault or when the
 // document is empty.
 func (r *documentReader) parse(text []byte) (root ast.Node) {
 	defer func() {
-		if recover() != nil { // the library's own failure on odd input
+		if recover() != nil { // the YAML library panics on some malformed input
 			root = nil
 			r.reportAt(position{r.firstLine, 1}, "", "the document is not YAML", "")
 		}
@@ -58,7 +58,7 @@
 		switch {
 		case document.Body == nil:
 		case root != nil:
-			r.reportAt(r.place(document.Body), "", "a second document follows without a \"---\" line", "")
+			r.reportAt(r.positionOf(document.Body), "", "a second document follows without a \"---\" line", "")
 			return nil
 		default:
 			root = document.Body
@@ -70,26 +70,26 @@
 	return root
 }
 
-// reportSyntax passes on what the YAML library says, without the excerpt of
-// the text, which may show a secret.
+// reportSyntax reports the message of the YAML library without its excerpt of the
+// source text, which may contain a secret.
 func (r *documentReader) reportSyntax(err error) {
-	place, message := position{r.firstLine, 1}, "the document cannot be parsed"
+	at, message := position{r.firstLine, 1}, "the document cannot be parsed"
 	var described yaml.Error
 	if errors.As(err, &described) {
 		message = described.GetMessage()
 		if token := described.GetToken(); token != nil && token.Position != nil {
-			place = position{r.firstLine + token.Position.Line - 1, token.Position.Column}
+			at = position{r.firstLine + token.Position.Line - 1, token.Position.Column}
 		}
 	}
 	hint := ""
 	if strings.Contains(message, "\t") {
 		message, hint = "a tab cannot start a value", "indent with spaces"
 	}
-	r.reportAt(place, "", "not YAML: "+message, hint)
+	r.reportAt(at, "", "not YAML: "+message, hint)
 }
 
-// place returns where a node starts in the file.
-func (r *documentReader) place(node ast.Node) position {
+// positionOf returns where a node starts in the file.
+func (r *documentReader) positionOf(node ast.Node) position {
 	if mapping, isMapping := node.(*ast.MappingNode); isMapping && !mapping.IsFlowStyle && len(mapping.Values) > 0 {
 		node = mapping.Values[0].Key
 	}
@@ -108,20 +108,20 @@
 	}
 	kind := model.Kind(root.text("kind", required))
 	name := root.text("name", required)
-	document := &Document{File: r.file, Line: r.place(body).line, positions: r.positions}
+	document := &Document{File: r.file, Line: r.positionOf(body).line, positions: r.positions}
 	document.Resource.Key = model.Key{Kind: kind, Name: name}
 	readSpec, known := specReaders[kind]
 	if !known && kind != "" {
-		root.reportField("kind", fmt.Sprintf("%q is not a kind of resource", kind), oneOf(kindNames, string(kind)))
+		root.reportField("kind", fmt.Sprintf("%q is not a kind of resource", kind), suggest(kindNames, string(kind)))
 	}
 	spec, hasSpec := root.object("spec", required)
-	root.refuseUnknown()
+	root.reportUnknown()
 	if !known || name == "" {
 		return nil
 	}
 	if hasSpec {
 		readSpec(spec, &document.Resource)
-		spec.refuseUnknown()
+		spec.reportUnknown()
 	}
 	if len(r.faults) > 0 {
 		document.Resource = model.Resource{Key: document.Resource.Key}
--- a/pkg/manifest/fault.go
+++ b/pkg/manifest/fault.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file set. It is an error.
+// Fault is one error in a file set. It implements error.
 type Fault struct {
-	// File is the path as given or found; empty when the set as a whole is meant.
+	// File is the path as given or found; empty when the fault concerns the set as a whole.
 	File string `json:"file,omitempty"`
-	// Line and Column count from one; zero means that no place can be named.
+	// Line and Column count from one; zero means that the position is unknown.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
 	// Field is the path of the field within its document, such as "spec.match.path".
--- a/pkg/manifest/hint.go
+++ b/pkg/manifest/hint.go
@@ -2,22 +2,22 @@
 
 import "strings"
 
-// maximumTypos is how many letters may differ for a word to be suggested.
-const maximumTypos = 2
+// maxTypos is the largest edit distance at which a word is suggested.
+const maxTypos = 2
 
-// oneOf returns a hint that suggests the word which given resembles, or lists
-// all words that are allowed.
-func oneOf(words []string, given string) string {
+// suggest returns a hint that names the first allowed word that given resembles,
+// or lists all allowed words.
+func suggest(words []string, given string) string {
 	for _, word := range words {
-		if editDistance(strings.ToLower(word), strings.ToLower(given)) <= maximumTypos {
+		if editDistance(strings.ToLower(word), strings.ToLower(given)) <= maxTypos {
 			return "did you mean " + word + "?"
 		}
 	}
 	return "one of " + strings.Join(words, ", ")
 }
 
-// editDistance counts the insertions, deletions and replacements between two
-// words, and gives up on long ones.
+// editDistance returns the Levenshtein distance of two words. For a word longer
+// than longest bytes it returns longest, without computing the distance.
 func editDistance(a, b string) int {
 	const longest = 32
 	if len(a) > longest || len(b) > longest {
--- a/pkg/manifest/load.go
+++ b/pkg/manifest/load.go
@@ -24,8 +24,8 @@
 )
 
 // Load reads the files at the paths, and all *.yaml and *.yml files below those
-// that are directories, hidden ones left out. It returns every fault it finds,
-// ordered by place; the set then holds what could be read nevertheless.
+// that are directories, except hidden ones. It returns every fault it finds,
+// ordered by position; the set holds the documents that could still be read.
 func Load(paths ...string) (*FileSet, []Fault) {
 	loader := &loader{set: newFileSet()}
 	if len(paths) == 0 {
@@ -38,7 +38,7 @@
 	return loader.set, loader.faults
 }
 
-// Parse reads one file that is already in memory, under the given name.
+// Parse reads the content of one file from memory; faults refer to it by name.
 func Parse(name string, content []byte) (*FileSet, []Fault) {
 	loader := &loader{set: newFileSet()}
 	loader.loadContent(name, content)
@@ -48,27 +48,28 @@
 
 // loader collects documents and faults.
 type loader struct {
-	set    *FileSet
-	faults []Fault
-	bytes  int
+	set        *FileSet
+	faults     []Fault
+	totalBytes int
 }
 
 func (l *loader) report(faults ...Fault) { l.faults = append(l.faults, faults...) }
 
-// reportUnread reports a fault that leaves some document unread.
-func (l *loader) reportUnread(fault Fault) {
+// reportUnreadable reports a fault because of which at least one document cannot
+// be read, so that the set is incomplete.
+func (l *loader) reportUnreadable(fault Fault) {
 	l.set.complete = false
 	l.report(fault)
 }
 
-// findFiles returns each file once, in the order of names.
+// findFiles returns each file once, sorted by path.
 func (l *loader) findFiles(paths []string) []string {
 	var files []string
 	for _, path := range paths {
 		info, err := os.Stat(path)
 		switch {
 		case err != nil:
-			l.reportUnread(Fault{File: path, Message: reason(err)})
+			l.reportUnreadable(Fault{File: path, Message: reason(err)})
 		case info.IsDir():
 			files = append(files, l.walk(path)...)
 		default:
@@ -84,7 +85,7 @@
 	_ = filepath.WalkDir(directory, func(path string, item fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
-			l.reportUnread(Fault{File: path, Message: reason(err)})
+			l.reportUnreadable(Fault{File: path, Message: reason(err)})
 		case path != directory && strings.HasPrefix(item.Name(), "."):
 			if item.IsDir() {
 				return fs.SkipDir
@@ -105,12 +106,12 @@
 func (l *loader) loadFile(path string) {
 	content, err := readBounded(path)
 	if err != nil {
-		l.reportUnread(Fault{File: path, Message: reason(err)})
+		l.reportUnreadable(Fault{File: path, Message: reason(err)})
 		return
 	}
-	l.bytes += len(content)
-	if l.bytes > MaxSetBytes {
-		l.reportUnread(Fault{File: path, Message: fmt.Sprintf("the set takes more than %d bytes", MaxSetBytes)})
+	l.totalBytes += len(content)
+	if l.totalBytes > MaxSetBytes {
+		l.reportUnreadable(Fault{File: path, Message: fmt.Sprintf("the set takes more than %d bytes", MaxSetBytes)})
 		return
 	}
 	l.loadContent(path, content)
@@ -118,7 +119,8 @@
 
 var errNotRegular = errors.New("not a regular file")
 
-// readBounded reads one byte more than is allowed, so that loadContent can tell.
+// readBounded reads at most one byte more than MaxFileBytes, so that loadContent
+// can detect a file that is too large.
 func readBounded(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -135,7 +137,7 @@
 	return io.ReadAll(io.LimitReader(file, MaxFileBytes+1))
 }
 
-// reason leaves out the path, which the fault names already.
+// reason returns the message of err without the path, which the fault names already.
 func reason(err error) string {
 	var pathError *fs.PathError
 	if errors.As(err, &pathError) {
@@ -146,11 +148,11 @@
 
 func (l *loader) loadContent(file string, content []byte) {
 	if len(content) > MaxFileBytes {
-		l.reportUnread(Fault{File: file, Message: fmt.Sprintf("the file takes more than %d bytes", MaxFileBytes), Hint: "spread the documents over several files"})
+		l.reportUnreadable(Fault{File: file, Message: fmt.Sprintf("the file takes more than %d bytes", MaxFileBytes), Hint: "spread the documents over several files"})
 		return
 	}
 	if line, valid := checkText(content); !valid {
-		l.reportUnread(Fault{File: file, Line: line, Column: 1, Message: "the file is not UTF-8 text"})
+		l.reportUnreadable(Fault{File: file, Line: line, Column: 1, Message: "the file is not UTF-8 text"})
 		return
 	}
 	for _, part := range splitDocuments(content) {
@@ -158,7 +160,8 @@
 	}
 }
 
-// checkText returns the first line that is not UTF-8 text.
+// checkText returns the number of the first line that is not UTF-8 text or
+// contains a zero byte.
 func checkText(content []byte) (line int, valid bool) {
 	for index, text := range bytes.Split(content, []byte("\n")) {
 		if !utf8.Valid(text) || bytes.IndexByte(text, 0) >= 0 {
--- a/pkg/manifest/load_test.go
+++ b/pkg/manifest/load_test.go
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestLoadRefusesWhatIsNoFile(t *testing.T) {
+func TestLoadRefusesMissingPathAndDevice(t *testing.T) {
 	if _, faults := manifest.Load(); len(faults) != 1 {
 		t.Errorf("no path: %v", faults)
 	}
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestFaultsNeverTellASecret(t *testing.T) {
+func TestFaultsNeverContainASecret(t *testing.T) {
 	for _, text := range []string{
 		"kind: Secret\nname: a\nspec: {value: \"hunter2}",
 		"kind: Secret\nname: a\nspec:\n  value: hunter2: x",
@@ -221,7 +221,7 @@
 		}
 		for _, fault := range faults {
 			if strings.Contains(fault.Error(), "hunter2") {
-				t.Errorf("the fault tells the secret: %v", fault)
+				t.Errorf("the fault contains the secret: %v", fault)
 			}
 		}
 	}
@@ -233,7 +233,7 @@
 	f.Add([]byte("--- {kind: Secret}\n...\n%YAML 1.2\n? [a]\n: &x *x\n<<: !!str 1"))
 	f.Fuzz(func(t *testing.T, content []byte) {
 		set, faults := manifest.Parse("f", content)
-		// A lone carriage return ends a line too, as YAML has it.
+		// In YAML, a lone carriage return ends a line too.
 		lines := strings.Count(string(content), "\n") + strings.Count(string(content), "\r") + 1
 		for _, fault := range faults {
 			if fault.Message == "" || fault.Line < 0 || fault.Line > lines {
@@ -249,7 +249,8 @@
 	})
 }
 
-// TestTenantsKeysAreNotKept reads a tenant and a public route.
+// TestTenantsKeysAreNotKept checks that a tenant holds only digests of its keys.
+// It also checks that a route can be declared public.
 func TestTenantsKeysAreNotKept(t *testing.T) {
 	const text = "kind: Tenant\nname: acme\nspec:\n  keys: [marked-key, other]\n  rank: 1\n---\n" + routeHead + "  match: {path: /}\n  public: true\n"
 	set, faults := manifest.Parse("f", []byte(text))
--- a/pkg/manifest/object.go
+++ b/pkg/manifest/object.go
@@ -16,30 +16,30 @@
 	optional presence = false
 )
 
-// objectReader reads the fields of one mapping and remembers which were asked
-// for, so that all others can be refused as unknown.
+// objectReader reads the fields of one mapping and records which were requested,
+// so that all others can be reported as unknown.
 type objectReader struct {
-	document *documentReader
-	path     string
-	place    position
-	fields   []objectField
-	asked    []string
+	document  *documentReader
+	path      string
+	position  position
+	fields    []objectField
+	requested []string
 }
 
 type objectField struct {
-	name  string
-	place position
-	value ast.Node
+	name     string
+	position position
+	value    ast.Node
 }
 
-// object makes a reader of a mapping node.
+// object returns a reader for a mapping node.
 func (r *documentReader) object(node ast.Node, path string) (*objectReader, bool) {
 	mapping, isMapping := node.(*ast.MappingNode)
 	if !isMapping {
 		r.reportType(node, path, "a mapping of fields")
 		return nil, false
 	}
-	object := &objectReader{document: r, path: path, place: r.place(node)}
+	object := &objectReader{document: r, path: path, position: r.positionOf(node)}
 	for _, item := range mapping.Values {
 		object.addField(item)
 	}
@@ -49,27 +49,28 @@
 func (o *objectReader) addField(item *ast.MappingValueNode) {
 	key, isText := item.Key.(*ast.StringNode)
 	if !isText {
-		o.document.reportAt(o.document.place(item.Key), o.path, "a field name must be plain text", "")
+		o.document.reportAt(o.document.positionOf(item.Key), o.path, "a field name must be plain text", "")
 		return
 	}
-	field := objectField{name: key.Value, place: o.document.place(key), value: item.Value}
+	field := objectField{name: key.Value, position: o.document.positionOf(key), value: item.Value}
 	path := o.fieldPath(field.name)
 	if first, found := o.find(field.name); found {
-		message := fmt.Sprintf("the field is given twice, first at line %d", first.place.line)
-		o.document.reportAt(field.place, path, message, "")
+		message := fmt.Sprintf("the field is given twice, first at line %d", first.position.line)
+		o.document.reportAt(field.position, path, message, "")
 		return
 	}
-	o.document.positions[path] = o.valuePlace(field)
+	o.document.positions[path] = o.valuePosition(field)
 	o.fields = append(o.fields, field)
 }
 
-// valuePlace is the place of the value if it is written beside its name.
-func (o *objectReader) valuePlace(field objectField) position {
-	place := o.document.place(field.value)
-	if place.line != field.place.line {
-		return field.place
+// valuePosition returns the position of a field's value if it is on the same line
+// as the field name, otherwise that of the name.
+func (o *objectReader) valuePosition(field objectField) position {
+	at := o.document.positionOf(field.value)
+	if at.line != field.position.line {
+		return field.position
 	}
-	return place
+	return at
 }
 
 func (o *objectReader) fieldPath(name string) string {
@@ -89,11 +90,11 @@
 
 // get returns the value of a field, and reports a required one that is missing.
 func (o *objectReader) get(name string, need presence) (ast.Node, bool) {
-	o.asked = append(o.asked, name)
+	o.requested = append(o.requested, name)
 	field, found := o.find(name)
 	if !found {
 		if need == required {
-			o.document.reportAt(o.place, o.fieldPath(name), "the field is missing", "")
+			o.document.reportAt(o.position, o.fieldPath(name), "the field is missing", "")
 		}
 		return nil, false
 	}
@@ -104,28 +105,28 @@
 	return field.value, true
 }
 
-// reportField reports a fault at the place of a field's value.
+// reportField reports a fault at the position of a field's value.
 func (o *objectReader) reportField(name, message, hint string) {
 	path := o.fieldPath(name)
-	place, found := o.document.positions[path]
+	at, found := o.document.positions[path]
 	if !found {
-		place = o.place
+		at = o.position
 	}
-	o.document.reportAt(place, path, message, hint)
+	o.document.reportAt(at, path, message, hint)
 }
 
-// refuseUnknown reports all fields that nobody asked for.
-func (o *objectReader) refuseUnknown() {
+// reportUnknown reports all fields that were not requested.
+func (o *objectReader) reportUnknown() {
 	for _, field := range o.fields {
-		if !slices.Contains(o.asked, field.name) {
+		if !slices.Contains(o.requested, field.name) {
 			message := fmt.Sprintf("the field %s is not known here", strconv.Quote(field.name))
-			o.document.reportAt(field.place, o.fieldPath(field.name), message, oneOf(o.asked, field.name))
+			o.document.reportAt(field.position, o.fieldPath(field.name), message, suggest(o.requested, field.name))
 		}
 	}
 }
 
-// object returns a reader of a field that is a mapping. Whoever asks for it
-// calls refuseUnknown when done.
+// object returns a reader for a field that is a mapping. The caller must call
+// reportUnknown on it after requesting all fields.
 func (o *objectReader) object(name string, need presence) (*objectReader, bool) {
 	node, found := o.get(name, need)
 	if !found {
--- a/pkg/manifest/scalar.go
+++ b/pkg/manifest/scalar.go
@@ -8,7 +8,7 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// text returns a field that is text, and nothing after a fault.
+// text returns a field that is text, and an empty string after a fault.
 func (o *objectReader) text(name string, need presence) string {
 	node, found := o.get(name, need)
 	if !found {
@@ -33,7 +33,8 @@
 	}
 }
 
-// choice returns a field that is one of a few words, and fallback when it is left out.
+// choice returns a field that must be one of words, and fallback when it is
+// absent or invalid.
 func (o *objectReader) choice(name, fallback string, words []string) string {
 	node, found := o.get(name, optional)
 	if !found {
@@ -48,11 +49,11 @@
 			return value
 		}
 	}
-	o.reportField(name, fmt.Sprintf("%q is not a value of this field", value), oneOf(words, value))
+	o.reportField(name, fmt.Sprintf("%q is not a value of this field", value), suggest(words, value))
 	return fallback
 }
 
-// integer returns a field that is a whole number, not negative.
+// integer returns a field that is a non-negative integer.
 func (o *objectReader) integer(name string, need presence) int {
 	node, found := o.get(name, need)
 	if !found {
@@ -71,7 +72,7 @@
 	return int(value)
 }
 
-// boolean returns a field that is true or false, and false when it is left out.
+// boolean returns a field that is true or false, and false when it is absent.
 func (o *objectReader) boolean(name string) bool {
 	node, found := o.get(name, optional)
 	if !found {
@@ -85,7 +86,8 @@
 	return value.Value
 }
 
-// duration returns a field such as "30s", not negative, and zero when it is left out.
+// duration returns a field that is a non-negative duration such as "30s", and
+// zero when it is absent.
 func (o *objectReader) duration(name string) time.Duration {
 	const hint = `write a number and a unit, such as "30s" or "1m30s"`
 	node, found := o.get(name, optional)
@@ -108,8 +110,8 @@
 	return value
 }
 
-// textList returns a field that is a list of text. It tells an absent list,
-// which is nil, from an empty one.
+// textList returns a field that is a list of text. An absent list is nil; an
+// empty one is not.
 func (o *objectReader) textList(name string) []string {
 	node, found := o.get(name, optional)
 	if !found {
@@ -123,7 +125,7 @@
 	list := make([]string, 0, len(sequence.Values))
 	for index, item := range sequence.Values {
 		path := fmt.Sprintf("%s[%d]", o.fieldPath(name), index)
-		o.document.positions[path] = o.document.place(item)
+		o.document.positions[path] = o.document.positionOf(item)
 		if value, isText := o.document.textOf(item, path); isText {
 			list = append(list, value)
 		}
@@ -131,18 +133,18 @@
 	return list
 }
 
-// reportType reports a node that is not of the wanted type. It does not repeat
-// the node's value.
+// reportType reports a node that is not of the required type. The fault does not
+// contain the node's value, which may be a secret.
 func (r *documentReader) reportType(node ast.Node, path, want string) {
 	got, hint := describeNode(node)
 	if want == "text" && hint == "" {
 		hint = "put the value in quotes"
 	}
-	r.reportAt(r.place(node), path, fmt.Sprintf("must be %s, not %s", want, got), hint)
+	r.reportAt(r.positionOf(node), path, fmt.Sprintf("must be %s, not %s", want, got), hint)
 }
 
-// describeNode names the type of a node, and gives a hint for those that
-// manifests do not allow at all.
+// describeNode returns a name for the type of a node, and a hint for types that
+// manifests do not allow or that are often a mistake.
 func describeNode(node ast.Node) (name, hint string) {
 	switch node.(type) {
 	case *ast.StringNode, *ast.LiteralNode:
--- a/pkg/manifest/set.go
+++ b/pkg/manifest/set.go
@@ -6,20 +6,21 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// Document is one resource and the place where it is declared.
+// Document is one resource and the position where it is declared.
 type Document struct {
 	Resource model.Resource
 	File     string
-	// Line is where the document's content starts, counted from one.
+	// Line is the line on which the document's content starts, counted from one.
 	Line int
 
+	// positions holds the position of each field by its path.
 	positions map[string]position
 }
 
-// position is a place in a file.
+// position is a line and column in a file.
 type position struct{ line, column int }
 
-// FileSet is all that a set of paths declares.
+// FileSet holds all documents that a set of paths declares.
 type FileSet struct {
 	documents []*Document
 	byKey     map[model.Key]*Document
@@ -52,7 +53,7 @@
 	return resources
 }
 
-// readable reports whether the body could be read, not only kind and name.
+// readable reports whether the spec could be read, not only kind and name.
 func (d *Document) readable() bool { return d.Resource.CheckShape() == nil }
 
 // UnreadKeys returns the keys of the documents whose spec has faults.
@@ -67,19 +68,19 @@
 }
 
 // Complete reports whether the key of every document could be read. When it is
-// false a resource that seems to be missing may stand in an unreadable document.
+// false, a resource that seems to be missing may be in an unreadable document.
 func (s *FileSet) Complete() bool { return s.complete }
 
-// Position returns the place of a field of a resource. For a field that is not
-// written in the file it is the place of the nearest enclosing one that is.
+// Position returns the position of a field of a resource. For a field that is
+// not written in the file it is the position of the nearest enclosing field that is.
 func (s *FileSet) Position(key model.Key, field string) (file string, line, column int) {
 	document, found := s.byKey[key]
 	if !found {
 		return "", 0, 0
 	}
 	for {
-		if place, found := document.positions[field]; found {
-			return document.File, place.line, place.column
+		if at, found := document.positions[field]; found {
+			return document.File, at.line, at.column
 		}
 		if field == "" {
 			return document.File, document.Line, 1
@@ -88,21 +89,21 @@
 	}
 }
 
-// enclosingField cuts the last step, ".name" or "[index]", off a field path.
+// enclosingField removes the last element, ".name" or "[index]", of a field path.
 func enclosingField(field string) string {
 	return field[:max(strings.LastIndexAny(field, ".["), 0)]
 }
 
-// add takes in a document, unless its key is declared already.
+// add adds a document, or returns a fault if its key is declared already.
 func (s *FileSet) add(document *Document) []Fault {
 	key := document.Resource.Key
 	if first, found := s.byKey[key]; found {
-		place := document.positions["name"]
+		at := document.positions["name"]
 		_, line, column := s.Position(key, "name")
 		return []Fault{{
 			File:    document.File,
-			Line:    place.line,
-			Column:  place.column,
+			Line:    at.line,
+			Column:  at.column,
 			Field:   "name",
 			Message: key.String() + " is declared already at " + location(first.File, line, column),
 			Hint:    "rename one of them or remove it",
--- a/pkg/manifest/spec.go
+++ b/pkg/manifest/spec.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// specReader reads the spec of one kind into the body of a resource.
+// specReader reads the spec of one kind of resource into resource.
 type specReader func(spec *objectReader, resource *model.Resource)
 
 var specReaders = map[model.Kind]specReader{
@@ -64,7 +64,7 @@
 	if len(match.Methods) == 0 {
 		match.Methods = nil
 	}
-	object.refuseUnknown()
+	object.reportUnknown()
 	return match
 }
 
@@ -77,7 +77,7 @@
 		Secret: object.text("secret", required),
 		Header: object.text("header", required),
 	}
-	object.refuseUnknown()
+	object.reportUnknown()
 	return credential
 }
 
@@ -85,15 +85,15 @@
 	resource.Secret = &model.Secret{Value: spec.text("value", required)}
 }
 
-// readTenant keeps digests of the keys only.
+// readTenant stores only the digests of the keys, not the keys themselves.
 func readTenant(spec *objectReader, resource *model.Resource) {
-	spec.refuseLimits()
+	spec.reportRateLimits()
 	resource.Tenant = &model.Tenant{Keys: spec.keys("keys"), Rank: spec.integer("rank", optional)}
 }
 
-// refuseLimits reports the fields of a limit over all nodes, of which no part keeps count in
-// the mode that reads files.
-func (o *objectReader) refuseLimits() {
+// reportRateLimits reports the fields of a limit over all nodes. In the mode that
+// reads files, no component counts calls over all nodes.
+func (o *objectReader) reportRateLimits() {
 	for _, name := range []string{"rate", "burst"} {
 		if _, found := o.get(name, optional); found {
 			o.reportField(name, "a limit over all nodes is kept in the hosted mode only", "remove the field")
@@ -101,7 +101,7 @@
 	}
 }
 
-// keys returns the digests of a list of keys. No fault repeats a key.
+// keys returns the digests of a list of keys. No fault contains a key.
 func (o *objectReader) keys(name string) []model.KeyDigest {
 	if _, found := o.get(name, required); !found {
 		return nil
@@ -112,7 +112,7 @@
 		field := fmt.Sprintf("%s[%d]", name, index)
 		digest := model.DigestKey(key)
 		switch {
-		case key == "" || strings.ContainsFunc(key, notInKey):
+		case key == "" || strings.ContainsFunc(key, notAllowedInKey):
 			o.reportField(field, "a key is of printable ASCII characters without spaces", "")
 		case slices.Contains(digests, digest):
 			o.reportField(field, "the key is listed twice", "")
@@ -122,5 +122,6 @@
 	return digests
 }
 
-// notInKey reports a character that a header does not carry as it is.
-func notInKey(r rune) bool { return r <= ' ' || r >= 0x7f }
+// notAllowedInKey reports whether a key must not contain r, because a header does
+// not carry r unchanged.
+func notAllowedInKey(r rune) bool { return r <= ' ' || r >= 0x7f }
--- a/pkg/manifest/split.go
+++ b/pkg/manifest/split.go
@@ -2,15 +2,15 @@
 
 import "bytes"
 
-// documentText is the text of one document and the line it starts on.
+// documentText is the text of one document and the line of the file it starts on.
 type documentText struct {
 	text []byte
 	line int
 }
 
-// splitDocuments cuts a file at its "---" lines, which are document markers
-// wherever they stand, so that a document which is not YAML does not hide the
-// faults of the others.
+// splitDocuments splits a file at its "---" lines, which are document markers
+// wherever they occur. The documents are parsed separately, so that one which is
+// not valid YAML does not hide the faults of the others.
 func splitDocuments(content []byte) []documentText {
 	content = bytes.TrimPrefix(content, []byte("\ufeff"))
 	current := documentText{line: 1}
