--- a/internal/control/watch_client.go
+++ b/internal/control/watch_client.go
@@ -266,7 +266,7 @@
 		path = answer.GetPath()
 	}
 	looped := slices.Contains(path, n.self.ID)
-	idle := n.plan.assignment.MustRead(parent.ID) && !answer.GetReader()
+	idle := n.plan.assignment.MustBeReader(parent.ID) && !answer.GetReader()
 	if looped || idle {
 		n.plan.suspect(parent.ID, now(), loopPause)
 		n.upstream.detach()
--- a/internal/platform/consul/keyvalue.go
+++ b/internal/platform/consul/keyvalue.go
@@ -150,7 +150,7 @@
 
 // Transact implements store.Store.
 func (c *Client) Transact(ctx context.Context, operations []store.Operation) error {
-	if err := store.FitsTransaction(operations); err != nil {
+	if err := store.CheckTransactionSize(operations); err != nil {
 		return err
 	}
 	steps := make([]wire.Operation, len(operations))
--- a/internal/sim/node_watch.go
+++ b/internal/sim/node_watch.go
@@ -163,7 +163,7 @@
 // takeReply takes in what the parent answered and watches on.
 func (a *agent) takeReply(parent *node, request watchRequest, reply watchReply) {
 	inLoop := slices.Contains(reply.path, a.node.id)
-	notReader := a.plan.MustRead(parent.id) && !reply.reads
+	notReader := a.plan.MustBeReader(parent.id) && !reply.reads
 	if inLoop || notReader {
 		a.world.faults.count("parent left")
 		a.suspects[parent.id] = a.world.scheduler.now + suspectFor
--- a/pkg/store/limits.go
+++ b/pkg/store/limits.go
@@ -21,8 +21,8 @@
 	return operationOverheadBytes + len(o.Key) + value
 }
 
-// FitsTransaction returns ErrTooLarge unless the operations fit into one transaction.
-func FitsTransaction(operations []Operation) error {
+// CheckTransactionSize returns ErrTooLarge unless the operations fit into one transaction.
+func CheckTransactionSize(operations []Operation) error {
 	if len(operations) > MaxTransactionOperations {
 		return ErrTooLarge.New("%d operations exceed the limit of %d", len(operations), MaxTransactionOperations)
 	}
--- a/pkg/store/limits_test.go
+++ b/pkg/store/limits_test.go
@@ -33,11 +33,11 @@
 	tooMany := make([]store.Operation, store.MaxTransactionOperations+1)
 	tooLarge := []store.Operation{{Value: make([]byte, store.MaxValueBytes)}, {Value: make([]byte, store.MaxValueBytes)}}
 	for _, operations := range [][]store.Operation{tooMany, tooLarge} {
-		if err := store.FitsTransaction(operations); !errorx.IsOfType(err, store.ErrTooLarge) {
+		if err := store.CheckTransactionSize(operations); !errorx.IsOfType(err, store.ErrTooLarge) {
 			t.Errorf("%d operations gave %v", len(operations), err)
 		}
 	}
-	if err := store.FitsTransaction(tooMany[1:]); err != nil {
+	if err := store.CheckTransactionSize(tooMany[1:]); err != nil {
 		t.Errorf("the largest transaction gave %v", err)
 	}
 }
--- a/pkg/store/memory/store.go
+++ b/pkg/store/memory/store.go
@@ -174,7 +174,7 @@
 
 // Transact implements store.Store.
 func (s *Store) Transact(_ context.Context, operations []store.Operation) error {
-	if err := store.FitsTransaction(operations); err != nil {
+	if err := store.CheckTransactionSize(operations); err != nil {
 		return err
 	}
 	request := Request{Kind: RequestTransact, Operations: operations}
--- a/pkg/topology/doc.go
+++ b/pkg/topology/doc.go
@@ -6,5 +6,6 @@
 // identifier. A node's parents precede it in that order, or else read the store
 // themselves; a node that reads the store has only earlier readers as parents.
 // So nodes with different views cannot form a loop, as long as a node leaves a
-// parent for which Assignment.MustRead holds and which does not read.
+// parent for which Assignment.MustBeReader holds once that parent no longer
+// reads the store.
 package topology
--- a/pkg/topology/peer.go
+++ b/pkg/topology/peer.go
@@ -80,13 +80,14 @@
 	// FullScope tells that the node holds the whole configuration, because
 	// others may pull from it.
 	FullScope bool
-	// mustRead lists the parents that may serve only while they read the store.
+	// mustRead lists the IDs of the parents that may serve this node only while
+	// they read the store.
 	mustRead []string
 }
 
-// MustRead tells that the node may stay with this parent only as long as the
-// parent itself says that it reads the store; otherwise a loop could form.
-func (a *Assignment) MustRead(parent string) bool {
+// MustBeReader reports whether the node may stay with this parent only as long as
+// the parent itself reports that it reads the store; otherwise a loop could form.
+func (a *Assignment) MustBeReader(parent string) bool {
 	for _, id := range a.mustRead {
 		if id == parent {
 			return true
--- a/pkg/topology/plan_test.go
+++ b/pkg/topology/plan_test.go
@@ -100,7 +100,7 @@
 		for _, self := range peers {
 			plan := topology.Plan(self.ID, viewOf(self.ID, peers, random), options)
 			for _, parent := range plan.Parents {
-				if reads[parent.ID] || !plan.MustRead(parent.ID) {
+				if reads[parent.ID] || !plan.MustBeReader(parent.ID) {
 					parents[self.ID] = append(parents[self.ID], parent.ID)
 				}
 			}
