--- a/pkg/routing/match.go
+++ b/pkg/routing/match.go
@@ -6,25 +6,27 @@
 	"strings"
 )
 
-// maximumHostLength is the longest host name that is looked up.
+// maximumHostLength is the length, in bytes, of the longest host name that is
+// looked up.
 const maximumHostLength = 255
 
-// MatchResult says what became of a look-up.
+// MatchResult is the outcome of a look-up.
 type MatchResult uint8
 
 // The results of a look-up.
 const (
-	// Matched: the route returned takes the request.
+	// Matched: the returned route matches the request.
 	Matched MatchResult = iota
 	// NoRoute: no route matches host and path.
 	NoRoute
-	// MethodNotAllowed: routes match host and path, but none takes the method.
+	// MethodNotAllowed: routes match host and path, but none accepts the method.
 	MethodNotAllowed
-	// OutOfScope: the route that takes the request is not held.
+	// OutOfScope: the most specific route for the request is outside the scope
+	// of the snapshot, so this node does not hold it.
 	OutOfScope
 )
 
-// Match returns the most specific route that takes a request. Host is the Host
+// Match returns the most specific route for a request. Host is the Host
 // header, with or without a port; path is the decoded path. The route is nil
 // unless the result is Matched.
 func (t *Table) Match(host, path, method string) (*Route, MatchResult) {
@@ -45,9 +47,10 @@
 // search is a look-up in progress.
 type search struct {
 	path, method string
-	// pathMatched tells that a route which is held matches host and path.
+	// pathMatched reports whether a route in scope matches host and path.
 	pathMatched bool
-	// collect, when not nil, takes the methods of all routes met.
+	// collect, when not nil, receives the methods that routes in scope list for
+	// the host and path.
 	collect map[string]struct{}
 }
 
@@ -56,14 +59,14 @@
 	var buffer [maximumHostLength]byte
 	name := normalizeHost(&buffer, host)
 	if len(name) > 0 {
-		if route := lookup.inHost(t.exact[string(name)]); route != nil {
+		if route := lookup.matchHost(t.exact[string(name)]); route != nil {
 			return route
 		}
 		if route := t.findSuffix(lookup, name); route != nil {
 			return route
 		}
 	}
-	return lookup.inHost(t.anyHost)
+	return lookup.matchHost(t.anyHost)
 }
 
 // findSuffix tries the suffixes of a host from the longest to the shortest.
@@ -75,7 +78,7 @@
 		if name[i] != '.' {
 			continue
 		}
-		if route := lookup.inHost(t.suffixes[string(name[i:])]); route != nil {
+		if route := lookup.matchHost(t.suffixes[string(name[i:])]); route != nil {
 			return route
 		}
 	}
@@ -110,12 +113,12 @@
 	return character
 }
 
-// inHost returns the most specific route of one host, or nil.
-func (s *search) inHost(paths *pathTable) *Route {
+// matchHost returns the most specific route of one host, or nil.
+func (s *search) matchHost(paths *pathTable) *Route {
 	if paths == nil {
 		return nil
 	}
-	if route := s.take(paths.exact[s.path]); route != nil {
+	if route := s.matchMethod(paths.exact[s.path]); route != nil {
 		return route
 	}
 	return s.longestPrefix(&paths.prefix)
@@ -126,7 +129,7 @@
 	if s.path == "" || s.path[0] != '/' {
 		return nil
 	}
-	best := s.take(&node.methods)
+	best := s.matchMethod(&node.methods)
 	rest := s.path[1:]
 	for node.children != nil {
 		segment, after, more := strings.Cut(rest, "/")
@@ -134,7 +137,7 @@
 		if node == nil {
 			return best
 		}
-		if route := s.take(&node.methods); route != nil {
+		if route := s.matchMethod(&node.methods); route != nil {
 			best = route
 		}
 		if !more {
@@ -145,20 +148,20 @@
 	return best
 }
 
-// take returns the route of one host and path that takes the method, or nil.
-func (s *search) take(methods *methodTable) *Route {
+// matchMethod returns the route of one host and path that accepts the method, or nil.
+func (s *search) matchMethod(methods *methodTable) *Route {
 	if methods == nil || methods.empty() {
 		return nil
 	}
-	s.pathMatched = s.pathMatched || methods.holds
+	s.pathMatched = s.pathMatched || methods.hasInScope
 	if s.collect != nil {
 		methods.collect(s.collect)
 	}
 	return methods.find(s.method)
 }
 
-// AllowedMethods returns the methods, sorted, that routes which are held list for
-// a host and path. It is for answers to requests whose method is not allowed.
+// AllowedMethods returns the sorted methods that the routes in scope list for a
+// host and path. It serves responses to requests whose method is not allowed.
 func (t *Table) AllowedMethods(host, path string) []string {
 	lookup := search{path: path, collect: map[string]struct{}{}}
 	t.find(&lookup, host)
--- a/pkg/routing/match_test.go
+++ b/pkg/routing/match_test.go
@@ -119,7 +119,8 @@
 	}
 }
 
-// specificity orders matching routes as the package comment does.
+// specificity reports whether a route matches a request, and ranks it in the
+// order that the package comment states.
 func specificity(match model.Match, host, path, method string) ([3]int, bool) {
 	var rank [3]int
 	switch {
@@ -151,7 +152,7 @@
 // drawnPaths are the paths of drawn routes and of requests to them.
 var drawnPaths = []string{"/", "/x", "/x/y", "/x/y/z", "/xy", "/x/"}
 
-// drawMatches draws matches that often overlap and never clash.
+// drawMatches draws matches that often overlap and are never ambiguous.
 func drawMatches(t testing.TB, rt *rapid.T, hosts ...string) map[string]model.Match {
 	matches := map[string]model.Match{}
 	for i := range rapid.IntRange(0, 12).Draw(rt, "routes") {
--- a/pkg/routing/route.go
+++ b/pkg/routing/route.go
@@ -23,8 +23,8 @@
 	CredentialHeader string
 	// Credential is nil when the route has none.
 	Credential *model.Secret
-	// outOfScope marks a route of which only the match is known. It is never
-	// handed out.
+	// outOfScope marks a route of which only the match is known. Such a route is
+	// never returned to callers.
 	outOfScope bool
 }
 
--- a/pkg/routing/scope_test.go
+++ b/pkg/routing/scope_test.go
@@ -27,11 +27,11 @@
 
 func compileScope(t testing.TB, scope snapshot.Scope, resources ...model.Resource) *Table {
 	t.Helper()
-	whole, err := snapshot.New(7, resources)
+	complete, err := snapshot.New(7, resources)
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, err := Compile(whole.Restrict(scope))
+	table, err := Compile(complete.Restrict(scope))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,23 +80,23 @@
 			target := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "target")
 			resources = append(resources, routeTo(name, target, matches[name]))
 		}
-		whole := compileScope(t, snapshot.Scope{All: true}, resources...)
+		unscoped := compileScope(t, snapshot.Scope{All: true}, resources...)
 		scoped := compileScope(t, snapshot.Scope{Service: "a"}, resources...)
 		for _, host := range []string{"h.b", "b", "x.a.b", "c.a.b", "other"} {
 			for _, path := range append([]string{"/z"}, drawnPaths...) {
 				for _, method := range []string{"GET", "POST", "PUT"} {
-					requireNoOtherRoute(rt, whole, scoped, host, path, method)
+					requireSameRouteOrNone(rt, unscoped, scoped, host, path, method)
 				}
 			}
 		}
 	})
 }
 
-// requireNoOtherRoute checks one request: the scoped table gives the route of
-// the whole table or tells that there is none for this node, and says that a
-// method is not allowed only when the whole table says so.
-func requireNoOtherRoute(t *rapid.T, whole, scoped *Table, host, path, method string) {
-	want, wantResult := whole.Match(host, path, method)
+// requireSameRouteOrNone checks one request: the scoped table returns the route of
+// the unscoped table or reports that this node has none, and reports that a
+// method is not allowed only when the unscoped table does.
+func requireSameRouteOrNone(t *rapid.T, unscoped, scoped *Table, host, path, method string) {
+	want, wantResult := unscoped.Match(host, path, method)
 	got, gotResult := scoped.Match(host, path, method)
 	inScope := false
 	if want != nil {
@@ -105,7 +105,7 @@
 	switch gotResult {
 	case Matched:
 		if want == nil || got.Name != want.Name {
-			t.Fatalf("%s %s%s: %v, the whole table gives %v", method, host, path, got.Name, want)
+			t.Fatalf("%s %s%s: %v, the unscoped table gives %v", method, host, path, got.Name, want)
 		}
 	case OutOfScope, NoRoute:
 		if inScope {
@@ -113,13 +113,13 @@
 		}
 	case MethodNotAllowed:
 		if wantResult != MethodNotAllowed {
-			t.Fatalf("%s %s%s: method not allowed, the whole table gives %v", method, host, path, want.Name)
+			t.Fatalf("%s %s%s: method not allowed, the unscoped table gives %v", method, host, path, want.Name)
 		}
 	}
 }
 
-// A route out of scope that does not take the method does not tell that no
-// route does: there may be one that is not known here.
+// A route out of scope that does not accept the method does not prove that no
+// route does: another one may exist that this node does not know of.
 func TestRouteOutOfScopeDoesNotRuleOutMethods(t *testing.T) {
 	table := compileScope(t, snapshot.Scope{Service: "worker"},
 		serviceCalling("worker"), serviceCalling("filings"),
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -17,8 +17,8 @@
 	anyHost  *pathTable
 	routes   map[string]*Route
 	tenants  tenantIndex
-	// longest is the longest time that any route gives a call.
-	longest time.Duration
+	// longestTimeout is the longest timeout of any route in scope.
+	longestTimeout time.Duration
 }
 
 // Compile builds the table of a snapshot. Errors are of type ErrInvalidRoute or
@@ -40,7 +40,7 @@
 			return nil, err
 		}
 		table.routes[name] = route
-		table.longest = max(table.longest, route.Timeout)
+		table.longestTimeout = max(table.longestTimeout, route.Timeout)
 	}
 	table.tenants = indexTenants(source.Tenants())
 	for name, match := range source.OutOfScope() {
@@ -54,50 +54,50 @@
 // Version returns the version of the snapshot that the table was compiled from.
 func (t *Table) Version() uint64 { return t.version }
 
-// Len returns the number of routes that are held.
+// Len returns the number of routes in scope.
 func (t *Table) Len() int { return len(t.routes) }
 
-// Route returns a route that is held by its name.
+// Route returns the route in scope with the given name.
 func (t *Table) Route(name string) (*Route, bool) {
 	route, ok := t.routes[name]
 	return route, ok
 }
 
-// LongestTimeout returns the longest time that a route to the service gives a call; zero
-// when there is no route.
+// LongestTimeout returns the longest timeout of the routes to a service; zero when there
+// is no such route.
 func (t *Table) LongestTimeout(service string) time.Duration {
 	var longest time.Duration
 	for _, route := range t.routes {
-		leads := route.ServiceName == service
+		leadsToService := route.ServiceName == service
 		for _, backend := range route.Config.Backends {
-			leads = leads || backend.Service == service
+			leadsToService = leadsToService || backend.Service == service
 		}
-		if leads {
+		if leadsToService {
 			longest = max(longest, route.Timeout)
 		}
 	}
 	return longest
 }
 
-// LongestCall returns the longest time that any route gives a call.
-func (t *Table) LongestCall() time.Duration { return t.longest }
+// LongestCall returns the longest timeout of any route in scope.
+func (t *Table) LongestCall() time.Duration { return t.longestTimeout }
 
 func (t *Table) add(route *Route) error {
-	paths, err := t.pathsOf(route)
+	paths, err := t.pathTableOf(route)
 	if err != nil {
 		return err
 	}
-	entry, err := paths.entryOf(route)
+	entry, err := paths.methodTableOf(route)
 	if err != nil {
 		return err
 	}
-	if other := entry.add(route); other != nil {
-		return ErrAmbiguousRoute.New("routes %q and %q take the same requests", other.Name, route.Name)
+	if existing := entry.add(route); existing != nil {
+		return ErrAmbiguousRoute.New("routes %q and %q take the same requests", existing.Name, route.Name)
 	}
 	return nil
 }
 
-func (t *Table) pathsOf(route *Route) (*pathTable, error) {
+func (t *Table) pathTableOf(route *Route) (*pathTable, error) {
 	host := route.Config.Match.CanonicalHost()
 	switch {
 	case host == model.AnyHost:
@@ -130,7 +130,7 @@
 	prefix prefixNode
 }
 
-// prefixNode is one segment of the prefixes of a host.
+// prefixNode is a node in the trie of a host's path prefixes, keyed by path segment.
 type prefixNode struct {
 	children map[string]*prefixNode
 	methods  methodTable
@@ -140,7 +140,7 @@
 	return &pathTable{exact: map[string]*methodTable{}}
 }
 
-func (p *pathTable) entryOf(route *Route) (*methodTable, error) {
+func (p *pathTable) methodTableOf(route *Route) (*methodTable, error) {
 	match := route.Config.Match
 	switch {
 	case match.Path != "" && match.PathPrefix == "" && match.Path[0] == '/':
@@ -189,8 +189,8 @@
 type methodTable struct {
 	listed    []listedMethod
 	anyMethod *Route
-	// holds tells whether there is a route that is not out of scope.
-	holds bool
+	// hasInScope reports whether any of the routes is in scope.
+	hasInScope bool
 }
 
 type listedMethod struct {
@@ -198,9 +198,9 @@
 	route  *Route
 }
 
-// add returns the route that already takes the same requests, if there is one.
+// add adds a route, or returns the route that already matches the same requests.
 func (m *methodTable) add(route *Route) *Route {
-	m.holds = m.holds || !route.outOfScope
+	m.hasInScope = m.hasInScope || !route.outOfScope
 	methods := slices.Clone(route.Config.Match.Methods)
 	if len(methods) == 0 {
 		if m.anyMethod != nil {
@@ -211,8 +211,8 @@
 	}
 	slices.Sort(methods)
 	for _, method := range slices.Compact(methods) {
-		if other := m.listedFor(method); other != nil {
-			return other
+		if existing := m.listedFor(method); existing != nil {
+			return existing
 		}
 		m.listed = append(m.listed, listedMethod{method: method, route: route})
 	}
--- a/pkg/routing/tenant.go
+++ b/pkg/routing/tenant.go
@@ -15,8 +15,8 @@
 // tenantIndex finds tenants by the digests of their keys.
 type tenantIndex struct {
 	byName map[string]*Tenant
-	// byKey holds nil for a key that several tenants list: which of them a call comes from
-	// cannot be told, and so the key authenticates nobody.
+	// byKey holds nil for a key that several tenants list: it does not identify which of
+	// them a call comes from, and so it authenticates nobody.
 	byKey map[model.KeyDigest]*Tenant
 }
 
@@ -39,7 +39,7 @@
 func (i *tenantIndex) add(tenant *Tenant) {
 	i.byName[tenant.Name] = tenant
 	for _, key := range tenant.Config.Keys {
-		if holder, claimed := i.byKey[key]; claimed && holder != tenant {
+		if holder, listed := i.byKey[key]; listed && holder != tenant {
 			i.byKey[key] = nil
 			continue
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// HasTenants reports whether the snapshot has tenants: requests then need a key, unless
-// their route is public.
+// HasTenants reports whether the snapshot has tenants. If it does, requests need a key
+// unless their route is public.
 func (t *Table) HasTenants() bool { return len(t.tenants.byName) > 0 }
 
 // Tenant returns a tenant by its name.
@@ -57,15 +57,15 @@
 	return tenant, found
 }
 
-// Authenticate decides whether a request for a route may go on. It returns the tenant whose
-// request it is: nil where the snapshot has no tenants, and for a request without a key on a
-// public route. A key that no tenant holds is refused there, too: its sender expects to be
-// authenticated.
-func (t *Table) Authenticate(route *Route, key string, given bool) (*Tenant, bool) {
+// Authenticate reports whether a request for a route may proceed, and returns the tenant
+// that sent it. The tenant is nil if the snapshot has no tenants, and for a request without
+// a key on a public route. A key that no tenant holds is refused on a public route, too: its
+// sender expects to be authenticated. keyPresent tells whether the request carries a key.
+func (t *Table) Authenticate(route *Route, key string, keyPresent bool) (*Tenant, bool) {
 	switch {
 	case !t.HasTenants():
 		return nil, true
-	case given:
+	case keyPresent:
 		tenant := t.TenantOf(key)
 		return tenant, tenant != nil
 	default:
@@ -74,7 +74,7 @@
 }
 
 // TenantOf returns the tenant that holds a key; nil when none does, or several do. Only
-// digests are compared, so that the time taken says nothing of the keys there are.
+// digests are compared, so that the time taken reveals nothing about the existing keys.
 func (t *Table) TenantOf(key string) *Tenant {
 	return t.tenants.byKey[model.DigestKey(key)]
 }
--- a/pkg/routing/tenant_test.go
+++ b/pkg/routing/tenant_test.go
@@ -28,7 +28,7 @@
 	return table
 }
 
-// TestTenantOfAKey also has a key that two tenants claim, and one that a tenant lists twice.
+// TestTenantOfAKey includes a key that several tenants list, and one that a tenant lists twice.
 func TestTenantOfAKey(t *testing.T) {
 	table := tableOf(t, tenantWith("one", "k1", "k2", "k2"), tenantWith("two", "k3", "shared"), tenantWith("three", "shared"), tenantWith("four", "shared"))
 	for key, want := range map[string]string{"k1": "one", "k2": "one", "k3": "two", "shared": "", "k4": "", "": ""} {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestTenantWithoutKeys has a version with tenants of which no key is known: it must not
-// take requests for those of a version without tenants.
+// TestTenantWithoutKeys checks that a version whose tenants have no keys is not mistaken
+// for a version without tenants, which accepts requests without a key.
 func TestTenantWithoutKeys(t *testing.T) {
 	if table := tableOf(t, tenantWith("one")); !table.HasTenants() {
 		t.Error("a tenant without keys was not counted")
