--- a/pkg/topology/fanout.go
+++ b/pkg/topology/fanout.go
@@ -8,34 +8,34 @@
 	MaxFanOut = 32
 )
 
-// Budget says what a relay may send and receive, and what its children cost.
+// Budget states what a relay may send and receive, and what its children cost.
 // Zero fields of cost mean the defaults.
 type Budget struct {
-	// BytesPerSecond bounds all control bytes of a node, both ways, averaged
-	// over a window of minutes.
+	// BytesPerSecond bounds the control bytes that a node sends and receives
+	// together, averaged over a window of minutes.
 	BytesPerSecond float64
-	// HoldSeconds is how long a watch is held when nothing changes.
+	// HoldSeconds is how long a watch request is held open when nothing changes.
 	HoldSeconds float64
-	// IdlePollBytes is what one watch without news costs, request and answer,
-	// with HTTP and TCP/IP headers.
+	// IdlePollBytes is the size of one watch without an update, request and
+	// response, with HTTP and TCP/IP headers.
 	IdlePollBytes float64
-	// ChangeBytes is what one change of the configuration costs for each child:
-	// the staged difference, the commit and the reports.
+	// ChangeBytes is the traffic of one change of the configuration for each
+	// child: the staged delta, the commit and the reports.
 	ChangeBytes float64
 	// ChangesPerDay is how often the configuration changes.
 	ChangesPerDay float64
-	// DirectoryBytesPerSecond is what changes of membership cost for each child.
+	// DirectoryBytesPerSecond is the traffic of membership changes for each child.
 	DirectoryBytesPerSecond float64
 	// OtherChildren is how many children a relay may have besides those of its
 	// zone: relays of other zones and regions.
 	OtherChildren int
-	// Reserve is the share of the budget, 0 to 1, kept for bursts.
+	// Reserve is the fraction of the budget, 0 to 1, reserved for bursts.
 	Reserve float64
 }
 
 const secondsPerDay = 86400
 
-// childBytesPerSecond returns what one child costs.
+// childBytesPerSecond returns the traffic that one child causes.
 func (b Budget) childBytesPerSecond() float64 {
 	idle := b.IdlePollBytes / max(b.HoldSeconds, math.SmallestNonzeroFloat64)
 	changes := b.ChangeBytes * b.ChangesPerDay / secondsPerDay
--- a/pkg/topology/peer.go
+++ b/pkg/topology/peer.go
@@ -1,12 +1,12 @@
 package topology
 
-// Peer is one live node as the plan needs to know it.
+// Peer describes one live node for planning.
 type Peer struct {
 	ID             string
 	Region         string
 	Zone           string
 	ControlAddress string
-	// Reader tells that the node reads the platform's store.
+	// Reader reports whether the node currently reads the platform's store.
 	Reader bool
 }
 
@@ -14,15 +14,16 @@
 const (
 	DefaultFanOut  = 8
 	DefaultReaders = 3
-	// MaxParents bounds the candidates that a plan lists. A node for which all
-	// of them fail plans again without them.
+	// MaxParents is the highest number of parents that a plan lists. If all of
+	// them fail, the node plans again without them.
 	MaxParents = 8
 )
 
-// Options shapes the tree. All nodes of a system use the same.
+// Options determine the shape of the tree. All nodes of a mesh must use the same.
 type Options struct {
-	// FanOut is how many children a node has inside its zone, and how many
-	// zones of its region a zone relay serves. Zero means DefaultFanOut.
+	// FanOut is the highest number of children that a node has inside its zone,
+	// and of other zones of its region that a zone relay serves. Zero means
+	// DefaultFanOut.
 	FanOut int
 	// Readers is how many nodes may read the store. Zero means DefaultReaders.
 	Readers int
@@ -38,7 +39,7 @@
 	return o
 }
 
-// Role is a node's place in the tree.
+// Role is a node's level in the tree.
 type Role uint8
 
 // The roles, from the widest part of the tree to its root.
@@ -63,22 +64,24 @@
 	return roleNames[r]
 }
 
-// NotInApex is the apex index of a node that is not the relay of its zone.
+// NotInApex is the apex index of a node that is not the relay of its zone. The
+// apex is the set of the relays of all zones.
 const NotInApex = -1
 
-// Assignment is a node's own place in the tree.
+// Assignment is a node's own position in the tree.
 type Assignment struct {
 	Role Role
-	// Rank is the node's place among the members of its zone; 0 is the zone relay.
+	// Rank is the node's position among the members of its zone; 0 is the zone relay.
 	Rank int
-	// ReaderCandidate tells that the node is to try for a lease to read the store.
+	// ReaderCandidate reports whether the node should try to acquire a lease to
+	// read the store.
 	ReaderCandidate bool
-	// ApexIndex is the node's place among the relays of all zones, or NotInApex.
+	// ApexIndex is the node's position among the relays of all zones, or NotInApex.
 	ApexIndex int
 	// Parents lists the nodes to pull from, in order of preference.
 	Parents []Peer
-	// FullScope tells that the node holds the whole configuration, because
-	// others may pull from it.
+	// FullScope reports whether the node holds the complete configuration,
+	// because others may pull from it.
 	FullScope bool
 	// mustRead lists the IDs of the parents that may serve this node only while
 	// they read the store.
--- a/pkg/topology/plan.go
+++ b/pkg/topology/plan.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// Plan returns the place of the node self among the live members, of which it
-// is one. If live does not hold it, the assignment is that of a leaf without
-// parents.
+// Plan returns the position in the tree of the node with the identifier self, which
+// is normally one of the live members. If live does not contain it, the assignment
+// is that of a leaf without parents.
 func Plan(self string, live []Peer, options Options) Assignment {
 	return PlanSeq(self, slices.Values(live), options)
 }
 
-// PlanSeq is Plan over a sequence, which it runs through twice. It spares the
-// caller a copy of the members.
+// PlanSeq is like Plan but takes a sequence, which it iterates over twice. The
+// caller need not copy the members into a slice.
 func PlanSeq(self string, live iter.Seq[Peer], options Options) Assignment {
 	options = options.withDefaults()
 	own, found := findSelf(self, live)
@@ -46,9 +46,9 @@
 	}
 }
 
-// relayCount returns how many of a zone's members hold the whole
-// configuration: those that have children, and at least the zone relay's own
-// children, one of which takes its place when it dies.
+// relayCount returns how many of a zone's members hold the complete
+// configuration: those that have children, and at least the zone relay and its own
+// children, one of which replaces it when it fails.
 func relayCount(zoneSize, fanOut int) int {
 	withChildren := 0
 	if zoneSize > 1 {
@@ -70,8 +70,9 @@
 	}
 }
 
-// chooseEarlierReaders lists the readers that precede this one, which must
-// really read. The reader that reaches none of them coordinates.
+// chooseEarlierReaders lists the readers that precede this one. They may serve it
+// only while they read the store. The reader that reaches none of them is the
+// coordinator.
 func (s *survey) chooseEarlierReaders(assignment *Assignment) {
 	for _, reader := range s.readers {
 		if reader.key.Compare(s.selfKey) < 0 && len(assignment.Parents) < MaxParents {
@@ -98,28 +99,28 @@
 	})
 }
 
-// heapParents lists the preferred one of count candidates first, the first
-// candidate of all last, and between them others in an order of the child's
-// own, so that the children of a dead parent spread.
+// heapParents lists the preferred one of count candidates first, candidate 0 last,
+// and between them other candidates in an order that differs for each child, so
+// that the children of a failed parent spread over the others.
 func (s *survey) heapParents(count, preferred int, candidate func(int) (Peer, Key)) []Peer {
 	type ranked struct {
 		index int
 		score uint64
 	}
-	others := make([]ranked, 0, count)
+	fallbacks := make([]ranked, 0, count)
 	for index := 1; index < count; index++ {
 		if index == preferred {
 			continue
 		}
 		_, key := candidate(index)
-		others = append(others, ranked{index, pairScore(s.selfKey.member, key.member)})
+		fallbacks = append(fallbacks, ranked{index, pairScore(s.selfKey.member, key.member)})
 	}
-	slices.SortFunc(others, func(a, b ranked) int { return cmp.Compare(a.score, b.score) })
+	slices.SortFunc(fallbacks, func(a, b ranked) int { return cmp.Compare(a.score, b.score) })
 	parents := make([]Peer, 0, min(count, MaxParents))
 	first, _ := candidate(preferred)
 	parents = append(parents, first)
-	for _, other := range others[:min(len(others), MaxParents-2)] {
-		peer, _ := candidate(other.index)
+	for _, fallback := range fallbacks[:min(len(fallbacks), MaxParents-2)] {
+		peer, _ := candidate(fallback.index)
 		parents = append(parents, peer)
 	}
 	if preferred != 0 {
@@ -130,8 +131,9 @@
 }
 
 // chooseApexParents lists the parents of a region relay that does not read the
-// store: the readers, spread over the regions, and then the relays of earlier
-// regions. Readers that follow the node in the order of keys must really read.
+// store: the readers, spread over the regions, and then the relays of preceding
+// regions. Readers that follow the node in the order of keys may serve it only
+// while they read the store.
 func (s *survey) chooseApexParents(assignment *Assignment) {
 	region := s.regionIndex()
 	for offset := range min(len(s.readers), MaxParents/2) {
--- a/pkg/topology/plan_test.go
+++ b/pkg/topology/plan_test.go
@@ -46,14 +46,14 @@
 }
 
 func hasCycle(parents map[string][]string) bool {
-	const underWay, done = 1, 2
+	const inProgress, done = 1, 2
 	state := map[string]int{}
 	var visit func(string) bool
 	visit = func(id string) bool {
 		if state[id] != 0 {
-			return state[id] == underWay
+			return state[id] == inProgress
 		}
-		state[id] = underWay
+		state[id] = inProgress
 		if slices.ContainsFunc(parents[id], visit) {
 			return true
 		}
@@ -68,8 +68,8 @@
 	return false
 }
 
-// viewOf returns what one node may know of the others: some are missing, and
-// of some it does not know whether they read the store now.
+// viewOf returns what one node may know of the others: about a quarter of the peers
+// are missing, and for one in eight the Reader mark is wrong.
 func viewOf(self string, peers []topology.Peer, random *rand.Rand) []topology.Peer {
 	var view []topology.Peer
 	for _, peer := range peers {
@@ -129,12 +129,12 @@
 			plan := topology.Plan(peer.ID, peers, options)
 			if len(plan.Parents) == 0 {
 				if !peer.Reader {
-					t.Fatalf("%s has no parent and reads nothing", peer.ID)
+					t.Fatalf("%s has no parent and does not read the store", peer.ID)
 				}
 				continue
 			}
 			if slices.ContainsFunc(plan.Parents, func(parent topology.Peer) bool { return !full[parent.ID] }) {
-				t.Fatalf("%s may pull from a node that does not hold everything", peer.ID)
+				t.Fatalf("%s may pull from a node that does not hold the complete configuration", peer.ID)
 			}
 			parent := plan.Parents[0].ID
 			if zoneOf[parent] == peer.Zone {
@@ -144,7 +144,7 @@
 			}
 		}
 		if readers > options.Readers {
-			t.Fatalf("%d readers", readers)
+			t.Fatalf("%d readers, more than the options allow", readers)
 		}
 		const regionsPerReader = 2
 		for _, peer := range peers {
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestParentsAreUniqueAndOthers(t *testing.T) {
+func TestParentsAreDistinctAndNotSelf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := drawOptions(t)
 		peers := withReaders(drawMesh(t), options)
@@ -189,10 +189,10 @@
 		t.Fatalf("fan-out %d uses %.0f bytes a second", fanOut, used)
 	}
 	if topology.FanOut(topology.Budget{BytesPerSecond: 1, IdlePollBytes: 900, HoldSeconds: 3}) != topology.MinFanOut {
-		t.Error("below the least fan-out")
+		t.Error("the fan-out of a tiny budget is not MinFanOut")
 	}
 	if topology.FanOut(topology.Budget{}) != topology.MaxFanOut {
-		t.Error("no cost, but a bound")
+		t.Error("the fan-out of children without cost is not MaxFanOut")
 	}
 }
 
--- a/pkg/topology/score.go
+++ b/pkg/topology/score.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Odd constants that keep apart the hashes of different fields.
+// Odd multipliers that give different fields different hashes, even when their
+// texts are equal.
 const (
 	regionMultiplier = 0x9e3779b97f4a7c15
 	zoneMultiplier   = 0xc2b2ae3d27d4eb4f
@@ -33,12 +34,13 @@
 	return mix(zone*zoneMultiplier + xxhash.Sum64String(id))
 }
 
-// pairScore orders the fallback parents of a child differently for each child.
+// pairScore orders the fallback parents of a child, in a different order for each
+// child.
 func pairScore(child, parent uint64) uint64 {
 	return mix(child*regionMultiplier + parent)
 }
 
-// Key is a node's fixed place in the order of all nodes: by region, then by
+// Key is a node's fixed position in the order of all nodes: by region, then by
 // zone, then by its rendezvous score within the zone.
 type Key struct {
 	region, zone, member uint64
--- a/pkg/topology/survey.go
+++ b/pkg/topology/survey.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// zoneSurvey is what one pass over the members finds out about a zone.
+// zoneSurvey is what one pass over the members collects about a zone.
 type zoneSurvey struct {
 	region, name string
 	// key is the key of the zone's relay.
 	key   Key
 	relay Peer
-	// indexInRegion is the zone's place in its region.
+	// indexInRegion is the zone's position among the zones of its region.
 	indexInRegion int
 }
 
@@ -21,7 +21,7 @@
 	peer Peer
 }
 
-// survey is what one pass over the members finds out.
+// survey is what one pass over the members collects.
 type survey struct {
 	self    Peer
 	selfKey Key
@@ -32,10 +32,10 @@
 	readers []member
 }
 
-// expectedZoneSize is the room made for the members of the node's own zone.
+// expectedZoneSize is the initial capacity for the members of the node's own zone.
 const expectedZoneSize = 96
 
-// expectedZones is the room made for zones.
+// expectedZones is the initial capacity for zones.
 const expectedZones = 24
 
 func findSelf(self string, live iter.Seq[Peer]) (Peer, bool) {
@@ -54,18 +54,18 @@
 		zones:   make([]zoneSurvey, 0, expectedZones),
 		members: make([]member, 0, expectedZoneSize),
 	}
-	latest := 0
+	previousZone := 0
 	for peer := range live {
-		latest = found.add(peer, latest)
+		previousZone = found.add(peer, previousZone)
 	}
-	found.complete()
+	found.sortAndIndexZones()
 	return found
 }
 
-// add takes in one member. latest is the index of the zone of the member
-// before it, which is often the zone of this one too.
-func (s *survey) add(peer Peer, latest int) int {
-	index := s.zoneIndex(&peer, latest)
+// add records one member and returns the index of its zone. previousZone is the
+// index of the zone of the member added before, often the same zone.
+func (s *survey) add(peer Peer, previousZone int) int {
+	index := s.zoneIndex(&peer, previousZone)
 	zone := &s.zones[index]
 	score := memberScore(zone.key.zone, peer.ID)
 	key := Key{region: zone.key.region, zone: zone.key.zone, member: score, id: peer.ID}
@@ -81,12 +81,14 @@
 	return index
 }
 
-func (s *survey) zoneIndex(peer *Peer, latest int) int {
-	if latest < len(s.zones) && s.zones[latest].holds(peer) {
-		return latest
+// zoneIndex returns the index of the peer's zone in zones, and adds the zone if it
+// is new. It tries previousZone first.
+func (s *survey) zoneIndex(peer *Peer, previousZone int) int {
+	if previousZone < len(s.zones) && s.zones[previousZone].contains(peer) {
+		return previousZone
 	}
 	for index := range s.zones {
-		if s.zones[index].holds(peer) {
+		if s.zones[index].contains(peer) {
 			return index
 		}
 	}
@@ -98,13 +100,13 @@
 	return len(s.zones) - 1
 }
 
-func (z *zoneSurvey) holds(peer *Peer) bool {
+func (z *zoneSurvey) contains(peer *Peer) bool {
 	return z.name == peer.Zone && z.region == peer.Region
 }
 
 func compareMembers(a, b member) int { return a.key.Compare(b.key) }
 
-func (s *survey) complete() {
+func (s *survey) sortAndIndexZones() {
 	slices.SortFunc(s.zones, func(a, b zoneSurvey) int { return a.key.Compare(b.key) })
 	slices.SortFunc(s.members, compareMembers)
 	slices.SortFunc(s.readers, compareMembers)
@@ -115,7 +117,7 @@
 	}
 }
 
-// rank returns the node's place among the members of its zone.
+// rank returns the node's position among the members of its zone.
 func (s *survey) rank() int {
 	index, _ := slices.BinarySearchFunc(s.members, s.selfKey, func(m member, key Key) int {
 		return m.key.Compare(key)
@@ -125,7 +127,7 @@
 
 // ownZone returns the index of the node's own zone in zones.
 func (s *survey) ownZone() int {
-	return slices.IndexFunc(s.zones, func(zone zoneSurvey) bool { return zone.holds(&s.self) })
+	return slices.IndexFunc(s.zones, func(zone zoneSurvey) bool { return zone.contains(&s.self) })
 }
 
 // regionZones returns the zones of the node's own region.
@@ -139,14 +141,14 @@
 	return s.zones[start:end]
 }
 
-// apexIndex returns the place of a zone's relay among all zone relays: the
+// apexIndex returns the position of a zone's relay among all zone relays: the
 // first zones of all regions come first, then the second zones, and so on.
 func (s *survey) apexIndex(zone int) int {
 	depth := s.zones[zone].indexInRegion
 	before := 0
 	for index := range s.zones {
-		other := s.zones[index].indexInRegion
-		if other < depth || (other == depth && index < zone) {
+		otherDepth := s.zones[index].indexInRegion
+		if otherDepth < depth || (otherDepth == depth && index < zone) {
 			before++
 		}
 	}
