--- a/pkg/snapshot/delta.go
+++ b/pkg/snapshot/delta.go
@@ -2,18 +2,18 @@
 
 import "github.com/levertide/levertide/pkg/model"
 
-// Delta takes a holder of one snapshot to another. Base zero with the digest
-// of Empty stands for no snapshot at all, so that the delta is a whole one.
+// Delta is the difference between two snapshots, a base and a target. Base zero with
+// the digest of Empty stands for no snapshot: such a delta holds a complete snapshot.
 type Delta struct {
-	// Base and BaseDigest name what the delta starts from.
+	// Base and BaseDigest identify the snapshot that the delta starts from.
 	Base       uint64
 	BaseDigest model.Digest
-	// Target and TargetDigest name what applying it must give.
+	// Target and TargetDigest identify the snapshot that applying it must give.
 	Target       uint64
 	TargetDigest model.Digest
 	// Upserts are the resources that are new or changed, in the order of keys.
 	Upserts []model.Resource
-	// Removed are the keys that are gone, in order.
+	// Removed are the keys of resources that the target lacks, in order.
 	Removed []model.Key
 }
 
@@ -33,7 +33,7 @@
 	return delta
 }
 
-// collect walks two sorted lists side by side.
+// collect compares two sorted lists in one pass and records their differences.
 func (d *Delta) collect(old, current []*entry) {
 	for len(old) > 0 || len(current) > 0 {
 		switch {
@@ -55,18 +55,18 @@
 // Empty reports whether the delta changes nothing but the version number.
 func (d Delta) Empty() bool { return len(d.Upserts) == 0 && len(d.Removed) == 0 }
 
-// Apply returns the target snapshot, which shares with base all that did not
-// change. A nil base is Empty. It fails with ErrBaseMismatch when base has other
-// content than the delta starts from, with ErrDigestMismatch when the result is
-// not the promised one, and as New does when the result would not be a snapshot.
-// The number of base is not compared: only its content matters.
+// Apply returns the target snapshot, which shares all unchanged entries with base.
+// A nil base is Empty. It fails with ErrBaseMismatch when the digest of base is not
+// BaseDigest, with ErrDigestMismatch when the digest of the result is not
+// TargetDigest, and as New does when the result would not be a valid snapshot. The
+// version number of base is not compared: only its content matters.
 func (d Delta) Apply(base *Snapshot) (*Snapshot, error) {
 	base = orEmpty(base)
 	if base.digest != d.BaseDigest {
 		return nil, ErrBaseMismatch.New("delta from version %d does not start from the held content of version %d", d.Base, base.version)
 	}
 	if d.Empty() {
-		return d.relabel(base)
+		return d.withTargetVersion(base)
 	}
 	changed, err := d.changedEntries(base)
 	if err != nil {
@@ -77,20 +77,22 @@
 		return nil, err
 	}
 	if target.digest != d.TargetDigest {
-		return nil, ErrDigestMismatch.New("applying the delta to version %d did not give its promised content", d.Target)
+		return nil, ErrDigestMismatch.New("applying the delta to version %d gave content that differs from its target digest", d.Target)
 	}
 	return target, nil
 }
 
-// relabel serves a version that does not touch the holder.
-func (d Delta) relabel(base *Snapshot) (*Snapshot, error) {
+// withTargetVersion applies an empty delta: it returns the content of base with the
+// target's version number.
+func (d Delta) withTargetVersion(base *Snapshot) (*Snapshot, error) {
 	if d.TargetDigest != base.digest {
-		return nil, ErrDigestMismatch.New("an empty delta promises other content for version %d", d.Target)
+		return nil, ErrDigestMismatch.New("an empty delta to version %d has a target digest that differs from the content of its base", d.Target)
 	}
 	return base.WithVersion(d.Target), nil
 }
 
-// changedEntries makes sorted entries of the upserts.
+// changedEntries returns sorted entries for the upserts, and reuses entries of base
+// with the same content.
 func (d Delta) changedEntries(base *Snapshot) ([]*entry, error) {
 	changed := make([]*entry, 0, len(d.Upserts))
 	for _, resource := range d.Upserts {
@@ -98,16 +100,16 @@
 			return nil, err
 		}
 		item := newEntry(resource)
-		if place, found := findEntry(base.entries, item.key()); found && base.entries[place].digest == item.digest {
-			item = base.entries[place]
+		if index, found := findEntry(base.entries, item.key()); found && base.entries[index].digest == item.digest {
+			item = base.entries[index]
 		}
 		changed = append(changed, item)
 	}
 	return changed, sortEntries(changed)
 }
 
-// merge returns the sorted union of both lists without the removed keys; of
-// two entries with one key the changed one stays.
+// merge returns the sorted union of both lists without the old entries whose keys
+// were removed; of two entries with the same key the changed one stays.
 func (d Delta) merge(old, changed []*entry) []*entry {
 	removed := make(map[model.Key]struct{}, len(d.Removed))
 	for _, key := range d.Removed {
@@ -123,7 +125,7 @@
 			changed = changed[1:]
 			continue
 		}
-		if _, gone := removed[old[0].key()]; !gone {
+		if _, isRemoved := removed[old[0].key()]; !isRemoved {
 			merged = append(merged, old[0])
 		}
 		old = old[1:]
--- a/pkg/snapshot/dictionary.go
+++ b/pkg/snapshot/dictionary.go
@@ -1,14 +1,14 @@
 package snapshot
 
-// dictionaryID names the dictionary inside each payload. Nodes of different
-// program versions talk to one another, so that what an identifier stands for
-// never changes: other content takes a new identifier, which decompressors must
-// know one release before compressors use it.
+// dictionaryID identifies the dictionary inside each payload. Nodes of different
+// program versions exchange payloads, so the content behind an identifier never
+// changes: other content gets a new identifier, which decompressors must know one
+// release before compressors use it.
 const dictionaryID = 1
 
-// dictionary is text that payloads have in common with one another, the most
-// common last. Most payloads hold one or two resources, too few for a
-// compressor to find repetition in.
+// dictionary is text that payloads have in common, the most frequent last. Most
+// payloads hold one or two resources, too few for a compressor to find repetition
+// in.
 const dictionary = `{"removed":[{"kind":"Secret","name":"},{"kind":"Service","name":"},{"kind":"Route","name":"}]}` +
 	`{"upserts":[{"key":{"kind":"Secret","name":"-token"},"secret":{"value":"Bearer Basic "}},` +
 	`"path":"/","methods":["GET","HEAD","POST","PUT","PATCH","DELETE"],"repeatable":"always","priority":"low","priority":"high",` +
--- a/pkg/snapshot/entry.go
+++ b/pkg/snapshot/entry.go
@@ -22,10 +22,11 @@
 
 func (e *entry) key() model.Key { return e.resource.Key }
 
-// findEntry returns the place of key in sorted entries, or where it would go.
+// findEntry returns the index of key in sorted entries, or the index at which it
+// would be inserted.
 func findEntry(entries []*entry, key model.Key) (int, bool) {
-	place := sort.Search(len(entries), func(i int) bool { return !entries[i].key().Less(key) })
-	return place, place < len(entries) && entries[place].key() == key
+	index := sort.Search(len(entries), func(i int) bool { return !entries[i].key().Less(key) })
+	return index, index < len(entries) && entries[index].key() == key
 }
 
 // sortEntries orders entries by key and refuses two with the same key.
@@ -40,7 +41,8 @@
 }
 
 // digestEntries hashes the sorted list of kinds, names and resource digests.
-// Lengths go before names, so that two different lists never hash alike.
+// Each name is preceded by its length, so that two different lists never give the
+// same input to the hash.
 func digestEntries(entries []*entry) model.Digest {
 	hash := sha256.New()
 	var buffer []byte
--- a/pkg/snapshot/errors.go
+++ b/pkg/snapshot/errors.go
@@ -6,22 +6,22 @@
 var errorNamespace = errorx.NewNamespace("levertide.snapshot")
 
 var (
-	// ErrDanglingReference tells that a route names a service or a secret that
+	// ErrDanglingReference reports that a route names a service or a secret that
 	// is not in the same set.
 	ErrDanglingReference = errorNamespace.NewType("dangling_reference")
-	// ErrDuplicate tells that two resources of a set have the same key.
+	// ErrDuplicate reports that two resources of a set have the same key.
 	ErrDuplicate = errorNamespace.NewType("duplicate")
-	// ErrNotDeclarable tells that a resource is of a kind that only a
-	// restriction makes.
+	// ErrNotDeclarable reports that a resource is of a kind that only
+	// Snapshot.Restrict creates.
 	ErrNotDeclarable = errorNamespace.NewType("not_declarable")
-	// ErrBaseMismatch tells that a delta starts from other content than the
-	// snapshot that it was to be applied to.
+	// ErrBaseMismatch reports that the content of the snapshot that a delta was to be
+	// applied to is not that of the delta's base.
 	ErrBaseMismatch = errorNamespace.NewType("base_mismatch")
-	// ErrDigestMismatch tells that applying a delta did not give the content
-	// that it promised.
+	// ErrDigestMismatch reports that applying a delta did not give content with its
+	// target digest.
 	ErrDigestMismatch = errorNamespace.NewType("digest_mismatch")
-	// ErrMalformedDelta tells that a payload is not one that Delta.Encode wrote.
+	// ErrMalformedDelta reports that a payload is not one that Delta.Encode wrote.
 	ErrMalformedDelta = errorNamespace.NewType("malformed_delta")
-	// ErrTooLarge tells that a payload would take more than MaxPayloadBytes.
+	// ErrTooLarge reports that a payload would take more than MaxPayloadBytes.
 	ErrTooLarge = errorNamespace.NewType("too_large")
 )
--- a/pkg/snapshot/history.go
+++ b/pkg/snapshot/history.go
@@ -6,7 +6,8 @@
 )
 
 // History retains the snapshots with the highest versions, so that deltas can
-// be made from what others still hold. It may be used by several goroutines.
+// start from the versions that other nodes still hold. It may be used by several
+// goroutines.
 type History struct {
 	mutex     sync.RWMutex
 	capacity  int
@@ -23,14 +24,14 @@
 func (h *History) Add(snapshot *Snapshot) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	place, found := h.find(snapshot.version)
+	index, found := h.find(snapshot.version)
 	if found {
-		h.snapshots[place] = snapshot
+		h.snapshots[index] = snapshot
 		return
 	}
 	h.snapshots = append(h.snapshots, nil)
-	copy(h.snapshots[place+1:], h.snapshots[place:])
-	h.snapshots[place] = snapshot
+	copy(h.snapshots[index+1:], h.snapshots[index:])
+	h.snapshots[index] = snapshot
 	if len(h.snapshots) > h.capacity {
 		h.dropLowest()
 	}
@@ -40,11 +41,11 @@
 func (h *History) Get(version uint64) (*Snapshot, bool) {
 	h.mutex.RLock()
 	defer h.mutex.RUnlock()
-	place, found := h.find(version)
+	index, found := h.find(version)
 	if !found {
 		return nil, false
 	}
-	return h.snapshots[place], true
+	return h.snapshots[index], true
 }
 
 // Latest returns the snapshot with the highest version.
@@ -65,8 +66,8 @@
 }
 
 func (h *History) find(version uint64) (int, bool) {
-	place := sort.Search(len(h.snapshots), func(i int) bool { return h.snapshots[i].version >= version })
-	return place, place < len(h.snapshots) && h.snapshots[place].version == version
+	index := sort.Search(len(h.snapshots), func(i int) bool { return h.snapshots[i].version >= version })
+	return index, index < len(h.snapshots) && h.snapshots[index].version == version
 }
 
 func (h *History) dropLowest() {
--- a/pkg/snapshot/main_test.go
+++ b/pkg/snapshot/main_test.go
@@ -44,8 +44,9 @@
 	return built
 }
 
-// drawSnapshot draws a closed set from a small pool of names, so that two
-// draws often share, change and lack the same resources.
+// drawSnapshot draws a closed set from a small pool of names, so that two draws
+// often have resources in common, with the same or different content, and often
+// lack some of each other's.
 func drawSnapshot(t *rapid.T, version uint64) *snapshot.Snapshot {
 	services := drawNames(t, "service")
 	secrets := drawNames(t, "secret")
--- a/pkg/snapshot/out_of_scope.go
+++ b/pkg/snapshot/out_of_scope.go
@@ -6,9 +6,9 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// overlapping returns, in order, the entries that stand for routes out of scope
-// which overlap with a covered one: those that the snapshot has already, and
-// new ones for the other routes.
+// overlapping returns, in order, the out-of-scope entries for routes that overlap
+// with a covered one: those that the snapshot has already, and new ones for the
+// routes in others.
 func (s *Snapshot) overlapping(covered, others []*entry) []*entry {
 	var kept []*entry
 	for _, item := range s.ofKind(model.KindOutOfScope) {
@@ -16,13 +16,13 @@
 			kept = append(kept, item)
 		}
 	}
-	known := len(kept)
+	existing := len(kept)
 	for _, item := range others {
 		if overlapsAny(item.resource.Route.Match, covered) {
-			kept = append(kept, outOfScope(item))
+			kept = append(kept, newOutOfScopeEntry(item))
 		}
 	}
-	if known > 0 && known < len(kept) {
+	if existing > 0 && existing < len(kept) {
 		slices.SortFunc(kept, compareKeys)
 	}
 	return kept
@@ -37,8 +37,9 @@
 	return false
 }
 
-// outOfScope returns the entry that stands for a route which is not held.
-func outOfScope(route *entry) *entry {
+// newOutOfScopeEntry returns the entry that represents a route left out of the
+// snapshot.
+func newOutOfScopeEntry(route *entry) *entry {
 	return newEntry(model.Resource{
 		Key:        model.Key{Kind: model.KindOutOfScope, Name: route.key().Name},
 		OutOfScope: &route.resource.Route.Match,
--- a/pkg/snapshot/payload.go
+++ b/pkg/snapshot/payload.go
@@ -12,11 +12,11 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// MaxPayloadBytes bounds a payload once it is decompressed, in bytes.
+// MaxPayloadBytes is the largest decompressed payload, in bytes.
 const MaxPayloadBytes = 16 << 20
 
-// compressionWindow is how far back the compressor looks, in bytes. It bounds
-// the memory of compressor and decompressor.
+// compressionWindow is the distance, in bytes, over which the compressor finds
+// repetitions. It bounds the memory of compressor and decompressor.
 const compressionWindow = 1 << 20
 
 // compressor and decompressor are shared: both are safe for concurrent use.
@@ -25,7 +25,7 @@
 	decompressor = newDecompressor()
 )
 
-// payload is what travels of a delta besides its header.
+// payload is the encoded part of a delta: all but the fields of its header.
 type payload struct {
 	Upserts []json.RawMessage `json:"upserts,omitempty"`
 	Removed []model.Key       `json:"removed,omitempty"`
@@ -53,9 +53,9 @@
 	return compressor.EncodeAll(plain, nil), nil
 }
 
-// DecodeDelta returns header, which gives both ends of a delta, completed by
-// the changes that the payload lists. An empty payload lists none. It fails with
-// ErrTooLarge or ErrMalformedDelta.
+// DecodeDelta returns header, which identifies the base and the target of a delta,
+// with the changes that the payload lists. An empty payload lists none. It fails
+// with ErrTooLarge or ErrMalformedDelta.
 func DecodeDelta(header Delta, compressed []byte) (Delta, error) {
 	header.Upserts, header.Removed = nil, nil
 	if len(compressed) == 0 {
--- a/pkg/snapshot/property_test.go
+++ b/pkg/snapshot/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// overTheWire encodes and decodes a delta.
-func overTheWire(t *rapid.T, delta snapshot.Delta) snapshot.Delta {
+// encodeAndDecode encodes and decodes a delta.
+func encodeAndDecode(t *rapid.T, delta snapshot.Delta) snapshot.Delta {
 	payload, err := delta.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -37,45 +37,46 @@
 func TestApplyOfDiffGivesTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, target := drawSnapshot(t, 1), drawSnapshot(t, 2)
-		delta := overTheWire(t, snapshot.Diff(base, target))
+		delta := encodeAndDecode(t, snapshot.Diff(base, target))
 		applied, err := delta.Apply(base)
 		if err != nil {
 			t.Fatal(err)
 		}
 		requireSame(t, applied, target)
-		whole, err := overTheWire(t, snapshot.Diff(nil, target)).Apply(nil)
+		complete, err := encodeAndDecode(t, snapshot.Diff(nil, target)).Apply(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		requireSame(t, whole, target)
+		requireSame(t, complete, target)
 	})
 }
 
-// A holder of one scope gets to the same scope of the target, or to another one
-// when its part in the tree has changed.
-func TestRestrictedDeltasFollowTheWholeOnes(t *testing.T) {
+// TestRestrictedDeltaGivesRestrictedTarget updates a node that holds one scope of
+// the base to the same scope of the target, or to another scope, as after a change
+// of the node's role in the tree.
+func TestRestrictedDeltaGivesRestrictedTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, target, scope := drawSnapshot(t, 1), drawSnapshot(t, 2), drawScope(t)
-		whole, err := snapshot.Diff(base, target).Apply(base)
+		complete, err := snapshot.Diff(base, target).Apply(base)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, before := range []snapshot.Scope{scope, drawScope(t)} {
 			held := base.Restrict(before)
-			delta := overTheWire(t, snapshot.Diff(held, target.Restrict(scope)))
+			delta := encodeAndDecode(t, snapshot.Diff(held, target.Restrict(scope)))
 			applied, err := delta.Apply(held)
 			if err != nil {
 				t.Fatal(err)
 			}
-			requireSame(t, applied, whole.Restrict(scope))
+			requireSame(t, applied, complete.Restrict(scope))
 		}
 	})
 }
 
 func TestRestrictIsClosedAndIdempotent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole, scope := drawSnapshot(t, 7), drawScope(t)
-		part := whole.Restrict(scope)
+		complete, scope := drawSnapshot(t, 7), drawScope(t)
+		part := complete.Restrict(scope)
 		rebuilt, err := snapshot.New(part.Version(), slices.Collect(part.Resources()))
 		if err != nil {
 			t.Fatal(err)
@@ -89,22 +90,22 @@
 		requireSame(t, part.Restrict(scope), part)
 		for _, key := range part.Keys() {
 			held, _ := part.ResourceDigest(key)
-			if original, found := whole.ResourceDigest(key); !found || held != original {
-				t.Fatalf("%s is not the one of the whole", key)
+			if original, found := complete.ResourceDigest(key); !found || held != original {
+				t.Fatalf("the content of %s differs from the complete snapshot", key)
 			}
 		}
-		requireReach(t, whole, part, scope)
-		requireOutOfScope(t, whole, part)
+		requireScopeContent(t, complete, part, scope)
+		requireOutOfScope(t, complete, part)
 	})
 }
 
 func outOfScope(s *snapshot.Snapshot) map[string]model.Match { return maps.Collect(s.OutOfScope()) }
 
-// requireOutOfScope checks that the part tells of just those routes which it
-// does not hold and which overlap with one that it holds.
-func requireOutOfScope(t *rapid.T, whole, part *snapshot.Snapshot) {
+// requireOutOfScope checks that OutOfScope of the part lists exactly those routes
+// which the part does not hold and which overlap with one that it holds.
+func requireOutOfScope(t *rapid.T, complete, part *snapshot.Snapshot) {
 	want := map[string]model.Match{}
-	for name, route := range whole.Routes() {
+	for name, route := range complete.Routes() {
 		if _, held := part.Route(name); held {
 			continue
 		}
@@ -119,24 +120,24 @@
 	}
 }
 
-// requireReach checks that the part holds just what the scope asks for, and no
-// secret that none of its routes needs.
-func requireReach(t *rapid.T, whole, part *snapshot.Snapshot, scope snapshot.Scope) {
-	own, found := whole.Service(scope.Service)
+// requireScopeContent checks that the part holds exactly what the scope covers, and
+// no secret that none of its routes needs.
+func requireScopeContent(t *rapid.T, complete, part *snapshot.Snapshot, scope snapshot.Scope) {
+	own, found := complete.Service(scope.Service)
 	reaches := func(name string) bool {
 		return scope.All || found && (own.Calls == nil || name == scope.Service || slices.Contains(own.Calls, name))
 	}
-	for name := range whole.Services() {
+	for name := range complete.Services() {
 		if _, held := part.Service(name); held != reaches(name) {
 			t.Fatalf("service %s held: %v", name, held)
 		}
 	}
-	for name := range whole.Tenants() {
+	for name := range complete.Tenants() {
 		if _, held := part.Resource(model.Key{Kind: model.KindTenant, Name: name}); held != (scope.All || found) {
 			t.Fatalf("tenant %s held: %v", name, held)
 		}
 	}
-	for name, route := range whole.Routes() {
+	for name, route := range complete.Routes() {
 		if _, held := part.Route(name); held != reaches(route.Service) {
 			t.Fatalf("route %s held: %v", name, held)
 		}
@@ -157,7 +158,7 @@
 	}
 }
 
-func TestApplyElsewhereIsRefused(t *testing.T) {
+func TestApplyToAnotherBaseIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, target, other := drawSnapshot(t, 1), drawSnapshot(t, 2), drawSnapshot(t, 3)
 		applied, err := snapshot.Diff(base, target).Apply(other)
--- a/pkg/snapshot/restrict.go
+++ b/pkg/snapshot/restrict.go
@@ -4,12 +4,12 @@
 
 // Scope says which part of a snapshot a node needs to hold.
 type Scope struct {
-	// All asks for everything, as relays and gateways need.
+	// All covers the complete snapshot, which relays and gateways need.
 	All bool
-	// Service is the service of the node's worker: the node holds it, the
-	// services that it calls, the routes to all of these, the secrets that these
-	// routes use, and all tenants, since any of them may call. Without All and
-	// without Service the scope is empty.
+	// Service is the service of the node's worker. The scope covers it, the services
+	// that it calls, the routes to all of these, the secrets that these routes use,
+	// and all tenants, since any of them may call. Without All and without Service
+	// the scope is empty.
 	Service string
 }
 
@@ -18,9 +18,9 @@
 // whose Calls is nil may call every service, so its scope covers everything; a
 // service that is not in the snapshot covers nothing.
 //
-// A route that the scope does not cover, but whose requests a covered route
-// could take in its place, stays as an entry of OutOfScope, without its service
-// and its secret.
+// A route that the scope does not cover, but whose requests a covered route would
+// otherwise match, stays as an entry of OutOfScope, without its service and its
+// secret.
 func (s *Snapshot) Restrict(scope Scope) *Snapshot {
 	if scope.All {
 		return s
@@ -61,7 +61,7 @@
 	return found
 }
 
-// routesTo parts the routes into those that lead to the services and the others.
+// routesTo splits the routes into those that lead to the services and the others.
 func (s *Snapshot) routesTo(services nameSet) (covered, others []*entry) {
 	for _, item := range s.ofKind(model.KindRoute) {
 		if leadsTo(item.resource.Route, services) {
@@ -73,9 +73,9 @@
 	return covered, others
 }
 
-// leadsTo reports whether every service that a route may send to is among those
-// given. A route with a backend elsewhere is not held, since holding it would
-// need a service that the scope does not cover.
+// leadsTo reports whether every service that a route may send to is in the given
+// set. A route with a backend outside the set is left out, since it needs a service
+// that the scope does not cover.
 func leadsTo(route *model.Route, services nameSet) bool {
 	for _, backend := range route.Backends {
 		if !services.has(backend.Service) {
@@ -96,10 +96,10 @@
 	return names
 }
 
-// appendNamed appends the items whose names are wanted.
-func appendNamed(kept, items []*entry, wanted nameSet) []*entry {
+// appendNamed appends the items whose names are in the set.
+func appendNamed(kept, items []*entry, names nameSet) []*entry {
 	for _, item := range items {
-		if wanted.has(item.key().Name) {
+		if names.has(item.key().Name) {
 			kept = append(kept, item)
 		}
 	}
--- a/pkg/snapshot/snapshot.go
+++ b/pkg/snapshot/snapshot.go
@@ -22,13 +22,14 @@
 	return Empty().Next(version, resources)
 }
 
-// Next does what New does, for resources of which many are those of this snapshot:
-// the same values behind the same pointers. What is known of these is used again.
+// Next is like New, but reuses the entries of this snapshot for resources that
+// are identical to its own, with the same pointers, and so does not encode and
+// hash these again.
 func (s *Snapshot) Next(version uint64, resources []model.Resource) (*Snapshot, error) {
 	entries := make([]*entry, 0, len(resources))
 	for _, resource := range resources {
-		if place, found := findEntry(s.entries, resource.Key); found && s.entries[place].resource == resource {
-			entries = append(entries, s.entries[place])
+		if index, found := findEntry(s.entries, resource.Key); found && s.entries[index].resource == resource {
+			entries = append(entries, s.entries[index])
 			continue
 		}
 		if err := resource.CheckShape(); err != nil {
@@ -45,13 +46,14 @@
 	return fromEntries(version, entries)
 }
 
-// Empty returns the snapshot without resources, version zero, from which a
-// delta to a whole snapshot starts.
+// Empty returns the snapshot without resources and with version zero. It is the
+// base of a delta that holds a complete snapshot.
 func Empty() *Snapshot { return emptySnapshot }
 
 var emptySnapshot = &Snapshot{digest: digestEntries(nil)}
 
-// fromEntries takes over entries that are sorted and free of duplicates.
+// fromEntries builds a snapshot of entries, which must be sorted and free of
+// duplicates. The snapshot takes ownership of the slice.
 func fromEntries(version uint64, entries []*entry) (*Snapshot, error) {
 	snapshot := &Snapshot{version: version, entries: entries}
 	if err := snapshot.checkClosed(); err != nil {
@@ -61,6 +63,8 @@
 	return snapshot, nil
 }
 
+// checkClosed returns ErrDanglingReference unless the set contains every service
+// and secret that its routes name.
 func (s *Snapshot) checkClosed() error {
 	for name, route := range s.Routes() {
 		if _, found := s.Service(route.Service); !found {
@@ -81,17 +85,17 @@
 	return nil
 }
 
-// Version returns the number of the snapshot.
+// Version returns the version number of the snapshot.
 func (s *Snapshot) Version() uint64 { return s.version }
 
-// Digest returns the content address of the whole set. The version number is
-// no part of it: equal contents have equal digests.
+// Digest returns the content address of the set. The version number is not part of
+// it: equal contents have equal digests.
 func (s *Snapshot) Digest() model.Digest { return s.digest }
 
-// Len returns how many resources are held.
-func (s *Snapshot) Len() int { return len(s.held()) }
+// Len returns the number of resources, without entries for routes out of scope.
+func (s *Snapshot) Len() int { return len(s.heldEntries()) }
 
-// WithVersion returns the same content under another number.
+// WithVersion returns the same content with another version number.
 func (s *Snapshot) WithVersion(version uint64) *Snapshot {
 	if version == s.version {
 		return s
@@ -99,9 +103,10 @@
 	return &Snapshot{version: version, digest: s.digest, entries: s.entries}
 }
 
-// Keys returns the keys of all resources held, in order.
+// Keys returns the keys of all resources in order, without those of routes out of
+// scope.
 func (s *Snapshot) Keys() []model.Key {
-	held := s.held()
+	held := s.heldEntries()
 	keys := make([]model.Key, len(held))
 	for i, item := range held {
 		keys[i] = item.key()
@@ -111,20 +116,20 @@
 
 // Resource returns the resource with the given key.
 func (s *Snapshot) Resource(key model.Key) (model.Resource, bool) {
-	place, found := findEntry(s.entries, key)
+	index, found := findEntry(s.entries, key)
 	if !found {
 		return model.Resource{}, false
 	}
-	return s.entries[place].resource, true
+	return s.entries[index].resource, true
 }
 
 // ResourceDigest returns the content address of the resource with the given key.
 func (s *Snapshot) ResourceDigest(key model.Key) (model.Digest, bool) {
-	place, found := findEntry(s.entries, key)
+	index, found := findEntry(s.entries, key)
 	if !found {
 		return model.Digest{}, false
 	}
-	return s.entries[place].digest, true
+	return s.entries[index].digest, true
 }
 
 // Service returns the service with the given name.
@@ -145,10 +150,11 @@
 	return resource.Secret, found
 }
 
-// Resources yields all resources held in the order of their keys.
+// Resources yields all resources in the order of their keys, without routes out of
+// scope.
 func (s *Snapshot) Resources() iter.Seq[model.Resource] {
 	return func(yield func(model.Resource) bool) {
-		for _, item := range s.held() {
+		for _, item := range s.heldEntries() {
 			if !yield(item.resource) {
 				return
 			}
@@ -189,9 +195,9 @@
 	}
 }
 
-// OutOfScope yields, in the order of their names, routes of the whole set that
-// the snapshot does not hold although they overlap with routes that it holds.
-// Nothing but what they take is known of them.
+// OutOfScope yields, in the order of their names, the routes of the complete set
+// that the snapshot does not hold although they overlap with routes that it holds.
+// Of these only the match is known.
 func (s *Snapshot) OutOfScope() iter.Seq2[string, model.Match] {
 	return func(yield func(string, model.Match) bool) {
 		for _, item := range s.ofKind(model.KindOutOfScope) {
@@ -202,13 +208,13 @@
 	}
 }
 
-// held returns the entries besides those of routes out of scope, whose kind is
-// the first in order.
-func (s *Snapshot) held() []*entry {
+// heldEntries returns the entries without those of routes out of scope, whose kind
+// sorts before all others.
+func (s *Snapshot) heldEntries() []*entry {
 	return s.entries[len(s.ofKind(model.KindOutOfScope)):]
 }
 
-// ofKind returns the entries of one kind, which lie side by side.
+// ofKind returns the entries of one kind, which are contiguous.
 func (s *Snapshot) ofKind(kind model.Kind) []*entry {
 	first := sort.Search(len(s.entries), func(i int) bool { return s.entries[i].key().Kind >= kind })
 	rest := s.entries[first:]
--- a/pkg/snapshot/snapshot_test.go
+++ b/pkg/snapshot/snapshot_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestNewRefusesWhatIsNotASet(t *testing.T) {
+func TestNewRefusesInvalidSets(t *testing.T) {
 	ledger := service("ledger", 1, nil)
 	for name, test := range map[string]struct {
 		resources []model.Resource
@@ -53,7 +53,7 @@
 	requireType(t, err, snapshot.ErrDanglingReference)
 }
 
-func TestEmptyDeltaMustKeepItsPromise(t *testing.T) {
+func TestEmptyDeltaMustMatchItsTargetDigest(t *testing.T) {
 	base := build(t, 1, service("ledger", 1, nil))
 	delta := snapshot.Diff(base, base.WithVersion(2))
 	applied, err := delta.Apply(base)
@@ -124,7 +124,7 @@
 	}
 }
 
-// meshOf returns a set like those of the largest mesh: each service calls
+// meshOf returns a set shaped like that of a large mesh: each service calls
 // three others and has two routes, of which one uses a secret.
 func meshOf(b *testing.B, services int, changed int) *snapshot.Snapshot {
 	var resources []model.Resource
