--- a/pkg/store/example_test.go
+++ b/pkg/store/example_test.go
@@ -10,8 +10,8 @@
 	"github.com/levertide/levertide/pkg/store/memory"
 )
 
-// A compare-and-swap names the index that it builds on, so that of two
-// writers one is refused.
+// A compare-and-swap states the index that it expects, so that of two writers that
+// expect the same index one is refused.
 func Example() {
 	ctx := context.Background()
 	var platform store.Store = memory.New(memory.Options{})
--- a/pkg/store/limits.go
+++ b/pkg/store/limits.go
@@ -4,24 +4,27 @@
 const (
 	// MaxTransactionOperations is how many operations one transaction may hold.
 	MaxTransactionOperations = 64
-	// MaxTransactionBytes bounds the encoded size of one transaction.
+	// MaxTransactionBytes is the largest encoded size of one transaction.
 	MaxTransactionBytes = 512 << 10
-	// MaxValueBytes bounds one value, leaving room for its encoding in a transaction.
+	// MaxValueBytes is the size of the largest value. It is lower than
+	// MaxTransactionBytes because a transaction encodes values in base64.
 	MaxValueBytes = 360 << 10
 )
 
-// operationOverheadBytes is allowed for the field names around one operation.
+// operationOverheadBytes is the allowance for the encoded field names of one
+// operation.
 const operationOverheadBytes = 128
 
 // EncodedSize estimates how many bytes the operation takes in an encoded
-// transaction, in which values are written in base64. It is never too low.
+// transaction, in which values are written in base64. The estimate is never too low.
 func (o Operation) EncodedSize() int {
 	const base64Numerator, base64Denominator = 4, 3
 	value := (len(o.Value) + base64Denominator - 1) / base64Denominator * base64Numerator
 	return operationOverheadBytes + len(o.Key) + value
 }
 
-// CheckTransactionSize returns ErrTooLarge unless the operations fit into one transaction.
+// CheckTransactionSize returns ErrTooLarge if the operations exceed
+// MaxTransactionOperations or MaxTransactionBytes.
 func CheckTransactionSize(operations []Operation) error {
 	if len(operations) > MaxTransactionOperations {
 		return ErrTooLarge.New("%d operations exceed the limit of %d", len(operations), MaxTransactionOperations)
--- a/pkg/store/memory/fault.go
+++ b/pkg/store/memory/fault.go
@@ -27,24 +27,25 @@
 	Operations []store.Operation
 }
 
-// Fault says what becomes of one request.
+// Fault selects what happens to one request.
 type Fault uint8
 
 // The faults.
 const (
-	// FaultNone carries the request out and answers.
+	// FaultNone carries the request out and returns its result.
 	FaultNone Fault = iota
-	// FaultRefuse does not carry it out: ErrUnreachable.
+	// FaultRefuse does not carry the request out, and returns ErrUnreachable.
 	FaultRefuse
-	// FaultLoseRequest does not carry a write out, but leaves its sender in
-	// doubt: ErrUnknownOutcome. A read is ErrUnreachable.
+	// FaultLoseRequest does not carry a write out, and returns ErrUnknownOutcome, so
+	// that the sender cannot tell. For a read it returns ErrUnreachable.
 	FaultLoseRequest
-	// FaultLoseAnswer carries a write out and loses the answer: ErrUnknownOutcome.
+	// FaultLoseAnswer carries a write out, and returns ErrUnknownOutcome in place of
+	// the result.
 	FaultLoseAnswer
-	// FaultHoldBack answers a write with ErrUnknownOutcome and carries it out
-	// only when DeliverHeld is called, after writes that were sent later.
+	// FaultHoldBack returns ErrUnknownOutcome for a write, and carries it out only
+	// when DeliverHeld is called, after writes that were sent later.
 	FaultHoldBack
-	// FaultRateLimit does not carry it out: ErrRateLimited.
+	// FaultRateLimit does not carry the request out, and returns ErrRateLimited.
 	FaultRateLimit
 )
 
@@ -66,7 +67,8 @@
 	}
 }
 
-// write carries out a change under the lock, with the fault chosen for it.
+// write carries out a change under the lock, subject to the fault that
+// Options.Intercept returns for the request.
 func (s *Store) write(request Request, change func() error) error {
 	fault := s.intercept(request)
 	s.mutex.Lock()
@@ -75,9 +77,9 @@
 	case FaultNone:
 		return change()
 	case FaultLoseAnswer:
-		_ = change() // the answer is lost, whatever it was
+		_ = change() // the fault loses the result
 	case FaultHoldBack:
-		s.held = append(s.held, change)
+		s.heldWrites = append(s.heldWrites, change)
 	case FaultLoseRequest:
 	case FaultRateLimit:
 		return store.RateLimited(0)
@@ -87,15 +89,15 @@
 	return store.ErrUnknownOutcome.New("the answer to the write was lost")
 }
 
-// DeliverHeld carries out, in the order of their sending, the writes that
-// FaultHoldBack kept, and returns how many there were.
+// DeliverHeld carries out the writes that FaultHoldBack delayed, in the order in
+// which they were sent, and returns their number.
 func (s *Store) DeliverHeld() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	held := s.held
-	s.held = nil
+	held := s.heldWrites
+	s.heldWrites = nil
 	for _, change := range held {
-		_ = change() // nobody waits for this answer
+		_ = change() // the sender already got ErrUnknownOutcome
 	}
 	return len(held)
 }
--- a/pkg/store/memory/session.go
+++ b/pkg/store/memory/session.go
@@ -10,8 +10,8 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// Advance moves the store's time to now, counted from its start, and lets the
-// sessions lapse that were not renewed in time. Time never goes back.
+// Advance sets the store's time to now, counted from its start, and ends the
+// sessions that were not renewed in time. An earlier time has no effect.
 func (s *Store) Advance(now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -34,7 +34,7 @@
 	return s.now
 }
 
-// SetLockDelay changes how long a key stays closed after its session lapsed.
+// SetLockDelay changes how long a key cannot be acquired after its session lapsed.
 func (s *Store) SetLockDelay(delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -55,7 +55,7 @@
 
 func (s *Store) endSessionLocked(id string, lockDelay time.Duration) {
 	delete(s.sessions, id)
-	freed := false
+	released := false
 	for key, record := range s.records {
 		if record.Session != id {
 			continue
@@ -63,12 +63,12 @@
 		record.Session = ""
 		record.ModifyIndex = s.index + 1
 		s.records[key] = record
-		freed = true
+		released = true
 		if lockDelay > 0 {
 			s.lockDelays[key] = s.now + lockDelay
 		}
 	}
-	if freed {
+	if released {
 		s.index++
 	}
 	s.wakeLocked()
@@ -78,8 +78,8 @@
 func (s *Store) CreateSession(_ context.Context, name string, ttl time.Duration) (string, error) {
 	var id string
 	err := s.write(Request{Kind: RequestCreateSession}, func() error {
-		s.created++
-		id = fmt.Sprintf("00000000-0000-4000-8000-%012x", s.created)
+		s.sessionsCreated++
+		id = fmt.Sprintf("00000000-0000-4000-8000-%012x", s.sessionsCreated)
 		s.sessions[id] = Session{ID: id, Name: name, TTL: ttl, Deadline: s.now + ttl}
 		return nil
 	})
@@ -92,17 +92,17 @@
 // RenewSession implements store.Store.
 func (s *Store) RenewSession(_ context.Context, session string) error {
 	return s.write(Request{Kind: RequestRenewSession, Session: session}, func() error {
-		held, found := s.sessions[session]
+		renewed, found := s.sessions[session]
 		if !found {
 			return store.ErrSessionGone.New("no session %s", session)
 		}
-		held.Deadline = s.now + held.TTL
-		s.sessions[session] = held
+		renewed.Deadline = s.now + renewed.TTL
+		s.sessions[session] = renewed
 		return nil
 	})
 }
 
-// DestroySession implements store.Store. A session that is gone is no error.
+// DestroySession implements store.Store. A session that does not exist is no error.
 func (s *Store) DestroySession(_ context.Context, session string) error {
 	return s.write(Request{Kind: RequestDestroySession, Session: session}, func() error {
 		if _, found := s.sessions[session]; found {
@@ -144,7 +144,7 @@
 	return true
 }
 
-// Release implements store.Store. The record stays, without a holder.
+// Release implements store.Store. The record remains, without a holder.
 func (s *Store) Release(_ context.Context, key string, session string) error {
 	return s.write(Request{Kind: RequestRelease, Keys: []string{key}, Session: session}, func() error {
 		record, found := s.records[key]
--- a/pkg/store/memory/state.go
+++ b/pkg/store/memory/state.go
@@ -14,19 +14,19 @@
 	ID   string        `json:"id"`
 	Name string        `json:"name"`
 	TTL  time.Duration `json:"ttl"`
-	// Deadline is the moment, since the start of the store's time, at which
-	// the session lapses.
+	// Deadline is when the session lapses, counted from the start of the store's
+	// time.
 	Deadline time.Duration `json:"deadline"`
 }
 
-// State is the whole content of a store, as a backup holds it.
+// State is the complete content of a store, as a backup holds it.
 type State struct {
 	Index    uint64         `json:"index"`
 	Records  []store.Record `json:"records"`
 	Sessions []Session      `json:"sessions"`
 }
 
-// State returns a copy of the whole content.
+// State returns a copy of the complete content.
 func (s *Store) State() State {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -42,8 +42,8 @@
 	return state
 }
 
-// Restore replaces the whole content; indexes go back to those of the copy.
-// Blocked reads answer at once.
+// Restore replaces the complete content; indexes return to those of state. Blocked
+// reads return at once.
 func (s *Store) Restore(state State) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/pkg/store/memory/store.go
+++ b/pkg/store/memory/store.go
@@ -12,11 +12,11 @@
 
 // Options configure a Store.
 type Options struct {
-	// Intercept, when set, is asked about each request before it is carried
-	// out. It is called without any lock held.
+	// Intercept, when set, is called before each request is carried out, and
+	// chooses the request's fault. No lock is held during the call.
 	Intercept func(Request) Fault
-	// LockDelay is how long a key stays closed to others after the session
-	// that held it has lapsed.
+	// LockDelay is how long a key cannot be acquired after the session that held
+	// it has lapsed.
 	LockDelay time.Duration
 }
 
@@ -24,16 +24,16 @@
 type Store struct {
 	options Options
 
-	mutex      sync.Mutex
-	now        time.Duration
-	index      uint64
-	records    map[string]store.Record
-	sessions   map[string]Session
-	lockDelays map[string]time.Duration
-	created    uint64
-	restores   uint64
-	held       []func() error
-	changed    chan struct{}
+	mutex           sync.Mutex
+	now             time.Duration
+	index           uint64
+	records         map[string]store.Record
+	sessions        map[string]Session
+	lockDelays      map[string]time.Duration
+	sessionsCreated uint64
+	restores        uint64
+	heldWrites      []func() error
+	changed         chan struct{}
 }
 
 var _ store.Store = (*Store)(nil)
@@ -63,16 +63,17 @@
 	s.changed = make(chan struct{})
 }
 
-// Get implements store.Store. A blocked read ends when the key's index passes
-// WaitIndex, when Advance has moved time on by Wait, or with the context.
+// Get implements store.Store. A blocked read ends when the key's index exceeds
+// WaitIndex, when Advance has advanced time by Wait, at the next Restore, or when
+// the context ends.
 func (s *Store) Get(ctx context.Context, key string, options store.ReadOptions) (store.Record, uint64, error) {
 	fault := s.intercept(Request{Kind: RequestGet, Keys: []string{key}})
 	if err := fault.readError(); err != nil {
 		return store.Record{}, 0, err
 	}
-	wait := s.newWait(options)
+	condition := s.newWaitCondition(options)
 	for {
-		record, index, changed, err := s.read(key, wait)
+		record, index, changed, err := s.read(key, condition)
 		if changed == nil {
 			return record, index, err
 		}
@@ -84,21 +85,22 @@
 	}
 }
 
-// wait is what a blocked read waits for.
-type wait struct {
+// waitCondition is what a blocked read waits for.
+type waitCondition struct {
 	index    uint64
 	deadline time.Duration
 	restores uint64
 }
 
-func (s *Store) newWait(options store.ReadOptions) wait {
+func (s *Store) newWaitCondition(options store.ReadOptions) waitCondition {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return wait{index: options.WaitIndex, deadline: s.now + options.Wait, restores: s.restores}
+	return waitCondition{index: options.WaitIndex, deadline: s.now + options.Wait, restores: s.restores}
 }
 
-// read answers, or returns the channel to wait on before reading again.
-func (s *Store) read(key string, until wait) (store.Record, uint64, <-chan struct{}, error) {
+// read returns the result of a read whose condition is met, or else the channel to
+// wait on before reading again.
+func (s *Store) read(key string, condition waitCondition) (store.Record, uint64, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	record, found := s.records[key]
@@ -106,8 +108,8 @@
 	if found {
 		index = record.ModifyIndex
 	}
-	over := s.now >= until.deadline || s.restores != until.restores
-	if index <= until.index && !over {
+	waitEnded := s.now >= condition.deadline || s.restores != condition.restores
+	if index <= condition.index && !waitEnded {
 		return store.Record{}, 0, s.changed, nil
 	}
 	if !found {
--- a/pkg/store/memory/store_test.go
+++ b/pkg/store/memory/store_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// TestBlockedReadEnds checks each way in which a blocked read may end.
+// TestBlockedReadEnds checks that a write, a restore and the time limit each end a
+// blocked read.
 func TestBlockedReadEnds(t *testing.T) {
 	cases := map[string]struct {
 		end  func(*testing.T, *memory.Store, memory.State)
@@ -54,7 +55,9 @@
 	}
 }
 
-func TestHeldBackWriteMeetsItsCompareLater(t *testing.T) {
+// TestHeldBackWriteIsComparedOnDelivery checks that a delayed compare-and-swap
+// compares the index when it is delivered, and so does not overwrite a later write.
+func TestHeldBackWriteIsComparedOnDelivery(t *testing.T) {
 	fault := memory.FaultHoldBack
 	s := memory.New(memory.Options{Intercept: func(memory.Request) memory.Fault { return fault }})
 	create := store.Operation{Verb: store.VerbCompareAndSwap, Key: key, Value: []byte("first")}
--- a/pkg/store/memory/transaction.go
+++ b/pkg/store/memory/transaction.go
@@ -7,7 +7,7 @@
 )
 
 // transactLocked checks every operation before it carries out the first, so
-// that a transaction takes effect as a whole or not at all.
+// that a transaction takes effect completely or not at all.
 func (s *Store) transactLocked(operations []store.Operation) error {
 	for _, operation := range operations {
 		if err := s.checkLocked(operation); err != nil {
@@ -42,8 +42,8 @@
 }
 
 // applyLocked carries out one checked operation and reports whether anything
-// changed. As on the platform, setting a value that is there already does not
-// raise the record's index.
+// changed. As on the platform, setting a record to the value that it already has
+// does not raise the record's index.
 func (s *Store) applyLocked(operation store.Operation, index uint64) bool {
 	record, found := s.records[operation.Key]
 	switch operation.Verb {
--- a/pkg/store/ratelimit/doc.go
+++ b/pkg/store/ratelimit/doc.go
@@ -1,7 +1,7 @@
-// Package ratelimit bounds the rate of requests that one process sends to the
-// platform's store, with two priorities, and waits as long as the store asks
-// when it refuses a request for its rate.
+// Package ratelimit limits the rate of requests that one process sends to the
+// platform's store, with two priorities. When the store refuses a request because
+// of its own rate limit, the process waits for as long as the store requests.
 //
-// Housekeeping requests are let through only while a reserve is left and no
-// normal request waits, so that they never delay an apply.
+// Housekeeping requests are admitted only while more tokens than a reserve are left
+// and no normal request waits, so that they never delay an apply.
 package ratelimit
--- a/pkg/store/ratelimit/limiter.go
+++ b/pkg/store/ratelimit/limiter.go
@@ -24,14 +24,15 @@
 // Options configure a Limiter; zero fields take the defaults.
 type Options struct {
 	// RequestsPerSecond and Burst bound the requests sent. Half of Burst is
-	// out of reach of housekeeping.
+	// reserved for normal requests.
 	RequestsPerSecond float64
 	Burst             int
-	// RateLimitRetries is how often a request refused for the store's own rate
-	// limit is sent again. Such a request was not carried out.
+	// RateLimitRetries is how often a request is retried that the store refused
+	// because of its own rate limit. Such a request was not carried out.
 	RateLimitRetries int
-	// MinimumPause and MaximumPause bound the pause after such a refusal when
-	// the store names none.
+	// MinimumPause and MaximumPause bound the random pause after such a refusal,
+	// which is added to the pause that the store requests, if any. Its bound doubles
+	// from MinimumPause with each attempt, up to MaximumPause.
 	MinimumPause time.Duration
 	MaximumPause time.Duration
 }
@@ -57,16 +58,16 @@
 
 // Limiter bounds the requests to one store. It may be used by several goroutines.
 type Limiter struct {
-	store   store.Store
-	options Options
-	bucket  *rate.Limiter
-	waiting atomic.Int64
-	// closedUntil is the moment, in nanoseconds since start, before which the
-	// store asked not to be called.
-	closedUntil atomic.Int64
-	start       time.Time
-	requests    atomic.Uint64
-	refused     atomic.Uint64
+	store         store.Store
+	options       Options
+	bucket        *rate.Limiter
+	waitingNormal atomic.Int64
+	// backOffDeadline is the time, in nanoseconds since start, before which no
+	// request is sent, because the store refused one for its rate.
+	backOffDeadline atomic.Int64
+	start           time.Time
+	requests        atomic.Uint64
+	refused         atomic.Uint64
 }
 
 // New returns a limiter in front of inner.
@@ -80,7 +81,7 @@
 	}
 }
 
-// Normal returns the store for requests that somebody waits for.
+// Normal returns the store for requests whose result a caller waits for.
 func (l *Limiter) Normal() *View { return &View{limiter: l, admit: l.admitNormal} }
 
 // Housekeeping returns the store for requests that can wait.
@@ -89,13 +90,13 @@
 // Requests returns how many requests were sent to the store.
 func (l *Limiter) Requests() uint64 { return l.requests.Load() }
 
-// Refused returns how many of them the store refused for their rate.
+// Refused returns how many of them the store refused because of its rate limit.
 func (l *Limiter) Refused() uint64 { return l.refused.Load() }
 
 func (l *Limiter) admitNormal(ctx context.Context) error {
-	l.waiting.Add(1)
-	defer l.waiting.Add(-1)
-	if err := l.waitUntilOpen(ctx); err != nil {
+	l.waitingNormal.Add(1)
+	defer l.waitingNormal.Add(-1)
+	if err := l.waitForBackOff(ctx); err != nil {
 		return err
 	}
 	if err := l.bucket.Wait(ctx); err != nil {
@@ -108,10 +109,10 @@
 	reserve := float64(l.options.Burst) / 2
 	refill := time.Duration(float64(time.Second) / l.options.RequestsPerSecond)
 	for {
-		if err := l.waitUntilOpen(ctx); err != nil {
+		if err := l.waitForBackOff(ctx); err != nil {
 			return err
 		}
-		if l.waiting.Load() == 0 && l.bucket.Tokens() > reserve && l.bucket.Allow() {
+		if l.waitingNormal.Load() == 0 && l.bucket.Tokens() > reserve && l.bucket.Allow() {
 			return nil
 		}
 		if err := pause(ctx, refill); err != nil {
@@ -120,9 +121,9 @@
 	}
 }
 
-func (l *Limiter) waitUntilOpen(ctx context.Context) error {
+func (l *Limiter) waitForBackOff(ctx context.Context) error {
 	for {
-		remaining := time.Duration(l.closedUntil.Load()) - time.Since(l.start)
+		remaining := time.Duration(l.backOffDeadline.Load()) - time.Since(l.start)
 		if remaining <= 0 {
 			return nil
 		}
@@ -132,18 +133,19 @@
 	}
 }
 
-// close keeps every request of the process back for the given pause.
-func (l *Limiter) close(pause time.Duration) {
+// backOff delays every request of the process by at least the given pause from now.
+func (l *Limiter) backOff(pause time.Duration) {
 	until := int64(time.Since(l.start) + pause)
 	for {
-		current := l.closedUntil.Load()
-		if current >= until || l.closedUntil.CompareAndSwap(current, until) {
+		current := l.backOffDeadline.Load()
+		if current >= until || l.backOffDeadline.CompareAndSwap(current, until) {
 			return
 		}
 	}
 }
 
-// do sends a request, again when the store refused it for its rate.
+// do sends a request, and retries it when the store refused it because of its rate
+// limit.
 func (l *Limiter) do(ctx context.Context, admit func(context.Context) error, send func() error) error {
 	for attempt := 0; ; attempt++ {
 		if err := admit(ctx); err != nil {
@@ -158,17 +160,18 @@
 		if attempt >= l.options.RateLimitRetries {
 			return err
 		}
-		l.close(l.pauseAfter(attempt, store.RetryAfter(err)))
+		l.backOff(l.pauseAfter(attempt, store.RetryAfter(err)))
 	}
 }
 
-// pauseAfter is what the store asked for, and full jitter below a doubling bound on top.
-func (l *Limiter) pauseAfter(attempt int, asked time.Duration) time.Duration {
+// pauseAfter returns the pause that the store requested plus full jitter, whose bound
+// doubles with each attempt.
+func (l *Limiter) pauseAfter(attempt int, requested time.Duration) time.Duration {
 	bound := l.options.MaximumPause
 	if shifted := l.options.MinimumPause << attempt; shifted > 0 && shifted < bound {
 		bound = shifted
 	}
-	return asked + rand.N(bound)
+	return requested + rand.N(bound)
 }
 
 func pause(ctx context.Context, duration time.Duration) error {
--- a/pkg/store/ratelimit/limiter_test.go
+++ b/pkg/store/ratelimit/limiter_test.go
@@ -38,16 +38,16 @@
 		for range 4 {
 			list(t, limiter.Normal())
 		}
-		swept := make(chan struct{})
+		housekeepingDone := make(chan struct{})
 		go func() {
-			defer close(swept)
+			defer close(housekeepingDone)
 			_, _ = limiter.Housekeeping().List(context.Background(), "housekeeping")
 		}()
 		synctest.Wait()
 		for range 4 {
 			list(t, limiter.Normal())
 		}
-		<-swept
+		<-housekeepingDone
 		for range 8 {
 			if kind := <-sent; kind != "normal" {
 				t.Error("housekeeping went ahead of normal requests")
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestRefusalsEnd(t *testing.T) {
+func TestRetriesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		backend := memory.New(memory.Options{Intercept: func(memory.Request) memory.Fault { return memory.FaultRateLimit }})
 		limiter := ratelimit.New(backend, ratelimit.Options{RateLimitRetries: 2})
--- a/pkg/store/ratelimit/view.go
+++ b/pkg/store/ratelimit/view.go
@@ -7,7 +7,7 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// View is the limited store at one priority.
+// View is the rate-limited store at one priority.
 type View struct {
 	limiter *Limiter
 	admit   func(context.Context) error
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -9,18 +9,19 @@
 type Record struct {
 	Key   string
 	Value []byte
-	// ModifyIndex rises whenever the record is written; compare-and-swap names it.
+	// ModifyIndex rises whenever the record is written. Compare-and-swap operations
+	// state the index that they expect.
 	ModifyIndex uint64
 	// Session is the session that holds the key, or empty.
 	Session string
 }
 
-// ReadOptions changes how Get answers.
+// ReadOptions control how Get answers.
 type ReadOptions struct {
 	// Consistent asks for an answer that reflects every write completed before the read.
 	Consistent bool
-	// WaitIndex, when not zero, holds the answer back until the key's index
-	// passes it or Wait has gone by.
+	// WaitIndex, when not zero, delays the answer until the key's index exceeds it
+	// or Wait has elapsed.
 	WaitIndex uint64
 	Wait      time.Duration
 }
@@ -30,7 +31,7 @@
 
 // The verbs of a transaction.
 const (
-	// VerbSet writes the value whatever is there.
+	// VerbSet writes the value unconditionally.
 	VerbSet Verb = "set"
 	// VerbCompareAndSwap writes if the key's index is Index; zero means that the key must not exist.
 	VerbCompareAndSwap Verb = "cas"
@@ -50,8 +51,8 @@
 }
 
 // Store is the platform's key-value service. All methods may be called from
-// several goroutines. Errors are those of this package: see errors.go for which
-// of them tell that a write did not take effect.
+// several goroutines. Errors are those of this package; NotWritten reports for
+// which of them a write did not take effect.
 type Store interface {
 	// Get returns a record and the index to wait on next. A missing key is ErrNotFound;
 	// the index is valid then too.
@@ -63,23 +64,25 @@
 	List(ctx context.Context, prefix string) ([]Record, error)
 	// ListKeys returns the keys below a prefix in order, without their values.
 	ListKeys(ctx context.Context, prefix string) ([]string, error)
-	// Transact carries out all operations or none. ErrConflict tells that a
-	// compare failed, ErrTooLarge that the bounds of a transaction are exceeded.
+	// Transact carries out all operations or none. ErrConflict reports that a
+	// comparison failed, ErrTooLarge that the limits of a transaction are exceeded.
 	Transact(ctx context.Context, operations []Operation) error
 	// CreateSession opens a session that lapses unless it is renewed within ttl.
 	CreateSession(ctx context.Context, name string, ttl time.Duration) (string, error)
-	// RenewSession prolongs a session; ErrSessionGone tells that it has lapsed.
+	// RenewSession extends a session by its ttl; ErrSessionGone reports that it has
+	// lapsed or was destroyed.
 	RenewSession(ctx context.Context, session string) error
-	// DestroySession ends a session and frees the keys that it holds.
+	// DestroySession ends a session and releases the keys that it holds.
 	DestroySession(ctx context.Context, session string) error
-	// Acquire makes session the holder of key and writes value; false tells
-	// that another session holds it.
+	// Acquire makes session the holder of key and writes value. It returns false if
+	// another session holds the key, or if the key is still in the lock delay after
+	// a session lapsed.
 	Acquire(ctx context.Context, key string, value []byte, session string) (bool, error)
-	// Release gives up the key if session holds it.
+	// Release releases the key if session holds it.
 	Release(ctx context.Context, key string, session string) error
 }
 
-// Machine is one entry of the platform's list of machines. The list lags.
+// Machine is one entry of the platform's list of machines, which may be out of date.
 type Machine struct {
 	Node           string
 	Region         string
@@ -87,11 +90,12 @@
 	Service        string
 	ControlAddress string
 	CallAddress    string
-	// Leaving tells that the platform is about to take the machine away.
+	// Leaving reports that the platform is about to remove the machine.
 	Leaving bool
 }
 
-// MachineList is the platform's lagging list of machines; it is a hint only.
+// MachineList is the platform's list of machines. It lags behind the actual machines
+// and is only a hint.
 type MachineList interface {
 	// Machines returns the machines that the platform believes to exist.
 	Machines(ctx context.Context) ([]Machine, error)
