--- a/pkg/validation/check.go
+++ b/pkg/validation/check.go
@@ -6,7 +6,7 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// CheckResources returns every rule that a whole set breaks.
+// CheckResources returns a problem for every rule that a complete set breaks.
 func CheckResources(resources []model.Resource, limits Limits) []Problem {
 	checker := newChecker(resources, limits)
 	checker.checkReferences = true
@@ -15,35 +15,36 @@
 	return checker.problems
 }
 
-// CheckPart returns every rule that a part of a set breaks. A part may be empty
-// and may lack services that only Calls names, but no service or secret of a route.
+// CheckPart returns a problem for every rule that a part of a set breaks. A part may
+// be empty and may lack services that only the Calls of a service name, but must
+// contain the service and the secret of each of its routes.
 func CheckPart(resources []model.Resource, limits Limits) []Problem {
 	checker := newChecker(resources, limits)
 	checker.checkReferences = true
-	checker.part = true
+	checker.partial = true
 	checker.checkAll()
 	return checker.problems
 }
 
-// checker walks over a set once and collects problems.
+// checker checks a set in one pass and collects its problems.
 type checker struct {
 	limits    Limits
 	resources []model.Resource
 	byKey     map[model.Key]model.Resource
-	// unread are keys that are declared by documents which could not be read.
+	// unread holds the keys of documents of which only the key could be read.
 	unread map[model.Key]struct{}
-	// holders are the tenants that list the keys checked so far.
-	holders         map[model.KeyDigest]model.Key
+	// keyHolders maps each tenant key checked so far to the first tenant that lists it.
+	keyHolders      map[model.KeyDigest]model.Key
 	checkReferences bool
-	part            bool
+	partial         bool
 	problems        []Problem
 }
 
 func newChecker(resources []model.Resource, limits Limits) *checker {
 	checker := &checker{
 		limits: limits, resources: resources,
-		byKey:   make(map[model.Key]model.Resource, len(resources)),
-		holders: map[model.KeyDigest]model.Key{},
+		byKey:      make(map[model.Key]model.Resource, len(resources)),
+		keyHolders: map[model.KeyDigest]model.Key{},
 	}
 	for _, resource := range resources {
 		checker.byKey[resource.Key] = resource
@@ -63,7 +64,7 @@
 	s.checker.report(Problem{Key: s.key, Field: field, Message: message, Hint: hint})
 }
 
-// checkRange reports a number outside of its bounds.
+// checkRange reports a number below lowest or above highest.
 func (s subject) checkRange(field string, value, lowest, highest int) {
 	if value < lowest || value > highest {
 		s.report(field, fmt.Sprintf("%d is not between %d and %d", value, lowest, highest), "")
--- a/pkg/validation/files.go
+++ b/pkg/validation/files.go
@@ -7,10 +7,10 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// Validate returns every rule that a file set breaks, with the places in the
-// files. Documents that Load could not read are left out; references to them
-// are no faults, and while the key of some document could not be read at all
-// references are not checked.
+// Validate returns a fault for every rule that a file set breaks, with its position
+// in the files. Documents that Load could not read are left out, and references to
+// them are not faults. If the key of any document could not be read, references are
+// not checked at all.
 func Validate(set *manifest.FileSet, limits Limits) []manifest.Fault {
 	checker := newChecker(set.Resources(), limits)
 	checker.checkReferences = set.Complete()
--- a/pkg/validation/limits.go
+++ b/pkg/validation/limits.go
@@ -6,13 +6,14 @@
 type Limits struct {
 	// MaxResources bounds the resources of a set, all kinds together.
 	MaxResources int
-	// MaxSetBytes bounds the canonical encodings of a set together.
+	// MaxSetBytes bounds the total size of the canonical encodings of a set.
 	MaxSetBytes int
-	// MaxResourceBytes bounds one canonical encoding.
+	// MaxResourceBytes bounds the size of the canonical encoding of one resource.
 	MaxResourceBytes int
-	// MaxSecretBytes bounds the value of a secret.
+	// MaxSecretBytes bounds the size of the value of a secret.
 	MaxSecretBytes int
-	// MaxCredentialBytes bounds the value of a secret that is sent in a header.
+	// MaxCredentialBytes bounds the size of the value of a secret that is sent in a
+	// header.
 	MaxCredentialBytes int
 	// MaxSlots, MaxConnections and MaxQueue bound the fields of a service.
 	MaxSlots       int
@@ -22,16 +23,16 @@
 	MaxTimeout time.Duration
 	// MaxSlowStart bounds the slow start of a service.
 	MaxSlowStart time.Duration
-	// MaxTenantKeys bounds the keys of one tenant, and MaxRank its rank.
+	// MaxTenantKeys bounds the number of keys of one tenant, and MaxRank its rank.
 	MaxTenantKeys int
 	MaxRank       int
-	// MaxMethods bounds the methods that one route lists.
+	// MaxMethods bounds the number of methods that one route lists.
 	MaxMethods int
 }
 
-// DefaultLimits are those that every program uses unless it is told otherwise.
-// They leave room for several times the largest mesh known, inside what one
-// record of the platform's store and the memory of one node can hold.
+// DefaultLimits returns the limits that every program uses unless it is configured
+// otherwise. They allow several times the largest known mesh, within what one record
+// of the platform's store and the memory of one node can hold.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxResources:       2000,
--- a/pkg/validation/problem.go
+++ b/pkg/validation/problem.go
@@ -8,7 +8,8 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// Problem is one rule that a set breaks. It never holds the value of a secret.
+// Problem is one violation of a rule by a set. It never contains the value of a
+// secret.
 type Problem struct {
 	// Key is the resource at fault; the zero key stands for the set as a whole.
 	Key model.Key
@@ -16,11 +17,11 @@
 	Field string
 	// Message says what is wrong.
 	Message string
-	// Other is a second resource that takes part, or the zero key.
+	// Other is a second resource that conflicts with Key, or the zero key.
 	Other model.Key
-	// OtherField is the field of Other that matters.
+	// OtherField is the field of Other that conflicts.
 	OtherField string
-	// Hint says what to do about it; it may be empty.
+	// Hint says how to solve the problem; it may be empty.
 	Hint string
 }
 
@@ -42,14 +43,14 @@
 
 var errorNamespace = errorx.NewNamespace("levertide.validation")
 
-// ErrInvalid tells that a set breaks rules; its text names the first of them.
+// ErrInvalid reports that a set breaks rules; its text states the first few problems.
 var ErrInvalid = errorNamespace.NewType("invalid")
 
-// maximumNamedProblems bounds the problems that an error names.
+// maximumNamedProblems is how many problems the text of an error states at most.
 const maximumNamedProblems = 3
 
-// AsError returns nil without problems, and otherwise ErrInvalid, which names
-// the first few.
+// AsError returns nil if there are no problems, and otherwise ErrInvalid, whose text
+// states the first few.
 func AsError(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
--- a/pkg/validation/property_test.go
+++ b/pkg/validation/property_test.go
@@ -46,8 +46,9 @@
 	return resources
 }
 
-// TestClashesAreThoseOfRouting holds the rules against the table that nodes use.
-func TestClashesAreThoseOfRouting(t *testing.T) {
+// TestConflictsAgreeWithRouting checks that validation reports a set of routes
+// exactly when the routing table that nodes use refuses it as ambiguous.
+func TestConflictsAgreeWithRouting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		resources := drawSet(t)
 		built, err := snapshot.New(1, resources)
@@ -63,7 +64,7 @@
 }
 
 // TestAcceptedRoutesTakeRequests looks up, for each route of an accepted set, a
-// request that only a route of the same precedence could take away from it.
+// request that no other route could match with a higher precedence.
 func TestAcceptedRoutesTakeRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		resources := drawSet(t)
--- a/pkg/validation/route.go
+++ b/pkg/validation/route.go
@@ -55,7 +55,7 @@
 	seen := make(map[string]struct{}, len(methods))
 	for index, method := range methods {
 		field := fmt.Sprintf("spec.match.methods[%d]", index)
-		if _, again := seen[method]; again {
+		if _, duplicate := seen[method]; duplicate {
 			s.report(field, fmt.Sprintf("%q is listed twice", method), "")
 		}
 		seen[method] = struct{}{}
--- a/pkg/validation/service.go
+++ b/pkg/validation/service.go
@@ -30,12 +30,12 @@
 	seen := make(map[string]struct{}, len(calls))
 	for index, name := range calls {
 		field := fmt.Sprintf("spec.calls[%d]", index)
-		if _, again := seen[name]; again {
+		if _, duplicate := seen[name]; duplicate {
 			s.report(field, fmt.Sprintf("%q is listed twice", name), "")
 			continue
 		}
 		seen[name] = struct{}{}
-		if !s.checker.part {
+		if !s.checker.partial {
 			s.checkReference(field, model.KindService, name)
 		}
 	}
--- a/pkg/validation/shadow.go
+++ b/pkg/validation/shadow.go
@@ -6,19 +6,19 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// place is where in the order of precedence a route stands: routes with
-// different places never tie.
-type place struct{ host, path, prefix string }
+// precedence is the position of a route in the order of precedence. Routes with
+// different values never tie.
+type precedence struct{ host, path, prefix string }
 
-// claim is one method of a place; the empty method stands for a route that
+// claim is one method at one precedence; the empty method stands for a route that
 // lists none.
 type claim struct {
-	place  place
-	method string
+	precedence precedence
+	method     string
 }
 
-// checkShadows reports routes whose requests are taken by another route of the
-// same precedence, so that nothing could decide between the two.
+// checkShadows reports routes that match the same requests as another route of the
+// same precedence: nothing would decide between the two.
 func (c *checker) checkShadows() {
 	first := map[claim]model.Key{}
 	for _, resource := range c.resources {
@@ -28,23 +28,24 @@
 	}
 }
 
-// claimAll reports at most one clash for each other route.
+// claimAll claims the methods of one route, and reports at most one conflict with
+// each other route.
 func (c *checker) claimAll(first map[claim]model.Key, resource model.Resource) {
 	match := resource.Route.Match
-	target := place{host: match.Host, path: match.Path, prefix: match.PathPrefix}
+	target := precedence{host: match.Host, path: match.Path, prefix: match.PathPrefix}
 	methods := match.Methods
 	if len(methods) == 0 {
 		methods = []string{""}
 	}
 	reported := map[model.Key]struct{}{}
 	for _, method := range methods {
-		wanted := claim{target, method}
-		holder, taken := first[wanted]
+		claimed := claim{target, method}
+		holder, taken := first[claimed]
 		if !taken {
-			first[wanted] = resource.Key
+			first[claimed] = resource.Key
 			continue
 		}
-		if _, again := reported[holder]; again || holder == resource.Key {
+		if _, alreadyReported := reported[holder]; alreadyReported || holder == resource.Key {
 			continue
 		}
 		reported[holder] = struct{}{}
--- a/pkg/validation/snapshot.go
+++ b/pkg/validation/snapshot.go
@@ -7,7 +7,7 @@
 )
 
 // CheckSnapshot returns ErrInvalid when a snapshot, which may be a restricted
-// one, breaks a rule. It is what a node asks before it stages a version.
+// one, breaks a rule. A node calls it before it stages a version.
 func CheckSnapshot(held *snapshot.Snapshot, limits Limits) error {
 	return AsError(CheckPart(slices.Collect(held.Resources()), limits))
 }
--- a/pkg/validation/syntax.go
+++ b/pkg/validation/syntax.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// Bounds of names, from the DNS.
+// Limits of the DNS on the lengths of labels and host names, in bytes.
 const (
 	maximumLabelLength = 63
 	maximumHostLength  = 253
@@ -69,9 +69,9 @@
 	return true
 }
 
-// checkPath accepts what can be the decoded path of a request that nodes take:
-// see the rules of internal/dataplane, which refuse all that different programs
-// may understand differently.
+// checkPath reports a path that cannot be the decoded path of a request that nodes
+// accept. Nodes refuse paths that different programs may interpret differently: see
+// the rules of internal/dataplane.
 func (s subject) checkPath(field, path string) {
 	if reason, hint := pathFault(path); reason != "" {
 		s.report(field, fmt.Sprintf("%q can never match: %s", path, reason), hint)
@@ -87,7 +87,7 @@
 		return "paths are compared in decoded form", fmt.Sprintf("write %q", decoded)
 	case strings.ContainsAny(path, "?#"):
 		return "a query or fragment takes no part in matching", ""
-	case strings.ContainsFunc(path, isNoPathRune):
+	case strings.ContainsFunc(path, isForbiddenPathRune):
 		return "it holds a control character or a backslash", ""
 	case strings.Contains(path, "//"):
 		return "it has an empty segment", ""
@@ -98,9 +98,10 @@
 	}
 }
 
-func isNoPathRune(letter rune) bool { return letter < ' ' || letter == 0x7f || letter == '\\' }
+func isForbiddenPathRune(letter rune) bool { return letter < ' ' || letter == 0x7f || letter == '\\' }
 
-// hasDotSegment looks at segments without their parameters.
+// hasDotSegment reports whether the path has a "." or ".." segment, not counting
+// the parameters that follow a semicolon.
 func hasDotSegment(path string) bool {
 	for segment := range strings.SplitSeq(path, "/") {
 		name, _, _ := strings.Cut(segment, ";")
@@ -128,11 +129,12 @@
 	}
 }
 
-// reservedHeaderPrefix starts the headers that nodes use among themselves.
+// reservedHeaderPrefix is the prefix, in lower case, of the headers that nodes use
+// among themselves.
 const reservedHeaderPrefix = "levertide-"
 
-// refusedHeaders are those that belong to one connection or frame the message,
-// in lower case.
+// refusedHeaders are the headers, in lower case, that apply to one connection or
+// frame the message, and so cannot carry a credential.
 var refusedHeaders = map[string]struct{}{
 	"connection":          {},
 	"content-length":      {},
@@ -161,7 +163,8 @@
 	}
 }
 
-// checkHeaderValue tells nothing of the value.
+// checkHeaderValue reports a secret that no header can carry. Its reports never
+// contain the value.
 func (s subject) checkHeaderValue(field, value string) {
 	if len(value) > s.checker.limits.MaxCredentialBytes {
 		s.report(field, fmt.Sprintf("the secret is too long for a header, the limit is %d bytes", s.checker.limits.MaxCredentialBytes), "")
@@ -175,7 +178,7 @@
 	}
 }
 
-// tokenMarks are the bytes of a token, as HTTP defines it, besides letters and digits.
+// tokenMarks are the bytes that an HTTP token may contain besides letters and digits.
 const tokenMarks = "!#$%&'*+-.^_`|~"
 
 // isToken reports whether the text can be a method or a header name.
@@ -188,7 +191,7 @@
 	return text != ""
 }
 
-// isHeaderValue reports whether the text holds no control character but tabs.
+// isHeaderValue reports whether the text contains no control characters except tabs.
 func isHeaderValue(text string) bool {
 	for _, letter := range []byte(text) {
 		if letter != '\t' && (letter < ' ' || letter == 0x7f) {
--- a/pkg/validation/tenant.go
+++ b/pkg/validation/tenant.go
@@ -12,19 +12,19 @@
 		s.report("spec.keys", fmt.Sprintf("%d keys are listed, the limit is %d", len(tenant.Keys), limit), "")
 	}
 	if tenant.Rate < 0 || tenant.Burst < 0 {
-		s.report("spec", "a figure of the limit is negative", "")
+		s.report("spec", "the rate or the burst is negative", "")
 	}
 	for index, key := range tenant.Keys {
-		s.checkHolder(fmt.Sprintf("spec.keys[%d]", index), key)
+		s.checkKeyUnique(fmt.Sprintf("spec.keys[%d]", index), key)
 	}
 }
 
-// checkHolder reports a key that another tenant lists, too: nobody could tell which of them a
-// request with it comes from. The report does not repeat the key.
-func (s subject) checkHolder(field string, key model.KeyDigest) {
-	holder, held := s.checker.holders[key]
-	if !held {
-		s.checker.holders[key] = s.key
+// checkKeyUnique reports a key that another tenant lists, too: the key would not identify which
+// of them a request comes from. The report does not contain the key.
+func (s subject) checkKeyUnique(field string, key model.KeyDigest) {
+	holder, listed := s.checker.keyHolders[key]
+	if !listed {
+		s.checker.keyHolders[key] = s.key
 		return
 	}
 	if holder != s.key {
--- a/pkg/validation/validate_test.go
+++ b/pkg/validation/validate_test.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	serviceA  = "kind: Service\nname: a\nspec:\n  slots: 6\n  connections: 130\n"
-	routeR    = "kind: Route\nname: r\nspec:\n  service: a\n  match:\n"
-	secretS   = "kind: Secret\nname: s\nspec:\n  value: x\n"
-	next      = "---\n"
-	wholeBase = serviceA + next + secretS + next
+	serviceA          = "kind: Service\nname: a\nspec:\n  slots: 6\n  connections: 130\n"
+	routeR            = "kind: Route\nname: r\nspec:\n  service: a\n  match:\n"
+	secretS           = "kind: Secret\nname: s\nspec:\n  value: x\n"
+	documentSeparator = "---\n"
+	baseSet           = serviceA + documentSeparator + secretS + documentSeparator
 )
 
 func tenantWith(name, keys string) string {
@@ -43,14 +43,14 @@
 	limits.MaxResources, limits.MaxMethods, limits.MaxSetBytes = 4, 2, 4000
 	limits.MaxTenantKeys = 3
 	limits.MaxResourceBytes, limits.MaxSecretBytes, limits.MaxCredentialBytes = 3000, 1000, 100
-	routeWith := func(match string) string { return wholeBase + routeR + match }
+	routeWith := func(match string) string { return baseSet + routeR + match }
 	credential := func(header, value string) string {
-		return serviceA + next + routeR + "    path: /\n  credential: {secret: k, header: " + header + "}\n" +
-			next + "kind: Secret\nname: k\nspec: {value: " + value + "}\n"
+		return serviceA + documentSeparator + routeR + "    path: /\n  credential: {secret: k, header: " + header + "}\n" +
+			documentSeparator + "kind: Secret\nname: k\nspec: {value: " + value + "}\n"
 	}
 	for name, test := range map[string]struct{ text, want string }{
 		"nothing declared":      {"# nothing\n", `the set declares nothing (`},
-		"too many":              {wholeBase + secretsNamed("a", "b", "c"), `the set declares 5 resources, the limit is 4`},
+		"too many":              {baseSet + secretsNamed("a", "b", "c"), `the set declares 5 resources, the limit is 4`},
 		"name":                  {"kind: Secret\nname: Upper_case\nspec: {value: x}\n", `f:2:7: name: "Upper_case" is not a valid name (use at most 63`},
 		"name too long":         {"kind: Secret\nname: " + strings.Repeat("n", 64) + "\nspec: {value: x}\n", `f:2:7: name: `},
 		"name starts badly":     {"kind: Secret\nname: -a\nspec: {value: x}\n", `f:2:7: name: `},
@@ -61,7 +61,7 @@
 		"slow start":            {serviceA + "  slowStart: 1h\n", `f:6:14: spec.slowStart: `},
 		"call to nobody":        {serviceA + "  calls: [a, b]\n", `f:6:14: spec.calls[1]: Service/b is not declared in the set`},
 		"call twice":            {serviceA + "  calls: [a, a]\n", `f:6:14: spec.calls[1]: "a" is listed twice`},
-		"no such service":       {secretS + next + routeR + "    path: /\n", `f:9:12: spec.service: Service/a is not declared in the set (a set is applied whole`},
+		"no such service":       {secretS + documentSeparator + routeR + "    path: /\n", `f:9:12: spec.service: Service/a is not declared in the set (a set is applied whole`},
 		"no such secret":        {routeWith("    path: /\n  credential: {secret: q, header: X-Key}\n"), `f:18:24: spec.credential.secret: Secret/q is not declared`},
 		"no path":               {routeWith("    host: a.example\n"), `f:16:3: spec.match: neither path nor pathPrefix is given`},
 		"both paths":            {routeWith("    path: /\n    pathPrefix: /\n"), `f:18:17: spec.match.pathPrefix: path and pathPrefix are both given`},
@@ -89,9 +89,9 @@
 		"space in a header":     {credential("X-Key", `" hush"`), `the secret starts or ends with a space`},
 		"long secret in header": {credential("X-Key", strings.Repeat("h", 200)), `the secret is too long for a header, the limit is 100 bytes`},
 		"long secret":           {"kind: Secret\nname: k\nspec: {value: " + strings.Repeat("h", 1500) + "}\n", `f:3:15: spec.value: 1500 is not between 1 and 1000`},
-		"key of two tenants":    {serviceA + next + tenantWith("one", "k1, hush") + next + tenantWith("two", "hush"), `f:15:10: spec.keys[0]: the key is listed also by Tenant/one at f:10:9`},
-		"too many keys":         {serviceA + next + tenantWith("one", "a, b, c, d"), `f:10:9: spec.keys: 4 keys are listed, the limit is 3`},
-		"tenant's rank":         {serviceA + next + tenantWith("one", "a") + "  rank: 101\n", `spec.rank: 101 is not between 0 and 100`},
+		"key of two tenants":    {serviceA + documentSeparator + tenantWith("one", "k1, hush") + documentSeparator + tenantWith("two", "hush"), `f:15:10: spec.keys[0]: the key is listed also by Tenant/one at f:10:9`},
+		"too many keys":         {serviceA + documentSeparator + tenantWith("one", "a, b, c, d"), `f:10:9: spec.keys: 4 keys are listed, the limit is 3`},
+		"tenant's rank":         {serviceA + documentSeparator + tenantWith("one", "a") + "  rank: 101\n", `spec.rank: 101 is not between 0 and 100`},
 		"long resource":         {routeWith("    path: /" + strings.Repeat("p", 3000) + "\n"), `spec: the resource takes`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 				t.Errorf("\n got %s\nwant %s", strings.Join(faults, "\n     "), test.want)
 			}
 			if strings.Contains(strings.Join(faults, ""), "hush") {
-				t.Error("a fault tells the secret")
+				t.Error("a fault contains the secret")
 			}
 		})
 	}
@@ -109,7 +109,7 @@
 func secretsNamed(names ...string) string {
 	var text strings.Builder
 	for _, name := range names {
-		text.WriteString(strings.Replace(secretS, "name: s", "name: "+name, 1) + next)
+		text.WriteString(strings.Replace(secretS, "name: s", "name: "+name, 1) + documentSeparator)
 	}
 	return text.String()
 }
@@ -117,7 +117,7 @@
 func TestLargestSet(t *testing.T) {
 	limits := validation.DefaultLimits()
 	limits.MaxSetBytes = 100
-	faults := validate(t, wholeBase, limits)
+	faults := validate(t, baseSet, limits)
 	if len(faults) != 1 || !strings.Contains(faults[0], "the set takes") {
 		t.Error(faults)
 	}
@@ -125,7 +125,7 @@
 
 func TestShadowedRoutes(t *testing.T) {
 	other := func(match string) string {
-		return next + strings.Replace(routeR, "name: r", "name: other", 1) + match
+		return documentSeparator + strings.Replace(routeR, "name: r", "name: other", 1) + match
 	}
 	const clash = "requests are taken already by Route/r at f:16:3"
 	for name, test := range map[string]struct{ first, second, want string }{
@@ -139,7 +139,7 @@
 		"narrower host":       {"    path: /a\n", "    path: /a\n    host: \"*.example\"\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			faults := validate(t, wholeBase+routeR+test.first+other(test.second), validation.DefaultLimits())
+			faults := validate(t, baseSet+routeR+test.first+other(test.second), validation.DefaultLimits())
 			switch {
 			case test.want == "" && len(faults) == 0:
 			case test.want != "" && len(faults) == 1 && strings.Contains(faults[0], test.want):
@@ -155,7 +155,7 @@
 		"spec unreadable": strings.Replace(serviceA, "slots", "slot", 1),
 		"key unreadable":  "kind: Service\nname: \"a",
 	} {
-		set, faults := manifest.Parse("f", []byte(broken+"\n"+next+routeR+"    path: a\n"))
+		set, faults := manifest.Parse("f", []byte(broken+"\n"+documentSeparator+routeR+"    path: a\n"))
 		if len(faults) == 0 {
 			t.Fatalf("%s: no fault", name)
 		}
@@ -182,7 +182,7 @@
 	if err := validation.CheckSnapshot(snapshot.Empty(), limits); err != nil {
 		t.Error(err)
 	}
-	if problems := validation.CheckResources(slicesOf(part), limits); len(problems) != 1 {
+	if problems := validation.CheckResources(resourcesOf(part), limits); len(problems) != 1 {
 		t.Error(problems)
 	}
 	limits.MaxResources = 0
@@ -196,7 +196,7 @@
 	}
 }
 
-func slicesOf(held *snapshot.Snapshot) []model.Resource {
+func resourcesOf(held *snapshot.Snapshot) []model.Resource {
 	var resources []model.Resource
 	for resource := range held.Resources() {
 		resources = append(resources, resource)
@@ -204,7 +204,9 @@
 	return resources
 }
 
-func TestNodesRefuseWhatFilesCannotSay(t *testing.T) {
+// TestCheckPartRefusesValuesThatFilesCannotHold covers values that the manifest
+// parser already refuses, but that a node may receive from another node.
+func TestCheckPartRefusesValuesThatFilesCannotHold(t *testing.T) {
 	route := model.Resource{
 		Key: model.Key{Kind: model.KindRoute, Name: "r"},
 		Route: &model.Route{
