--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -92,7 +92,7 @@
 		return err
 	}
 	if existing := entry.add(route); existing != nil {
-		return ErrAmbiguousRoute.New("routes %q and %q take the same requests", existing.Name, route.Name)
+		return ErrAmbiguousRoute.New("routes %q and %q match the same requests", existing.Name, route.Name)
 	}
 	return nil
 }
