--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -72,7 +72,7 @@
 // quarantined.
 func (c *inboundCall) suspicion() (level int, quarantined bool) {
 	table := c.plane.config.Quarantine
-	if table.Quiet() {
+	if table.Empty() {
 		return 0, false
 	}
 	f, ok := c.fingerprint()
@@ -100,7 +100,7 @@
 
 // answeredWhole takes that the worker has answered the call.
 func (c *inboundCall) answeredWhole() {
-	if c.plane.config.Quarantine.Quiet() {
+	if c.plane.config.Quarantine.Empty() {
 		return
 	}
 	if f, ok := c.fingerprint(); ok {
@@ -112,7 +112,7 @@
 // tellPeer puts what this node knows into the header of a call to another node.
 func (p *Plane) tellPeer(header http.Header, address string) {
 	now := time.Now()
-	if p.config.Quarantine.Quiet() || !p.told.due(address, now) {
+	if p.config.Quarantine.Empty() || !p.told.due(address, now) {
 		return
 	}
 	header[evidenceHeader] = []string{evidencewire.Header(p.config.Quarantine, now)}
--- a/internal/dataplane/suspects_test.go
+++ b/internal/dataplane/suspects_test.go
@@ -93,7 +93,7 @@
 	for range 4 {
 		m.call(http.MethodPost, "/never/one", "body").expect(t, http.StatusBadGateway, "unknown", outcome.ConnectionLost)
 	}
-	if !node.plane.config.Quarantine.Quiet() || !m.entry.plane.config.Quarantine.Quiet() {
+	if !node.plane.config.Quarantine.Empty() || !m.entry.plane.config.Quarantine.Empty() {
 		t.Error("a lost answer is taken for the end of the worker")
 	}
 }
--- a/internal/evidencewire/evidence.go
+++ b/internal/evidencewire/evidence.go
@@ -72,7 +72,7 @@
 
 // Header returns what a table knows as the value of a header; empty when it knows nothing.
 func Header(table *quarantine.Table, now time.Time) string {
-	if table.Quiet() {
+	if table.Empty() {
 		return ""
 	}
 	verdicts := table.Verdicts(now)
--- a/internal/forwarding/suspects.go
+++ b/internal/forwarding/suspects.go
@@ -16,7 +16,7 @@
 
 // quarantined reports whether the request of a call is known to crash workers.
 func (c *call) quarantined() bool {
-	if c.plane.config.Quarantine.Quiet() {
+	if c.plane.config.Quarantine.Empty() {
 		return false
 	}
 	_, found := c.plane.config.Quarantine.Level(c.fingerprint(), time.Now())
@@ -25,7 +25,7 @@
 
 // level returns how many crashes of workers the request of a call is known to have caused.
 func (c *call) level() int {
-	if c.plane.config.Quarantine.Quiet() {
+	if c.plane.config.Quarantine.Empty() {
 		return 0
 	}
 	level, _ := c.plane.config.Quarantine.Level(c.fingerprint(), time.Now())
@@ -42,7 +42,7 @@
 // suspicion returns how many crashes speak against a request for a worker, by what is
 // known here and at the node where it began, and whether it is quarantined.
 func (p *Plane) suspicion(call *workerCall, told int) (level int, quarantined bool) {
-	if p.config.Quarantine.Quiet() {
+	if p.config.Quarantine.Empty() {
 		return told, false
 	}
 	level, quarantined = p.config.Quarantine.Level(call.fingerprint(), time.Now())
@@ -58,7 +58,7 @@
 // answeredWhole takes that a worker has answered a request: it is none that crashes
 // workers.
 func (p *Plane) answeredWhole(call *workerCall) {
-	if p.config.Quarantine.Quiet() {
+	if p.config.Quarantine.Empty() {
 		return
 	}
 	if report, news := p.config.Quarantine.Answered(call.fingerprint(), time.Now()); news {
--- a/internal/forwarding/suspects_test.go
+++ b/internal/forwarding/suspects_test.go
@@ -127,7 +127,7 @@
 		}
 	}
 	for _, node := range []*testNode{front, nodes[0]} {
-		if !node.plane.config.Quarantine.Quiet() {
+		if !node.plane.config.Quarantine.Empty() {
 			t.Error("a lost answer is taken for the end of the worker")
 		}
 	}
--- a/internal/hosted/evidence.go
+++ b/internal/hosted/evidence.go
@@ -148,7 +148,7 @@
 
 // expire forgets what is too old.
 func (e *evidence) expire() {
-	if e.table.Quiet() && !e.logsAny() {
+	if e.table.Empty() && !e.logsAny() {
 		return
 	}
 	e.table.Expire(time.Now())
@@ -160,7 +160,7 @@
 func (e *evidence) review(source string) {
 	now := time.Now()
 	e.log(e.table.Verdicts(now), source)
-	vouched := e.table.Vouched(now)
+	vouched := e.table.Confirmed(now)
 	own := e.agent.config.Table.View().Self()
 	if slices.EqualFunc(own.Quarantined, vouched, sameVerdict) {
 		return
--- a/internal/hosted/quota.go
+++ b/internal/hosted/quota.go
@@ -82,7 +82,7 @@
 func NewQuotas(config QuotaConfig) *Quotas {
 	q := &Quotas{config: config, started: time.Now(), wake: make(chan struct{}, 1), next: make(chan struct{})}
 	self := config.Table.View().Self()
-	q.node = quota.NewNode(quota.Options{ID: self.ID, Life: self.Incarnation, Tolerance: config.Tolerance, Draw: rand.Float64})
+	q.node = quota.NewNode(quota.Options{ID: self.ID, Incarnation: self.Incarnation, Tolerance: config.Tolerance, Draw: rand.Float64})
 	q.usage = newUsage(config.Events)
 	return q
 }
@@ -128,8 +128,8 @@
 	switch d.Ask {
 	case quota.AskHub:
 		q.signal()
-		wait(ctx, answered, quota.Patience)
-	case quota.AskOthers:
+		wait(ctx, answered, quota.WaitLimit)
+	case quota.AskOtherHubs:
 		q.askOthers(ctx)
 	default:
 		return d
@@ -235,7 +235,7 @@
 		q.node.Failed(q.now())
 		return
 	}
-	response, err := q.peers.borrow(ctx, node, q.message(request), q.node.Bound())
+	response, err := q.peers.borrow(ctx, node, q.message(request), q.node.AnswerTimeout())
 	if err != nil {
 		q.failed(to, err)
 		return
@@ -299,20 +299,20 @@
 			hubs = append(hubs, fleet.Hub(nodes))
 		}
 	}
-	return pickRandom(hubs, quota.AskedAtATime)
+	return pickRandom(hubs, quota.HubsPerRound)
 }
 
 // ask asks each of the hubs for its part.
-func (q *Quotas) ask(hubs []*fleet.Node, wants []quota.Want) {
+func (q *Quotas) ask(hubs []*fleet.Node, wants []quota.Demand) {
 	for i := range wants {
-		wants[i].Wanted /= float64(len(hubs))
+		wants[i].Requested /= float64(len(hubs))
 	}
-	request := q.message(quota.Request{Node: q.config.Table.View().Self().ID, Wants: wants})
+	request := q.message(quota.Request{Node: q.config.Table.View().Self().ID, Demands: wants})
 	request.Move = true
 	var asked sync.WaitGroup
 	for _, hub := range hubs {
 		asked.Go(func() {
-			response, err := q.peers.borrow(context.Background(), *hub, request, quota.AnswerBound)
+			response, err := q.peers.borrow(context.Background(), *hub, request, quota.AnswerTimeout)
 			switch {
 			case err == nil:
 				q.node.Receive(q.now(), answerOf(response).Grants)
@@ -328,7 +328,7 @@
 func (q *Quotas) serve(ctx context.Context, message *exchangepb.BorrowRequest) *exchangepb.BorrowResponse {
 	request := requestOf(message)
 	if message.GetMove() {
-		return answerMessage(quota.Answer{Grants: q.node.Give(q.now(), request.Wants)})
+		return answerMessage(quota.Answer{Grants: q.node.Give(q.now(), request.Demands)})
 	}
 	answer, lacking := q.node.Serve(q.now(), request)
 	if lacking {
--- a/internal/hosted/quota_messages.go
+++ b/internal/hosted/quota_messages.go
@@ -14,11 +14,11 @@
 var errNoQuotas = twirp.NewError(twirp.Unimplemented, "this node keeps no limits")
 
 func borrowMessage(r quota.Request) *exchangepb.BorrowRequest {
-	message := &exchangepb.BorrowRequest{Sender: r.Node, Life: r.Life, Number: r.Number, Stamp: stampMessage(r.Stamp), Share: r.Share, Pooled: r.Pooled}
-	for _, w := range r.Wants {
+	message := &exchangepb.BorrowRequest{Sender: r.Node, Life: r.Incarnation, Number: r.Number, Stamp: stampMessage(r.Stamp), Share: r.Share, Pooled: r.HoldsLeasedShares}
+	for _, w := range r.Demands {
 		message.Wants = append(message.Wants, &exchangepb.TokenWant{
 			Tenant: w.Tenant, Rate: w.Limit.Rate, Burst: w.Limit.Burst,
-			Held: float32(w.Held), Returned: float32(w.Returned), Wanted: float32(w.Wanted), Waiting: float32(w.Waiting),
+			Held: float32(w.Held), Returned: float32(w.Returned), Wanted: float32(w.Requested), Waiting: float32(w.Waiting),
 		})
 	}
 	return message
@@ -26,23 +26,23 @@
 
 // requestOf leaves out wants that no node makes.
 func requestOf(message *exchangepb.BorrowRequest) quota.Request {
-	r := quota.Request{Node: message.GetSender(), Life: message.GetLife(), Number: message.GetNumber(), Stamp: stampOf(message.GetStamp()), Share: amount(message.GetShare()), Pooled: message.GetPooled()}
+	r := quota.Request{Node: message.GetSender(), Incarnation: message.GetLife(), Number: message.GetNumber(), Stamp: stampOf(message.GetStamp()), Share: amount(message.GetShare()), HoldsLeasedShares: message.GetPooled()}
 	for _, w := range message.GetWants() {
 		limit := quota.Limit{Rate: amount(w.GetRate()), Burst: amount(w.GetBurst())}
 		if limit.Unlimited() {
 			continue
 		}
-		r.Wants = append(r.Wants, quota.Want{
+		r.Demands = append(r.Demands, quota.Demand{
 			Tenant: w.GetTenant(), Limit: limit,
 			Held: amount(float64(w.GetHeld())), Returned: amount(float64(w.GetReturned())),
-			Wanted: amount(float64(w.GetWanted())), Waiting: amount(float64(w.GetWaiting())),
+			Requested: amount(float64(w.GetWanted())), Waiting: amount(float64(w.GetWaiting())),
 		})
 	}
 	return r
 }
 
 func answerMessage(a quota.Answer) *exchangepb.BorrowResponse {
-	message := &exchangepb.BorrowResponse{Stamp: stampMessage(a.Stamp), Vouched: a.Vouched}
+	message := &exchangepb.BorrowResponse{Stamp: stampMessage(a.Stamp), Vouched: a.Confirmed}
 	for _, g := range a.Grants {
 		message.Grants = append(message.Grants, &exchangepb.TokenGrant{Tenant: g.Tenant, Tokens: float32(g.Tokens), NextUs: microseconds(g.Next)})
 	}
@@ -50,7 +50,7 @@
 }
 
 func answerOf(message *exchangepb.BorrowResponse) quota.Answer {
-	a := quota.Answer{Stamp: stampOf(message.GetStamp()), Vouched: message.GetVouched()}
+	a := quota.Answer{Stamp: stampOf(message.GetStamp()), Confirmed: message.GetVouched()}
 	for _, g := range message.GetGrants() {
 		a.Grants = append(a.Grants, quota.Grant{
 			Tenant: g.GetTenant(), Tokens: amount(float64(g.GetTokens())), Next: time.Duration(g.GetNextUs()) * time.Microsecond,
@@ -60,14 +60,14 @@
 }
 
 func stampMessage(s quota.Stamp) *exchangepb.Stamp {
-	if s.Life == 0 {
+	if s.Incarnation == 0 {
 		return nil
 	}
-	return &exchangepb.Stamp{Life: s.Life, AtNs: int64(s.At)}
+	return &exchangepb.Stamp{Life: s.Incarnation, AtNs: int64(s.At)}
 }
 
 func stampOf(message *exchangepb.Stamp) quota.Stamp {
-	return quota.Stamp{Life: message.GetLife(), At: time.Duration(message.GetAtNs())}
+	return quota.Stamp{Incarnation: message.GetLife(), At: time.Duration(message.GetAtNs())}
 }
 
 // microseconds rounds up, so that no wait becomes none.
--- a/internal/hosted/quota_usage.go
+++ b/internal/hosted/quota_usage.go
@@ -118,5 +118,5 @@
 // Reading returns what metrics show.
 func (q *Quotas) Reading() QuotaReading {
 	now := q.now()
-	return QuotaReading{Tenants: q.usage.read(), Holdings: q.node.Holdings(now), Heard: q.node.Heard(now)}
+	return QuotaReading{Tenants: q.usage.read(), Holdings: q.node.Holdings(now), Heard: q.node.SinceHubAnswered(now)}
 }
--- a/internal/hosted/rollout_lead.go
+++ b/internal/hosted/rollout_lead.go
@@ -122,9 +122,9 @@
 }
 
 // observe hands the judge what workers did since the last look.
-func (l *lead) observe(view *fleet.View, held fleet.Rollout) canary.Seen {
+func (l *lead) observe(view *fleet.View, held fleet.Rollout) canary.Progress {
 	former, next := map[string]canary.Tally{}, map[string]canary.Tally{}
-	seen := canary.Seen{Applied: true}
+	seen := canary.Progress{Applied: true}
 	for _, n := range view.Nodes() {
 		worker, has := workerOf(n, held.Service)
 		if has && worker.State == workers.StateReady && worker.Version == held.Target && n.State == fleet.StateLive {
--- a/pkg/canary/canary_test.go
+++ b/pkg/canary/canary_test.go
@@ -146,7 +146,7 @@
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
 	r, began := start()
 	exposed, asked := 0.0, 0.0
-	seen := Seen{Workers: 4, Runs: 100, Applied: true, Drain: 3 * time.Second}
+	seen := Progress{Workers: 4, Runs: 100, Applied: true, Drain: 3 * time.Second}
 	last := Decision{}
 	for at := time.Duration(0); at <= 20*time.Second; at += 100 * time.Millisecond {
 		last = r.Step(seen, began.Add(at))
@@ -171,7 +171,7 @@
 
 func TestNothingIsCompletedBeforeAllNodesSteer(t *testing.T) {
 	r, began := start()
-	seen := Seen{Workers: 4, Runs: 100}
+	seen := Progress{Workers: 4, Runs: 100}
 	if d := r.Step(seen, began.Add(19*time.Second)); d.State != Running || d.Share != 1 {
 		t.Errorf("%+v", d)
 	}
@@ -179,10 +179,10 @@
 
 func TestVersionThatRunsNothingIsGivenUp(t *testing.T) {
 	r, began := start()
-	if d := r.Step(Seen{}, began.Add(10*time.Second)); d.State != Running || d.Share != 0 {
+	if d := r.Step(Progress{}, began.Add(10*time.Second)); d.State != Running || d.Share != 0 {
 		t.Errorf("half of the time: %+v", d)
 	}
-	if d := r.Step(Seen{}, began.Add(17*time.Second)); d.State != RolledBack || d.Reason == "" {
+	if d := r.Step(Progress{}, began.Add(17*time.Second)); d.State != RolledBack || d.Reason == "" {
 		t.Errorf("late: %+v", d)
 	}
 }
@@ -190,10 +190,10 @@
 func TestRollBackIsFinal(t *testing.T) {
 	r, began := start()
 	r.Judge().Observe("read", Tally{Runs: 100}, Tally{Runs: 20, Failed: 20})
-	if d := r.Step(Seen{Workers: 1, Runs: 20}, began.Add(time.Second)); d.State != RolledBack || d.Share != 0 {
+	if d := r.Step(Progress{Workers: 1, Runs: 20}, began.Add(time.Second)); d.State != RolledBack || d.Share != 0 {
 		t.Fatalf("%+v", d)
 	}
-	if d := r.Step(Seen{Workers: 4, Runs: 1000, Applied: true}, began.Add(15*time.Second)); d.State != RolledBack {
+	if d := r.Step(Progress{Workers: 4, Runs: 1000, Applied: true}, began.Add(15*time.Second)); d.State != RolledBack {
 		t.Errorf("%+v", d)
 	}
 }
--- a/pkg/canary/example_test.go
+++ b/pkg/canary/example_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	began := time.Unix(0, 0)
 	rollout := canary.NewRollout(began, began.Add(20*time.Second))
-	seen := canary.Seen{Workers: 1}
+	seen := canary.Progress{Workers: 1}
 	fmt.Println(rollout.Step(seen, began.Add(time.Second)).Share)
 
 	rollout.Judge().Observe("/ledger", canary.Tally{Runs: 400, Failed: 2}, canary.Tally{Runs: 24, Failed: 9})
--- a/pkg/canary/rollout.go
+++ b/pkg/canary/rollout.go
@@ -48,8 +48,8 @@
 	reserve = 500 * time.Millisecond
 )
 
-// Seen is what is known of a roll-out at one moment.
-type Seen struct {
+// Progress is the observed state of a roll-out at one moment.
+type Progress struct {
 	// Workers is how many workers of the new version can be given work.
 	Workers int
 	// Runs is how many requests the new version has run in all.
@@ -91,7 +91,7 @@
 func (r *Rollout) Resume(d Decision) { r.current = d }
 
 // Step decides what is done from now on.
-func (r *Rollout) Step(seen Seen, now time.Time) Decision {
+func (r *Rollout) Step(seen Progress, now time.Time) Decision {
 	if r.current.State.Final() {
 		return r.current
 	}
@@ -123,7 +123,7 @@
 
 // waitForWorkers goes on while the new version has shown nothing, and ends when there is
 // too little time left for it.
-func (r *Rollout) waitForWorkers(seen Seen, part float64) Decision {
+func (r *Rollout) waitForWorkers(seen Progress, part float64) Decision {
 	if part >= lateAt {
 		return r.rollBack("the new version ran too little in time")
 	}
@@ -135,7 +135,7 @@
 
 // drain ends the roll-out once nothing can be left at the former version, or the deadline
 // is close.
-func (r *Rollout) drain(seen Seen, now time.Time) {
+func (r *Rollout) drain(seen Progress, now time.Time) {
 	if r.appliedAt.IsZero() {
 		r.appliedAt = now
 	}
--- a/pkg/quarantine/report.go
+++ b/pkg/quarantine/report.go
@@ -60,7 +60,7 @@
 // Digest returns a digest of that evidence and of the verdicts: two nodes with the same
 // digest hold the same.
 func (t *Table) Digest() uint64 {
-	if t.Quiet() {
+	if t.Empty() {
 		return 0
 	}
 	t.mu.Lock()
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Quiet reports whether nothing is known of any request. A node may spare itself the
-// fingerprints then.
-func (t *Table) Quiet() bool { return t.known.Load() == 0 }
+// Empty reports whether the table holds no suspect and no verdict. A node need not
+// compute fingerprints then.
+func (t *Table) Empty() bool { return t.known.Load() == 0 }
 
 // Level returns how many crashes speak against a request, and whether it is
 // quarantined: then it must not be given to a worker.
@@ -205,7 +205,7 @@
 
 // Expire forgets what is too old to count.
 func (t *Table) Expire(now time.Time) {
-	if t.Quiet() {
+	if t.Empty() {
 		return
 	}
 	t.mu.Lock()
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -150,7 +150,7 @@
 	}
 	table.Expire(now.Add(2 * DefaultDuration))
 	table.Expire(now.Add(4 * DefaultDuration))
-	if !table.Quiet() {
+	if !table.Empty() {
 		t.Errorf("%d suspects are kept for ever", table.Suspects())
 	}
 }
@@ -220,6 +220,6 @@
 func BenchmarkQuiet(b *testing.B) {
 	table := New(Options{})
 	for b.Loop() {
-		table.Quiet()
+		table.Empty()
 	}
 }
--- a/pkg/quarantine/verdict.go
+++ b/pkg/quarantine/verdict.go
@@ -73,9 +73,9 @@
 	return t.list(now, func(Fingerprint) bool { return true })
 }
 
-// Vouched returns those of the verdicts that this node has seen a crash for, or has
-// taken over from a former life: it keeps these for others.
-func (t *Table) Vouched(now time.Time) []Verdict {
+// Confirmed returns the verdicts on requests of which this node has itself seen a crash,
+// and those restored from its previous incarnation. It holds these on behalf of other nodes.
+func (t *Table) Confirmed(now time.Time) []Verdict {
 	return t.list(now, func(f Fingerprint) bool { return t.vouched[f] })
 }
 
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -80,22 +80,22 @@
 	return a.held > 0 || a.ready > 0 || a.returned > 0 || a.waiting > 0 || a.used+activeTerm > now
 }
 
-// want returns what the node needs of the tenant; nothing when it is not busy.
-func (a *account) want(now time.Duration) (Want, bool) {
+// demand returns what the node needs for the tenant; false when the account is not active.
+func (a *account) demand(now time.Duration) (Demand, bool) {
 	if now >= a.expires {
 		a.held = 0
 	}
 	a.returned += a.ready
 	a.ready = 0
 	if !a.busy(now) {
-		return Want{}, false
+		return Demand{}, false
 	}
 	need := a.waiting + math.Floor(a.taken.rate(now)*ahead.Seconds())
 	excess := max(math.Floor(a.held-need), 0)
 	a.held -= excess
-	w := Want{Limit: a.limit, Held: a.held, Returned: a.returned + excess}
-	w.Wanted = max(math.Ceil(need-a.held), 0)
-	w.Waiting = min(a.waiting, w.Wanted)
+	w := Demand{Limit: a.limit, Held: a.held, Returned: a.returned + excess}
+	w.Requested = max(math.Ceil(need-a.held), 0)
+	w.Waiting = min(a.waiting, w.Requested)
 	a.asked, a.askedBy, a.returned, a.waiting = w.Waiting, a.limit, 0, 0
 	return w, true
 }
--- a/pkg/quota/admission.go
+++ b/pkg/quota/admission.go
@@ -10,8 +10,8 @@
 	AskNobody Ask = iota
 	// AskHub: the hub of the zone, by the message to come.
 	AskHub
-	// AskOthers: the hubs of other zones.
-	AskOthers
+	// AskOtherHubs: the hubs of other zones.
+	AskOtherHubs
 )
 
 // Decision is what becomes of a request.
@@ -58,7 +58,7 @@
 		next = wait
 		if first && n.hub == n.options.ID && n.pool.asks(now, tenant) {
 			n.pool.lack(tenant, 1)
-			return Decision{Ask: AskOthers}
+			return Decision{Ask: AskOtherHubs}
 		}
 	} else if first && n.hub != "" && !n.link.silent && now >= a.deniedUntil {
 		a.waiting++
--- a/pkg/quota/example_test.go
+++ b/pkg/quota/example_test.go
@@ -10,8 +10,8 @@
 // Two nodes keep one limit together: one is the hub, the other borrows its tokens there.
 func Example() {
 	half := func() float64 { return 0.5 }
-	hub := quota.NewNode(quota.Options{ID: "a", Life: 1, Draw: half})
-	node := quota.NewNode(quota.Options{ID: "b", Life: 1, Draw: half})
+	hub := quota.NewNode(quota.Options{ID: "a", Incarnation: 1, Draw: half})
+	node := quota.NewNode(quota.Options{ID: "b", Incarnation: 1, Draw: half})
 	limit := quota.Limit{Rate: 4, Burst: 4}
 
 	// Nodes own a share of the limits once they have run for a while.
--- a/pkg/quota/failures_test.go
+++ b/pkg/quota/failures_test.go
@@ -19,7 +19,7 @@
 // away is how long nodes take at most to use their own shares when their hub is silent: the
 // rest of the lease after they have seen it.
 const (
-	awaySilent = LeaseTerm + silentAfter*AnswerBound + testLookInterval
+	awaySilent = LeaseTerm + silentAfter*AnswerTimeout + testLookInterval
 )
 
 // failureCases is the table of failures of docs/design/quotas.md.
--- a/pkg/quota/hot_test.go
+++ b/pkg/quota/hot_test.go
@@ -61,7 +61,7 @@
 		usual := traffic * 0.8 / others * 40 / float64(i+4) / 10
 		arrive(fmt.Sprint("other-", i), usual, 1, &unused, &p.othersAdmitted, &p.othersSent)
 	}
-	m.run(start + length + Patience)
+	m.run(start + length + WaitLimit)
 	p.messages = float64(m.messages) / length.Seconds() / float64(len(m.nodes))
 	return p
 }
--- a/pkg/quota/hub.go
+++ b/pkg/quota/hub.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// AskWait is how long requests wait at a hub while it asks others, AskRounds how often it
-	// asks meanwhile, and AskGap the pause between two rounds.
+	// AskWait is how long requests wait at a hub while it asks other hubs, AskGap the pause
+	// between two rounds of asking, and AskRounds the number of rounds.
 	AskWait   = 30 * time.Millisecond
 	AskGap    = 4 * time.Millisecond
 	AskRounds = 3
-	// AskedAtATime is how many hubs are asked in one round, each for an equal part.
-	AskedAtATime = 4
+	// HubsPerRound is how many hubs are asked in one round, each for an equal part.
+	HubsPerRound = 4
 )
 
 // Serve answers another node, to which this one is the hub. Where it reports that tokens are
@@ -34,7 +34,7 @@
 }
 
 // Shortage returns which tokens other hubs are to be asked for.
-func (n *Node) Shortage(now time.Duration) []Want {
+func (n *Node) Shortage(now time.Duration) []Demand {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.refresh(now)
@@ -43,7 +43,7 @@
 
 // Give moves tokens to another hub that lacks them. They are gone, whether it gets them or
 // not.
-func (n *Node) Give(now time.Duration, wants []Want) []Grant {
+func (n *Node) Give(now time.Duration, wants []Demand) []Grant {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.refresh(now)
--- a/pkg/quota/link.go
+++ b/pkg/quota/link.go
@@ -18,12 +18,12 @@
 	// LeaseTerm is how long a node leaves its share to a hub after the last message: until
 	// the tokens that the hub has granted by it can be spent no more.
 	LeaseTerm = useTerm + lateLife + clockMargin
-	// AnswerBound is how long the answer to a message is waited for at most. After a message
-	// that was answered it is four times as long as answers took lately, and quickBound at
+	// AnswerTimeout is the longest time that a node waits for the answer to a message. After
+	// an answered message the timeout is four times the recent answer time, and quickBound at
 	// least: requests wait meanwhile, and where a packet was lost the next message takes
 	// another connection.
-	AnswerBound = 300 * time.Millisecond
-	quickBound  = 30 * time.Millisecond
+	AnswerTimeout = 300 * time.Millisecond
+	quickBound    = 30 * time.Millisecond
 	// silentAfter is how many messages without an answer make a hub silent: a message may be
 	// lost. retryPause is the time between two messages to a silent hub.
 	silentAfter = 2
@@ -83,14 +83,14 @@
 	return max(leastGap, time.Duration(len(n.pool.zone)+1)*hubPace)
 }
 
-// Bound returns how long the answer to the last message is waited for.
-func (n *Node) Bound() time.Duration {
+// AnswerTimeout returns how long to wait for the answer to the last message.
+func (n *Node) AnswerTimeout() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.link.failures > 0 || n.link.took == 0 {
-		return AnswerBound
+		return AnswerTimeout
 	}
-	return min(max(4*n.link.took, quickBound), AnswerBound)
+	return min(max(4*n.link.took, quickBound), AnswerTimeout)
 }
 
 // target is where the next message goes: to a former hub while it has the share and was not
@@ -119,8 +119,8 @@
 	n.pool.advance(now)
 	n.sentAt, n.link.pending = now, true
 	r = Request{
-		Node: n.options.ID, Life: n.options.Life, Number: n.number, Stamp: n.link.stamp,
-		Pooled: n.pool.part.share > n.pool.own,
+		Node: n.options.ID, Incarnation: n.options.Incarnation, Number: n.number, Stamp: n.link.stamp,
+		HoldsLeasedShares: n.pool.part.share > n.pool.own,
 	}
 	if to != n.hub {
 		n.lease.ending = true
@@ -128,9 +128,9 @@
 	}
 	r.Share = n.leaseTo(now, to)
 	for tenant, a := range n.accounts {
-		if w, any := a.want(now); any {
+		if w, any := a.demand(now); any {
 			w.Tenant = tenant
-			r.Wants = append(r.Wants, w)
+			r.Demands = append(r.Demands, w)
 		}
 	}
 	return to, r
@@ -141,7 +141,7 @@
 // while another hub may use the share or tokens that this node lent by it can still be spent.
 func (n *Node) leaseTo(now time.Duration, hub string) float64 {
 	owned := n.owned(now)
-	if n.link.stamp.Life == 0 || owned == 0 || n.lease.to != hub && now < n.lease.until {
+	if n.link.stamp.Incarnation == 0 || owned == 0 || n.lease.to != hub && now < n.lease.until {
 		return 0
 	}
 	if now >= n.lease.until && !n.withdrawal {
@@ -162,13 +162,13 @@
 	defer n.mu.Unlock()
 	n.link.pending, n.link.failures, n.link.silent, n.link.heard = false, 0, false, now
 	n.link.took = max(n.link.took*9/10, now-n.sentAt)
-	fresh := n.link.stamp.Life == 0
-	if n.link.life != answer.Stamp.Life {
+	fresh := n.link.stamp.Incarnation == 0
+	if n.link.life != answer.Stamp.Incarnation {
 		// What another life of the hub has granted counts nowhere any more.
 		n.dropTokens()
 	}
-	n.link.stamp, n.link.life = answer.Stamp, answer.Stamp.Life
-	if answer.Vouched && n.nodes > 0 {
+	n.link.stamp, n.link.life = answer.Stamp, answer.Stamp.Incarnation
+	if answer.Confirmed && n.nodes > 0 {
 		n.vouch(now)
 	}
 	if n.link.to != n.hub {
@@ -176,7 +176,7 @@
 		n.link.next = now
 		return
 	}
-	if now-n.sentAt > AnswerBound {
+	if now-n.sentAt > AnswerTimeout {
 		answer.Grants = nil
 	}
 	for _, g := range answer.Grants {
--- a/pkg/quota/mesh_test.go
+++ b/pkg/quota/mesh_test.go
@@ -121,7 +121,7 @@
 	t.life++
 	t.up, t.lost = true, map[int]bool{}
 	t.waiting, t.attached, t.transfers, t.asking, t.wakes = nil, nil, nil, false, 0
-	t.node = NewNode(Options{ID: t.id, Life: t.life, Start: t.m.now, Tolerance: t.m.tol, Draw: t.m.rng.Float64})
+	t.node = NewNode(Options{ID: t.id, Incarnation: t.life, Start: t.m.now, Tolerance: t.m.tol, Draw: t.m.rng.Float64})
 }
 
 func (t *testNode) crash() {
@@ -278,7 +278,7 @@
 	id, r := t.node.Request(t.m.now)
 	to := t.m.byID[id]
 	t.attached, t.waiting = append(t.attached, t.waiting...), nil
-	t.send(to, t.node.Bound(), func(reply func(func())) {
+	t.send(to, t.node.AnswerTimeout(), func(reply func(func())) {
 		to.serve(r, func(a Answer) {
 			reply(func() {
 				t.failures = 0
@@ -339,8 +339,8 @@
 		}
 	}
 	t.m.rng.Shuffle(len(hubs), func(i, j int) { hubs[i], hubs[j] = hubs[j], hubs[i] })
-	hubs = hubs[:min(len(hubs), AskedAtATime)]
-	var wants []Want
+	hubs = hubs[:min(len(hubs), HubsPerRound)]
+	var wants []Demand
 	if len(hubs) > 0 && rounds > 0 {
 		wants = t.node.Shortage(t.m.now)
 	}
@@ -351,7 +351,7 @@
 	t.asking = true
 	open := len(hubs)
 	for i := range wants {
-		wants[i].Wanted /= float64(len(hubs))
+		wants[i].Requested /= float64(len(hubs))
 	}
 	end := func() {
 		if open--; open == 0 {
@@ -359,7 +359,7 @@
 		}
 	}
 	for _, h := range hubs {
-		t.send(h, AnswerBound, func(reply func(func())) {
+		t.send(h, AnswerTimeout, func(reply func(func())) {
 			grants := h.node.Give(t.m.now, wants)
 			reply(func() { t.node.Receive(t.m.now, grants); end() })
 		}, func(bool) { end() })
@@ -421,8 +421,8 @@
 			finish(t.node.Settle(t.m.now, tenant, limit))
 		}
 	}
-	t.m.after(Patience, settle)
-	if d.Ask == AskOthers {
+	t.m.after(WaitLimit, settle)
+	if d.Ask == AskOtherHubs {
 		t.transfer(settle)
 		return
 	}
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -5,44 +5,48 @@
 // Stamp names a moment at a hub. It comes back with the next message, and tells the hub
 // that the message was made after it.
 type Stamp struct {
-	// Life tells the lives of the hub's process apart; zero in no stamp.
-	Life uint64
-	At   time.Duration
+	// Incarnation distinguishes the runs of the hub's process. It is zero only in the
+	// empty stamp.
+	Incarnation uint64
+	At          time.Duration
 }
 
 // Request is what a node sends to the hub of its zone.
 type Request struct {
 	Node string
-	// Life rises with each life of the node's process, Number with each message of one.
-	Life, Number uint64
+	// Incarnation rises with each start of the node's process, Number with each message
+	// of an incarnation.
+	Incarnation, Number uint64
 	// Stamp is of the last answer of this hub; empty when it was silent since.
 	Stamp Stamp
 	// Share is the part of each limit that the node leases to the hub; zero ends the lease.
 	Share float64
-	// Pooled tells that the node holds shares of others, which take it for the hub.
-	Pooled bool
-	Wants  []Want
+	// HoldsLeasedShares reports that other nodes, which take this node for the hub, have
+	// leased it their shares.
+	HoldsLeasedShares bool
+	Demands           []Demand
 }
 
-// Want is what a node needs for one tenant.
-type Want struct {
+// Demand is what a node needs for one tenant.
+type Demand struct {
 	Tenant string
 	Limit  Limit
-	// Held are the tokens that the node keeps of what the hub has granted, Returned those
-	// that it gives back.
+	// Held is how many of the tokens granted by the hub the node keeps, Returned how many
+	// it gives back.
 	Held, Returned float64
-	// Wanted is how many more it expects to spend soon, Waiting how many of these are for
-	// requests that wait: they are spent as soon as they are there, or given back.
-	Wanted, Waiting float64
+	// Requested is how many more tokens the node expects to spend soon. Waiting is how many
+	// of these are for requests that wait: they are spent as soon as they arrive, or given
+	// back.
+	Requested, Waiting float64
 }
 
 // Answer is what the hub says to a Request.
 type Answer struct {
 	Stamp Stamp
-	// Vouched tells that no node of the zone holds a share of a former life of the one that
-	// has asked.
-	Vouched bool
-	Grants  []Grant
+	// Confirmed reports that no node of the zone holds a share leased by a previous
+	// incarnation of the requesting node.
+	Confirmed bool
+	Grants    []Grant
 }
 
 // Grant are tokens of one tenant.
--- a/pkg/quota/node.go
+++ b/pkg/quota/node.go
@@ -12,8 +12,8 @@
 	// meetTime is how long nodes that start together take to hear of each other: sooner, each
 	// would count too few nodes and so take too large a share.
 	meetTime = 300 * time.Millisecond
-	// Patience is how long a request waits for tokens.
-	Patience = 60 * time.Millisecond
+	// WaitLimit is how long a request waits for tokens.
+	WaitLimit = 60 * time.Millisecond
 	// ahead is the time for which a node borrows tokens in advance, by its recent demand.
 	ahead = 300 * time.Millisecond
 	// shortestDenial and longestDenial bound how long a node refuses without asking its hub
@@ -24,9 +24,10 @@
 
 // Options set up a Node.
 type Options struct {
-	// ID names the node, and Life tells the lives of its process apart: it rises.
-	ID   string
-	Life uint64
+	// ID names the node. Incarnation distinguishes the runs of its process and rises with
+	// each start.
+	ID          string
+	Incarnation uint64
 	// Start is when the process started.
 	Start time.Duration
 	// Tolerance is by how much a limit may be exceeded over all nodes.
@@ -66,7 +67,7 @@
 // NewNode returns a node that knows no others.
 func NewNode(o Options) *Node {
 	return &Node{
-		options: o, pool: newPool(o.Life, o.Start, o.Tolerance.spare(), o.Draw), accounts: map[string]*account{},
+		options: o, pool: newPool(o.Incarnation, o.Start, o.Tolerance.spare(), o.Draw), accounts: map[string]*account{},
 		settled: o.Start + settleTime,
 	}
 }
@@ -127,8 +128,8 @@
 // own reports whether the node decides by the tokens of its own pool.
 func (n *Node) own() bool { return n.hub == n.options.ID || n.pool.own > 0 }
 
-// Heard returns how long ago the hub has last answered; zero for the hub itself.
-func (n *Node) Heard(now time.Duration) time.Duration {
+// SinceHubAnswered returns how long ago the hub last answered; zero for the hub itself.
+func (n *Node) SinceHubAnswered(now time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.hub == n.options.ID {
--- a/pkg/quota/node_test.go
+++ b/pkg/quota/node_test.go
@@ -9,7 +9,7 @@
 var testLimit = Limit{Rate: 100, Burst: 100}
 
 func newTestNode(id string, life uint64, start time.Duration) *Node {
-	return NewNode(Options{ID: id, Life: life, Start: start, Draw: func() float64 { return 0.5 }})
+	return NewNode(Options{ID: id, Incarnation: life, Start: start, Draw: func() float64 { return 0.5 }})
 }
 
 // talk brings the next message of a node to its hub, and the answer back.
@@ -111,7 +111,7 @@
 		t.Fatalf("the hub holds %v, the node %v", hub.pool.part.share, node.pool.part.share)
 	}
 	_, _ = node.Request(start + calmInterval)
-	node.Failed(start + calmInterval + AnswerBound)
+	node.Failed(start + calmInterval + AnswerTimeout)
 	node.SetMesh(start+time.Second, 2, nil, "b")
 	sent := start + calmInterval
 	node.SetMesh(sent+LeaseTerm-1, 2, nil, "b")
@@ -294,7 +294,7 @@
 	now := settleTime
 	for i := range uint64(100) {
 		name := fmt.Sprint("gone-", i)
-		hub.Serve(now, Request{Node: name, Life: 1, Number: 1, Wants: []Want{{Tenant: name, Limit: testLimit, Wanted: 1}}})
+		hub.Serve(now, Request{Node: name, Incarnation: 1, Number: 1, Demands: []Demand{{Tenant: name, Limit: testLimit, Requested: 1}}})
 		hub.Take(now, name, testLimit)
 		now += forgetTerm / 10
 		hub.SetMesh(now, 2, nil, "hub")
@@ -333,7 +333,7 @@
 		if at, due := node.Due(0); !due || at != c.gap {
 			t.Errorf("%d nodes: the next message is due at %v, want %v", c.nodes, at, c.gap)
 		}
-		if c.gap >= Patience {
+		if c.gap >= WaitLimit {
 			t.Errorf("%d nodes: requests do not wait for their message", c.nodes)
 		}
 	}
@@ -392,9 +392,9 @@
 func BenchmarkServe(b *testing.B) {
 	hub := newTestNode("hub", 1, 0)
 	hub.SetMesh(0, 18, nil, "hub")
-	r := Request{Node: "b", Life: 1}
+	r := Request{Node: "b", Incarnation: 1}
 	for i := range 20 {
-		r.Wants = append(r.Wants, Want{Tenant: string(rune('a' + i)), Limit: testLimit, Wanted: 1})
+		r.Demands = append(r.Demands, Demand{Tenant: string(rune('a' + i)), Limit: testLimit, Requested: 1})
 	}
 	now := 3 * time.Second
 	b.ReportAllocs()
--- a/pkg/quota/pool.go
+++ b/pkg/quota/pool.go
@@ -211,17 +211,17 @@
 // serve answers a node.
 func (p *pool) serve(now time.Duration, r Request) Answer {
 	p.advance(now)
-	answer := Answer{Stamp: Stamp{Life: p.life, At: now}}
+	answer := Answer{Stamp: Stamp{Incarnation: p.life, At: now}}
 	from, fresh := p.hear(now, r)
 	if !fresh {
 		return answer
 	}
 	p.lease(now, from, r)
-	answer.Vouched = p.vouched(r.Node, from.born)
-	for _, w := range r.Wants {
+	answer.Confirmed = p.vouched(r.Node, from.born)
+	for _, w := range r.Demands {
 		g := p.grant(now, r.Node, w)
 		if g.Next > 0 {
-			p.lack(w.Tenant, w.Wanted-g.Tokens)
+			p.lack(w.Tenant, w.Requested-g.Tokens)
 		}
 		answer.Grants = append(answer.Grants, g)
 	}
@@ -233,17 +233,17 @@
 func (p *pool) complete(now time.Duration, r Request, answer Answer) Answer {
 	p.advance(now)
 	from, known := p.borrowers[r.Node]
-	if !known || from.life != r.Life || from.number != r.Number {
+	if !known || from.life != r.Incarnation || from.number != r.Number {
 		return answer
 	}
 	for i, g := range answer.Grants {
 		if g.Next == 0 {
 			continue
 		}
-		w := r.Wants[i]
+		w := r.Demands[i]
 		w.Held += max(g.Tokens-w.Waiting, 0)
 		w.Waiting = max(w.Waiting-g.Tokens, 0)
-		w.Wanted -= g.Tokens
+		w.Requested -= g.Tokens
 		w.Returned = 0
 		more := p.grant(now, r.Node, w)
 		more.Tokens += g.Tokens
@@ -260,15 +260,15 @@
 		from = &borrower{}
 		p.borrowers[r.Node] = from
 	}
-	if r.Life < from.life || r.Life == from.life && r.Number <= from.number {
+	if r.Incarnation < from.life || r.Incarnation == from.life && r.Number <= from.number {
 		return from, false
 	}
-	if r.Life != from.life {
+	if r.Incarnation != from.life {
 		from.born = now
 	}
-	from.life, from.number, from.heard = r.Life, r.Number, now
+	from.life, from.number, from.heard = r.Incarnation, r.Number, now
 	// Who brings back a stamp of this life has dropped the tokens of the one before.
-	from.vouches = !r.Pooled && r.Stamp.Life == p.life
+	from.vouches = !r.HoldsLeasedShares && r.Stamp.Incarnation == p.life
 	return from, true
 }
 
@@ -291,7 +291,7 @@
 // the message brings back: the node counts from when it made the message, which is later.
 func (p *pool) lease(now time.Duration, from *borrower, r Request) {
 	share, until := min(max(r.Share, 0), 1), r.Stamp.At+useTerm
-	if r.Stamp.Life != p.life || now >= until || now < p.opens {
+	if r.Stamp.Incarnation != p.life || now >= until || now < p.opens {
 		share = 0
 	}
 	if share > 0 {
@@ -305,7 +305,7 @@
 }
 
 // grant lends tokens to a node.
-func (p *pool) grant(now time.Duration, node string, w Want) Grant {
+func (p *pool) grant(now time.Duration, node string, w Demand) Grant {
 	b := p.bucket(now, w.Tenant, w.Limit)
 	returned := min(max(w.Returned, 0), b.limit.Burst)
 	held := min(max(w.Held, 0), b.loans[node].tokens)
@@ -313,11 +313,11 @@
 	b.level += returned
 	b.clip(p.part)
 	g := Grant{Tenant: w.Tenant}
-	if w.Wanted > 0 {
+	if w.Requested > 0 {
 		b.asked = now
-		g.Tokens = b.whole(now, w.Wanted, p.draw)
+		g.Tokens = b.whole(now, w.Requested, p.draw)
 	}
-	if g.Tokens < w.Wanted {
+	if g.Tokens < w.Requested {
 		g.Next = max(b.next(p.part), 1)
 	}
 	// What is for requests that wait counts as spent.
@@ -344,12 +344,12 @@
 
 // shortage returns what this pool lacks and other hubs may have. What it asks for fits in
 // its own part of the burst, so that moved tokens need no end.
-func (p *pool) shortage(now time.Duration) []Want {
+func (p *pool) shortage(now time.Duration) []Demand {
 	p.advance(now)
 	if p.part.share <= 0 {
 		return nil
 	}
-	var wants []Want
+	var wants []Demand
 	for tenant, b := range p.buckets {
 		if b.missing <= 0 {
 			continue
@@ -364,7 +364,7 @@
 			continue
 		}
 		b.lastAsk, b.lastAskAt, b.nextAsk = wanted, now, now+askPause
-		wants = append(wants, Want{Tenant: tenant, Limit: b.limit, Wanted: wanted})
+		wants = append(wants, Demand{Tenant: tenant, Limit: b.limit, Requested: wanted})
 	}
 	return wants
 }
@@ -376,7 +376,7 @@
 }
 
 // give moves tokens to another hub: all where the own zone wants none, else half.
-func (p *pool) give(now time.Duration, wants []Want) []Grant {
+func (p *pool) give(now time.Duration, wants []Demand) []Grant {
 	var grants []Grant
 	for _, w := range wants {
 		b := p.bucket(now, w.Tenant, w.Limit)
@@ -384,7 +384,7 @@
 		if b.asked > 0 && now-b.asked < wantedTerm {
 			spare /= 2
 		}
-		moved := min(max(w.Wanted, 0), spare)
+		moved := min(max(w.Requested, 0), spare)
 		b.level -= moved
 		grants = append(grants, Grant{Tenant: w.Tenant, Tokens: moved})
 	}
--- a/pkg/quota/ways_test.go
+++ b/pkg/quota/ways_test.go
@@ -126,7 +126,7 @@
 	}
 	m.messages = 0
 	next()
-	m.run(start + 10*time.Second + Patience)
+	m.run(start + 10*time.Second + WaitLimit)
 	return outcome{
 		under:    math.Max(0, 1-passed/owed),
 		over:     worstWindow(admitted, 5*time.Second)/(l.Rate*5+l.Burst) - 1,
