--- a/pkg/quarantine/example_test.go
+++ b/pkg/quarantine/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// A request crashes one worker after the other. Two nodes tell each other.
+// A request crashes one worker after the other. Two nodes exchange their reports.
 func ExampleTable() {
 	here, there := quarantine.New(quarantine.Options{}), quarantine.New(quarantine.Options{})
 	request := quarantine.Request{Method: "GET", Host: "mesh.example", Target: "/report?year=0"}.Fingerprint()
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -9,15 +9,15 @@
 // FingerprintSize is the size of a Fingerprint, in bytes.
 const FingerprintSize = 16
 
-// Fingerprint tells requests apart: two of the same method, host, target, credentials
-// and body have the same one. It is a part of a SHA-256 digest, so that no caller can
-// make a request that has the fingerprint of another caller's.
+// Fingerprint identifies a request: requests with the same method, host, target,
+// credentials and body have the same fingerprint. It is a part of a SHA-256 digest, so
+// that no caller can make a request that has the fingerprint of another caller's request.
 type Fingerprint [FingerprintSize]byte
 
 // String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String has written, or the bytes themselves.
+// ParseFingerprint parses the output of String, or the raw bytes of a fingerprint.
 func ParseFingerprint(encoded []byte) (f Fingerprint, ok bool) {
 	switch len(encoded) {
 	case FingerprintSize:
@@ -30,16 +30,16 @@
 	return f, false
 }
 
-// Request is what of a request makes it the same one when it comes again.
+// Request holds the parts of a request that identify it when it is sent again.
 type Request struct {
 	Method, Host string
 	// Target is the path with the query, as the caller sent it.
 	Target string
-	// Credentials are the values of the headers by which a caller says who it is.
+	// Credentials are the values of the headers that identify the caller.
 	Credentials []string
-	// Body is the body or, of a long one, its beginning.
+	// Body is the body, or the beginning of a long one.
 	Body []byte
-	// BodyLength is the length of the whole body in bytes; -1 when it is not known.
+	// BodyLength is the length of the complete body in bytes; -1 when it is not known.
 	BodyLength int64
 }
 
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -18,9 +18,9 @@
 		"where a part ends":    {Method: "POST", Host: "a.example/", Target: "p?q=1", Credentials: []string{"c"}, Body: []byte("body"), BodyLength: 4},
 		"credentials, in body": {Method: "POST", Host: "a.example", Target: "/p?q=1", Body: []byte("cbody"), BodyLength: 4},
 	}
-	for what, other := range others {
+	for part, other := range others {
 		if base.Fingerprint() == other.Fingerprint() {
-			t.Errorf("requests that differ in %s have the same fingerprint", what)
+			t.Errorf("requests that differ in %s have the same fingerprint", part)
 		}
 	}
 }
--- a/pkg/quarantine/suspect.go
+++ b/pkg/quarantine/suspect.go
@@ -6,88 +6,90 @@
 )
 
 const (
-	// recentEnds is how long the end of a worker tells that workers end for other reasons,
-	// too, and maximumEnds bounds how many are remembered.
-	recentEnds  = 10 * time.Second
-	maximumEnds = 64
-	// fewEnds and manyEnds are how many workers have ended lately without a request from
-	// where on one and two crashes more are asked for. While one worker in four seconds
-	// ends for a reason of its own, three in a row are lost by 0.66 of 10,000 innocent
-	// tries, and five by none of 160,000 (TestWaysToTellGuiltyFromInnocent).
-	fewEnds  = 1
-	manyEnds = 4
-	// mostExtra is how many crashes more are asked for at most.
-	mostExtra = 2
+	// exitMemory is how long the exit of a worker counts as a sign that workers also end for
+	// unrelated reasons. maximumExits bounds how many exits are remembered.
+	exitMemory   = 10 * time.Second
+	maximumExits = 64
+	// fewExits and manyExits are the numbers of recent exits of workers that did not run a
+	// request from which on one and two additional crashes are required to quarantine it.
+	// While one worker in four seconds ends for an unrelated reason, 0.66 of 10,000 innocent
+	// attempts lose three workers in a row, and none of 160,000 loses five
+	// (TestWaysToTellGuiltyFromInnocent).
+	fewExits  = 1
+	manyExits = 4
+	// maximumExtraCrashes is the largest number of additional crashes required.
+	maximumExtraCrashes = 2
 )
 
 // suspect is the evidence on one request that is not quarantined.
 type suspect struct {
 	crashes []crash
-	// answered is when a worker has answered it whole; zero when none has.
-	answered time.Time
-	// lifted is when an operator has lifted what was known; zero when none has.
-	lifted time.Time
-	// touched is when evidence came last.
-	touched time.Time
+	// answeredAt is when a worker last answered the request completely; zero if none has.
+	answeredAt time.Time
+	// liftedAt is when an operator last lifted the evidence; zero if none has.
+	liftedAt time.Time
+	// updatedAt is the time of the latest evidence.
+	updatedAt time.Time
 }
 
-// crash is one worker that ended with the request in hand.
+// crash is one worker that ended while it was running the request.
 type crash struct {
 	instance string
 	level    int
 	at       time.Time
 }
 
-// guilty reports whether the evidence is enough to quarantine a request. The mutex is held.
-func (t *Table) guilty(s *suspect, now time.Time) bool {
-	level, crashes := t.weigh(s, now)
-	limit := t.options.Limit + t.extra(s, now)
-	// A request that comes several times at once would crash a worker for each copy of
-	// each round: the last round may be left out when there are many.
+// shouldQuarantine reports whether the evidence is enough to quarantine a request. The
+// mutex is held.
+func (t *Table) shouldQuarantine(s *suspect, now time.Time) bool {
+	level, crashes := t.countCrashes(s, now)
+	limit := t.options.Limit + t.extraCrashes(s, now)
+	// A request that is sent in several copies at once crashes one worker per copy in each
+	// round. When there are many crashes, the last round is not required.
 	copies := level >= limit-1 && crashes > limit || level >= t.options.Limit-1 && crashes >= 2*t.options.Limit
 	return level >= limit || copies
 }
 
-// extra returns how many crashes more than usual are asked for, since workers end without
-// the request, too. The mutex is held.
-func (t *Table) extra(s *suspect, now time.Time) int {
-	others := 0
-	for instance, at := range t.ends {
-		if now.Sub(at) <= recentEnds && !s.has(instance) && !t.explained(instance) {
-			others++
+// extraCrashes returns how many additional crashes are required to quarantine a request,
+// since workers have also ended without running it. The mutex is held.
+func (t *Table) extraCrashes(s *suspect, now time.Time) int {
+	unrelatedExits := 0
+	for instance, at := range t.exits {
+		if now.Sub(at) <= exitMemory && !s.hasCrashOf(instance) && !t.explainedByVerdict(instance) {
+			unrelatedExits++
 		}
 	}
 	switch {
-	case others >= manyEnds:
-		return mostExtra
-	case others >= fewEnds:
+	case unrelatedExits >= manyExits:
+		return maximumExtraCrashes
+	case unrelatedExits >= fewExits:
 		return 1
 	default:
 		return 0
 	}
 }
 
-func (s *suspect) has(instance string) bool {
+func (s *suspect) hasCrashOf(instance string) bool {
 	return slices.ContainsFunc(s.crashes, func(c crash) bool { return c.instance == instance })
 }
 
-// enterEnd remembers that a worker has ended. The mutex is held.
-func (t *Table) enterEnd(instance string, at time.Time) {
-	t.ends[instance] = later(t.ends[instance], at)
-	if len(t.ends) <= maximumEnds {
+// addExit records that a worker has ended. The mutex is held.
+func (t *Table) addExit(instance string, at time.Time) {
+	t.exits[instance] = later(t.exits[instance], at)
+	if len(t.exits) <= maximumExits {
 		return
 	}
 	oldest := instance
-	for other, ended := range t.ends {
-		if ended.Before(t.ends[oldest]) {
-			oldest = other
+	for candidate, exitedAt := range t.exits {
+		if exitedAt.Before(t.exits[oldest]) {
+			oldest = candidate
 		}
 	}
-	delete(t.ends, oldest)
+	delete(t.exits, oldest)
 }
 
-// enter adds a crash. A worker that ended counts once, at the highest level that was told.
-func (s *suspect) enter(c crash) {
+// addCrash adds a crash. A worker that ended counts once, at the highest level reported.
+func (s *suspect) addCrash(c crash) {
 	for i := range s.crashes {
 		if s.crashes[i].instance == c.instance {
 			s.crashes[i].level = max(s.crashes[i].level, c.level)
@@ -100,18 +102,18 @@
 	s.crashes = append(s.crashes, c)
 }
 
-// outweighs reports whether something speaks for the request that counts more than a crash
-// at the given time.
-func (s *suspect) outweighs(crash time.Time) bool {
-	answered := !s.answered.IsZero() && crash.Sub(s.answered) < answerMemory
-	return answered || !crash.After(s.lifted)
+// supersedesCrash reports whether an answer or a lift by an operator outweighs a crash at
+// the given time.
+func (s *suspect) supersedesCrash(crashedAt time.Time) bool {
+	answered := !s.answeredAt.IsZero() && crashedAt.Sub(s.answeredAt) < answerMemory
+	return answered || !crashedAt.After(s.liftedAt)
 }
 
-// weigh returns how many crashes one after the other speak against a request, and how
-// many in all. The mutex is held.
-func (t *Table) weigh(s *suspect, now time.Time) (level, crashes int) {
+// countCrashes returns the number of successive crashes that count against a request, and
+// the number of all crashes that do. The mutex is held.
+func (t *Table) countCrashes(s *suspect, now time.Time) (level, crashes int) {
 	for _, c := range s.crashes {
-		if s.outweighs(c.at) || now.Sub(c.at) > t.options.Memory || t.explained(c.instance) {
+		if s.supersedesCrash(c.at) || now.Sub(c.at) > t.options.Memory || t.explainedByVerdict(c.instance) {
 			continue
 		}
 		level = max(level, c.level)
@@ -120,9 +122,9 @@
 	return min(level, crashes), crashes
 }
 
-// explained reports whether a worker has ended under a request that is quarantined: its
-// end then speaks against no other one. The mutex is held.
-func (t *Table) explained(instance string) bool {
+// explainedByVerdict reports whether a worker ended while running a request that is
+// quarantined: its exit is then no evidence against other requests. The mutex is held.
+func (t *Table) explainedByVerdict(instance string) bool {
 	for _, v := range t.verdicts {
 		if slices.Contains(v.Instances, instance) {
 			return true
@@ -131,9 +133,9 @@
 	return false
 }
 
-// makeRoom forgets a request when there are too many: the one with the fewest crashes,
-// and of these the one of which nothing was heard for longest. The mutex is held.
-func (t *Table) makeRoom() {
+// evictWeakestSuspect removes one suspect when the table is full: the one with the fewest
+// crashes and, among these, the one with the oldest evidence. The mutex is held.
+func (t *Table) evictWeakestSuspect() {
 	if len(t.suspects) < t.options.Suspects {
 		return
 	}
@@ -141,15 +143,15 @@
 	var weakest *suspect
 	for f, s := range t.suspects {
 		if weakest == nil || len(s.crashes) < len(weakest.crashes) ||
-			len(s.crashes) == len(weakest.crashes) && s.touched.Before(weakest.touched) {
+			len(s.crashes) == len(weakest.crashes) && s.updatedAt.Before(weakest.updatedAt) {
 			chosen, weakest = f, s
 		}
 	}
 	delete(t.suspects, chosen)
-	delete(t.vouched, chosen)
+	delete(t.confirmed, chosen)
 }
 
-// Suspects returns how many requests are suspected and not quarantined.
+// Suspects returns the number of requests that are suspects and not quarantined.
 func (t *Table) Suspects() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -8,30 +8,31 @@
 
 // The defaults of Options.
 const (
-	// DefaultLimit is the crashes that are taken before a request is quarantined. With
-	// two, an innocent request that is lost twice would be refused; each further one
-	// costs a worker, and everything it has in hand, once more.
+	// DefaultLimit is the number of crashes after which a request is quarantined. With a
+	// limit of two, an innocent request that is lost twice would be refused; each further
+	// crash costs one more worker and all requests that it is running.
 	DefaultLimit = 3
-	// DefaultDuration is how long a request stays quarantined. Then it may run once: if
-	// it still crashes its worker, it is quarantined again.
+	// DefaultDuration is how long a request stays quarantined. Afterwards it may run once:
+	// if it still crashes its worker, it is quarantined again.
 	DefaultDuration = time.Hour
-	// DefaultMemory is how long a crash speaks against a request that did not reach the
+	// DefaultMemory is how long a crash counts against a request that did not reach the
 	// limit.
 	DefaultMemory = 10 * time.Minute
-	// DefaultSuspects and DefaultVerdicts bound the requests that are remembered: some
-	// 200 bytes each.
+	// DefaultSuspects and DefaultVerdicts bound the number of remembered requests. Each
+	// takes some 200 bytes.
 	DefaultSuspects = 512
 	DefaultVerdicts = 64
 )
 
 const (
-	// answerMemory is how long a whole answer outweighs crashes that come after it: a
-	// request that many callers send may be in hand wherever workers end. It is bounded
-	// since a new version of the workers may crash by what the former one answered.
+	// answerMemory is how long a complete answer outweighs crashes that come after it: a
+	// request that many callers send is likely to be running wherever a worker ends. It is
+	// bounded since a new version of the workers may crash on a request that the previous
+	// version answered.
 	answerMemory = 30 * time.Second
-	// answerPause is how long after a whole answer of a suspect a further one is told
-	// to others again.
-	answerPause = answerMemory / 2
+	// answerReportInterval is the least time between two reports to other nodes that the
+	// same suspect was answered completely.
+	answerReportInterval = answerMemory / 2
 	// maximumCrashes bounds the crashes that are remembered of one request.
 	maximumCrashes = 8
 )
@@ -40,10 +41,10 @@
 type Options struct {
 	// Limit is how many workers a request may crash before it is quarantined.
 	Limit int
-	// Duration is how long a request stays quarantined, Memory how long a crash speaks
-	// against one that is not.
+	// Duration is how long a request stays quarantined, Memory how long a crash counts
+	// against a request that is not quarantined.
 	Duration, Memory time.Duration
-	// Suspects and Verdicts bound the requests that are remembered.
+	// Suspects and Verdicts bound the number of remembered requests.
 	Suspects, Verdicts int
 }
 
@@ -66,40 +67,41 @@
 	return o
 }
 
-// Table is what one node knows of requests that crash workers. It is safe for
-// concurrent use. Use New.
+// Table holds what one node knows of requests that crash workers. It is safe for
+// concurrent use. Create one with New.
 type Table struct {
 	options Options
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
 	verdicts map[Fingerprint]Verdict
-	// vouched are the requests of which this node has seen a crash itself.
-	vouched map[Fingerprint]bool
-	// ends are the workers that have ended lately, and when.
-	ends map[string]time.Time
-	// known counts suspects and verdicts, so that a node that knows of none need not
-	// take fingerprints.
-	known atomic.Int64
+	// confirmed are the requests of which this node has itself seen a crash, and those of
+	// verdicts restored from its previous incarnation.
+	confirmed map[Fingerprint]bool
+	// exits holds the time at which each recently ended worker ended.
+	exits map[string]time.Time
+	// entryCount is the number of suspects and verdicts, readable without the mutex, so
+	// that a node whose table is empty need not compute fingerprints.
+	entryCount atomic.Int64
 }
 
 // New returns an empty table.
 func New(options Options) *Table {
 	return &Table{
-		options:  options.withDefaults(),
-		suspects: map[Fingerprint]*suspect{},
-		verdicts: map[Fingerprint]Verdict{},
-		vouched:  map[Fingerprint]bool{},
-		ends:     map[string]time.Time{},
+		options:   options.withDefaults(),
+		suspects:  map[Fingerprint]*suspect{},
+		verdicts:  map[Fingerprint]Verdict{},
+		confirmed: map[Fingerprint]bool{},
+		exits:     map[string]time.Time{},
 	}
 }
 
 // Empty reports whether the table holds no suspect and no verdict. A node need not
 // compute fingerprints then.
-func (t *Table) Empty() bool { return t.known.Load() == 0 }
+func (t *Table) Empty() bool { return t.entryCount.Load() == 0 }
 
-// Level returns how many crashes speak against a request, and whether it is
-// quarantined: then it must not be given to a worker.
+// Level returns the number of successive crashes that count against a request, and whether
+// it is quarantined. A quarantined request must not be given to a worker.
 func (t *Table) Level(f Fingerprint, now time.Time) (level int, quarantined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,100 +112,100 @@
 	if !found {
 		return 0, false
 	}
-	level, _ = t.weigh(s, now)
+	level, _ = t.countCrashes(s, now)
 	return level, false
 }
 
-// Crashed takes that a worker has ended which had a request in hand. Level is what was
-// known of the request when its run began, here or at the node that it came from. It
-// returns the report for other nodes, and whether the request is quarantined by it.
+// Crashed records that a worker ended while it was running a request. Level is the level
+// that was known when the run began, here or at the node that the request came from.
+// Crashed returns the report for other nodes, and whether it quarantines the request.
 func (t *Table) Crashed(f Fingerprint, instance string, level int, now time.Time) (Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.vouched[f] = true
-	report := Report{Fingerprint: f, Instance: instance, Level: min(max(level, 0), t.options.Limit+mostExtra-1) + 1}
-	return report, t.take(report, now)
+	t.confirmed[f] = true
+	report := Report{Fingerprint: f, Instance: instance, Level: min(max(level, 0), t.options.Limit+maximumExtraCrashes-1) + 1}
+	return report, t.record(report, now)
 }
 
-// Answered takes that a worker has answered a request whole. The report is for other
-// nodes; there is none when nothing speaks against the request, or when the same was
-// told just now.
+// Answered records that a worker has answered a request completely. The report is for other
+// nodes; there is none when there is no evidence against the request, or when the same was
+// reported within answerReportInterval.
 func (t *Table) Answered(f Fingerprint, now time.Time) (Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, sentenced := t.verdicts[f]
+	_, quarantined := t.verdicts[f]
 	s, suspected := t.suspects[f]
-	if !sentenced && (!suspected || now.Sub(s.answered) < answerPause) {
+	if !quarantined && (!suspected || now.Sub(s.answeredAt) < answerReportInterval) {
 		return Report{}, false
 	}
 	report := Report{Fingerprint: f, Answered: true}
-	t.take(report, now)
+	t.record(report, now)
 	return report, true
 }
 
-// Lift has a quarantined request run again, on the word of an operator. The report is for
+// Lift ends the quarantine of a request at the command of an operator. The report is for
 // other nodes; there is none when the request is not quarantined.
 func (t *Table) Lift(f Fingerprint, now time.Time) (Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, sentenced := t.verdicts[f]; !sentenced {
+	if _, quarantined := t.verdicts[f]; !quarantined {
 		return Report{}, false
 	}
 	report := Report{Fingerprint: f, Lifted: true}
-	t.take(report, now)
+	t.record(report, now)
 	return report, true
 }
 
-// Merge takes the reports of another node. It returns the requests that are
+// Merge records the reports of another node. It returns the requests that are
 // quarantined by them.
 func (t *Table) Merge(reports []Report, now time.Time) []Fingerprint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var found []Fingerprint
+	var quarantined []Fingerprint
 	for _, report := range reports {
 		if report.Age > t.options.Memory {
 			continue
 		}
-		if t.take(report, now.Add(-max(report.Age, 0))) {
-			found = append(found, report.Fingerprint)
+		if t.record(report, now.Add(-max(report.Age, 0))) {
+			quarantined = append(quarantined, report.Fingerprint)
 		}
 	}
-	return found
+	return quarantined
 }
 
-// take enters a report. It reports whether the request is quarantined by it. The mutex
-// is held.
-func (t *Table) take(report Report, at time.Time) bool {
-	if _, sentenced := t.verdicts[report.Fingerprint]; sentenced && !report.Answered && !report.Lifted {
+// record adds a report to the table, and returns whether it quarantines the request. The
+// mutex is held.
+func (t *Table) record(report Report, at time.Time) bool {
+	if _, quarantined := t.verdicts[report.Fingerprint]; quarantined && !report.Answered && !report.Lifted {
 		return false
 	}
 	s, found := t.suspects[report.Fingerprint]
 	if !found {
-		t.makeRoom()
+		t.evictWeakestSuspect()
 		s = &suspect{}
 		t.suspects[report.Fingerprint] = s
 	}
-	s.touched = later(s.touched, at)
+	s.updatedAt = later(s.updatedAt, at)
 	if report.Answered || report.Lifted {
 		if report.Lifted {
-			s.lifted = later(s.lifted, at)
+			s.liftedAt = later(s.liftedAt, at)
 		} else {
-			s.answered = later(s.answered, at)
+			s.answeredAt = later(s.answeredAt, at)
 		}
-		t.drop(report.Fingerprint)
+		t.removeVerdict(report.Fingerprint)
 		return false
 	}
-	s.enter(crash{instance: report.Instance, level: report.Level, at: at})
-	t.enterEnd(report.Instance, at)
-	t.count()
-	if !t.guilty(s, at) {
+	s.addCrash(crash{instance: report.Instance, level: report.Level, at: at})
+	t.addExit(report.Instance, at)
+	t.updateEntryCount()
+	if !t.shouldQuarantine(s, at) {
 		return false
 	}
-	t.sentence(report.Fingerprint, s, at)
+	t.quarantine(report.Fingerprint, s, at)
 	return true
 }
 
-// Expire forgets what is too old to count.
+// Expire removes evidence and verdicts that are too old to count.
 func (t *Table) Expire(now time.Time) {
 	if t.Empty() {
 		return
@@ -211,18 +213,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for f, s := range t.suspects {
-		if now.Sub(s.touched) > t.options.Memory {
+		if now.Sub(s.updatedAt) > t.options.Memory {
 			delete(t.suspects, f)
-			delete(t.vouched, f)
+			delete(t.confirmed, f)
 		}
 	}
 	for f := range t.verdicts {
 		t.verdict(f, now)
 	}
-	t.count()
+	t.updateEntryCount()
 }
 
-func (t *Table) count() { t.known.Store(int64(len(t.suspects) + len(t.verdicts))) }
+func (t *Table) updateEntryCount() { t.entryCount.Store(int64(len(t.suspects) + len(t.verdicts))) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -12,8 +12,9 @@
 
 func request(n int) Fingerprint { return Request{Target: fmt.Sprint("/", n)}.Fingerprint() }
 
-// endUnder has a run that began with what the table knew end its worker.
-func endUnder(t *Table, f Fingerprint, instance string, now time.Time) bool {
+// crashWorker records that a worker ended while running a request. The run began with the
+// level that the table knows. It reports whether the request is quarantined.
+func crashWorker(t *Table, f Fingerprint, instance string, now time.Time) bool {
 	level, _ := t.Level(f, now)
 	_, found := t.Crashed(f, instance, level, now)
 	return found
@@ -22,7 +23,7 @@
 func TestThirdCrashInARowQuarantines(t *testing.T) {
 	table, now := New(Options{}), start
 	for n, want := range []bool{false, false, true} {
-		if found := endUnder(table, request(1), fmt.Sprint("w", n), now); found != want {
+		if found := crashWorker(table, request(1), fmt.Sprint("w", n), now); found != want {
 			t.Errorf("crash %d: quarantined %v, want %v", n+1, found, want)
 		}
 		now = now.Add(time.Second)
@@ -35,8 +36,8 @@
 	}
 }
 
-// TestWorkersThatEndTogetherCountOnce has many workers end at the same moment with copies
-// of the same request in hand, as when a rack loses power.
+// TestWorkersThatEndTogetherCountOnce has many workers end at the same moment while running
+// copies of the same request, as when a rack loses power.
 func TestWorkersThatEndTogetherCountOnce(t *testing.T) {
 	table := New(Options{})
 	for n := range 20 {
@@ -49,7 +50,7 @@
 	}
 }
 
-// TestCopiesInEachRoundAreStopped has a request come three times at once, again and again.
+// TestCopiesInEachRoundAreStopped sends three copies of a request at once, repeatedly.
 func TestCopiesInEachRoundAreStopped(t *testing.T) {
 	table, now, ended := New(Options{}), start, 0
 	for range 10 {
@@ -70,27 +71,27 @@
 
 func TestAnswerSpeaksForARequest(t *testing.T) {
 	table, now := New(Options{}), start
-	endUnder(table, request(1), "w1", now)
-	endUnder(table, request(1), "w2", now)
-	if _, news := table.Answered(request(1), now.Add(time.Second)); !news {
-		t.Error("the answer is no news")
+	crashWorker(table, request(1), "w1", now)
+	crashWorker(table, request(1), "w2", now)
+	if _, reported := table.Answered(request(1), now.Add(time.Second)); !reported {
+		t.Error("the first answer of a suspect gives no report")
 	}
-	if _, news := table.Answered(request(1), now.Add(2*time.Second)); news {
-		t.Error("a second answer just after is news")
+	if _, reported := table.Answered(request(1), now.Add(2*time.Second)); reported {
+		t.Error("a second answer one second later gives a report")
 	}
-	if _, news := table.Answered(request(2), now); news {
-		t.Error("an answer to a request that nothing speaks against is news")
+	if _, reported := table.Answered(request(2), now); reported {
+		t.Error("an answer to a request without evidence against it gives a report")
 	}
-	// Workers that end soon after it do not count, those that end later do again.
+	// Crashes soon after the answer do not count; later ones do.
 	soon, late := now.Add(answerMemory/2), now.Add(2*answerMemory)
 	for n := range 3 {
-		if endUnder(table, request(1), fmt.Sprint("soon", n), soon) {
+		if crashWorker(table, request(1), fmt.Sprint("soon", n), soon) {
 			t.Error("crashes soon after an answer quarantine the request")
 		}
 	}
 	found := false
 	for n := range 3 {
-		found = endUnder(table, request(1), fmt.Sprint("late", n), late)
+		found = crashWorker(table, request(1), fmt.Sprint("late", n), late)
 	}
 	if !found {
 		t.Error("crashes long after the answer do not quarantine the request")
@@ -100,13 +101,13 @@
 func TestCrashesOfAQuarantinedRequestSpeakAgainstNoOther(t *testing.T) {
 	table, now := New(Options{}), start
 	for n := range 3 {
-		endUnder(table, request(2), fmt.Sprint("w", n), now)
-		endUnder(table, request(1), fmt.Sprint("w", n), now)
+		crashWorker(table, request(2), fmt.Sprint("w", n), now)
+		crashWorker(table, request(1), fmt.Sprint("w", n), now)
 		if n == 0 {
 			now = now.Add(time.Second)
 		}
 	}
-	// Whoever is found first explains the ends of the three workers.
+	// The request that is quarantined first explains the exits of the three workers.
 	if level, quarantined := table.Level(request(1), now); level != 0 || quarantined {
 		t.Errorf("level %d, quarantined %v", level, quarantined)
 	}
@@ -115,24 +116,24 @@
 func TestQuarantineEndsAndOneCrashIsEnoughThen(t *testing.T) {
 	table, now := New(Options{Duration: time.Minute}), start
 	for n := range 3 {
-		endUnder(table, request(1), fmt.Sprint("w", n), now)
+		crashWorker(table, request(1), fmt.Sprint("w", n), now)
 	}
 	now = now.Add(time.Minute)
 	if _, quarantined := table.Level(request(1), now); quarantined {
 		t.Error("the quarantine lasts longer than it should")
 	}
-	if !endUnder(table, request(1), "w9", now) {
+	if !crashWorker(table, request(1), "w9", now) {
 		t.Error("one more crash is not enough")
 	}
 }
 
 func TestMemoryIsBounded(t *testing.T) {
 	table, now := New(Options{Suspects: 10, Verdicts: 4}), start
-	endUnder(table, request(0), "w1", now)
-	endUnder(table, request(0), "w2", now)
+	crashWorker(table, request(0), "w1", now)
+	crashWorker(table, request(0), "w2", now)
 	for n := 1; n < 1000; n++ {
 		now = now.Add(time.Millisecond)
-		endUnder(table, request(n), "x", now)
+		crashWorker(table, request(n), "x", now)
 	}
 	if suspects := table.Suspects(); suspects > 10 {
 		t.Errorf("%d suspects", suspects)
@@ -142,7 +143,7 @@
 	}
 	for n := range 20 {
 		for w := range 3 {
-			endUnder(table, request(2000+n), fmt.Sprint(n, "-", w), now)
+			crashWorker(table, request(2000+n), fmt.Sprint(n, "-", w), now)
 		}
 	}
 	if verdicts := table.Verdicts(now); len(verdicts) > 4 {
@@ -169,8 +170,9 @@
 	}
 }
 
-// TestReportsBringTwoTablesTogether has two tables learn at random, and tell each other:
-// they hold the same then, and a request that was answered last is quarantined in none.
+// TestReportsBringTwoTablesTogether records random events in two tables, which then
+// exchange their reports: afterwards both hold the same evidence, and a request that was
+// answered within answerMemory is quarantined in neither.
 func TestReportsBringTwoTablesTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables, now := []*Table{New(Options{}), New(Options{})}, start
@@ -181,11 +183,11 @@
 			f := request(rapid.IntRange(0, 3).Draw(t, "request"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				if _, news := table.Answered(f, now); news {
+				if _, reported := table.Answered(f, now); reported {
 					answered[f] = true
 				}
 			default:
-				endUnder(table, f, fmt.Sprint("w", step), now)
+				crashWorker(table, f, fmt.Sprint("w", step), now)
 			}
 		}
 		now = now.Add(time.Second)
@@ -207,8 +209,8 @@
 	})
 }
 
-// BenchmarkFingerprint takes the fingerprint of a read without a body: what each call costs
-// more while something is known of requests that crash workers.
+// BenchmarkFingerprint computes the fingerprint of a read without a body: the additional
+// cost of each call while the table holds a suspect or a verdict.
 func BenchmarkFingerprint(b *testing.B) {
 	r := Request{Method: "GET", Host: "mesh.example", Target: "/ledger/2026/0815?page=3&sort=new"}
 	for b.Loop() {
@@ -216,8 +218,8 @@
 	}
 }
 
-// BenchmarkQuiet asks a table that knows of no request: what each call costs more otherwise.
-func BenchmarkQuiet(b *testing.B) {
+// BenchmarkEmpty queries an empty table: the additional cost of each call otherwise.
+func BenchmarkEmpty(b *testing.B) {
 	table := New(Options{})
 	for b.Loop() {
 		table.Empty()
--- a/pkg/quarantine/ways_test.go
+++ b/pkg/quarantine/ways_test.go
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// way is one way to decide which requests crash workers.
-type way struct {
+// strategy is one way to decide which requests crash workers.
+type strategy struct {
 	name string
-	// lost counts answers that are lost like workers that end, plain counts ends whenever
-	// the run began and forgets nothing, alone has suspects run one at a time.
-	lost, plain, alone bool
+	// countLostAnswers counts a lost answer like the end of a worker. plainCount counts every
+	// crash, whenever the run began, and forgets none. isolateSuspects runs at most one
+	// suspect at a time on a worker.
+	countLostAnswers, plainCount, isolateSuspects bool
 }
 
-// world is a service under load of which workers end, for reasons of their own and under
-// one request. Time passes in ticks of 10 ms.
-type world struct {
-	way     way
-	random  *rand.Rand
-	table   *Table
-	counts  map[Fingerprint]int
-	now     time.Time
-	workers []*simulatedWorker
-	lives   int
-	later   map[int][]try
-	tick    int
+// simulation is a service under load whose workers end, for unrelated reasons and because
+// of one crashing request, the guilty one. Time passes in ticks of 10 ms.
+type simulation struct {
+	strategy     strategy
+	random       *rand.Rand
+	table        *Table
+	counts       map[Fingerprint]int
+	now          time.Time
+	workers      []*simulatedWorker
+	incarnations int
+	scheduled    map[int][]attempt
+	tick         int
 
-	innocentTries, guiltyEnds, afterThird int
-	refused                               map[Fingerprint]bool
+	innocentAttempts, guiltyCrashes, guiltyRunsAfterLimit int
+	refused                                               map[Fingerprint]bool
 }
 
 type simulatedWorker struct {
-	life   string
-	downTo int
-	inHand []*running
+	incarnation string
+	downUntil   int
+	inFlight    []*running
 }
 
 type running struct {
-	try   try
-	level int
-	ends  int
+	attempt attempt
+	level   int
+	ends    int
 }
 
-// try is one try of a caller: offers are the workers that it had.
-type try struct {
-	f             Fingerprint
-	guilty        bool
-	tries, offers int
+// attempt is one attempt of a caller: offers is the number of workers it was given to.
+type attempt struct {
+	f              Fingerprint
+	guilty         bool
+	number, offers int
 }
 
 const (
@@ -62,40 +63,40 @@
 
 var guiltyRequest = request(-1)
 
-func newWorld(w way, seed uint64) *world {
-	all := &world{
-		way: w, random: rand.New(rand.NewPCG(seed, 1)), table: New(Options{}), counts: map[Fingerprint]int{},
-		now: start, later: map[int][]try{}, refused: map[Fingerprint]bool{},
+func newSimulation(w strategy, seed uint64) *simulation {
+	s := &simulation{
+		strategy: w, random: rand.New(rand.NewPCG(seed, 1)), table: New(Options{}), counts: map[Fingerprint]int{},
+		now: start, scheduled: map[int][]attempt{}, refused: map[Fingerprint]bool{},
 	}
 	for range workerCount {
-		all.workers = append(all.workers, &simulatedWorker{life: all.nextLife()})
+		s.workers = append(s.workers, &simulatedWorker{incarnation: s.nextIncarnation()})
 	}
-	return all
+	return s
 }
 
-func (w *world) nextLife() string {
-	w.lives++
-	return fmt.Sprint("life-", w.lives)
+func (w *simulation) nextIncarnation() string {
+	w.incarnations++
+	return fmt.Sprint("life-", w.incarnations)
 }
 
-func (w *world) known(f Fingerprint) (level int, refused bool) {
-	if w.way.plain {
+func (w *simulation) levelOf(f Fingerprint) (level int, refused bool) {
+	if w.strategy.plainCount {
 		return w.counts[f], w.counts[f] >= DefaultLimit
 	}
 	return w.table.Level(f, w.now)
 }
 
-func (w *world) against(r *running, life string) {
-	if w.way.plain {
-		w.counts[r.try.f]++
+func (w *simulation) recordCrash(r *running, incarnation string) {
+	if w.strategy.plainCount {
+		w.counts[r.attempt.f]++
 		return
 	}
-	w.table.Crashed(r.try.f, life, r.level, w.now)
+	w.table.Crashed(r.attempt.f, incarnation, r.level, w.now)
 }
 
-// offer gives a try to a worker, if one may take it.
-func (w *world) offer(t try) {
-	level, refused := w.known(t.f)
+// offer gives an attempt to a worker, if one may accept it.
+func (w *simulation) offer(t attempt) {
+	level, refused := w.levelOf(t.f)
 	if refused {
 		if !t.guilty {
 			w.refused[t.f] = true
@@ -104,169 +105,171 @@
 	}
 	for _, n := range w.random.Perm(workerCount) {
 		worker := w.workers[n]
-		if worker.downTo > w.tick || len(worker.inHand) >= workerSlots || w.way.alone && level > 0 && w.hasSuspect(worker) {
+		if worker.downUntil > w.tick || len(worker.inFlight) >= workerSlots || w.strategy.isolateSuspects && level > 0 && w.hasSuspect(worker) {
 			continue
 		}
 		t.offers++
-		r := &running{try: t, level: level, ends: w.tick + runTicks}
+		r := &running{attempt: t, level: level, ends: w.tick + runTicks}
 		if t.guilty {
 			r.ends = w.tick + crashTicks
-			if w.guiltyEnds >= DefaultLimit {
-				w.afterThird++
+			if w.guiltyCrashes >= DefaultLimit {
+				w.guiltyRunsAfterLimit++
 			}
 		}
-		worker.inHand = append(worker.inHand, r)
+		worker.inFlight = append(worker.inFlight, r)
 		return
 	}
-	w.again(t) // all are full: refused, and not run
+	w.retryLater(t) // all workers are full: the attempt is refused and does not run
 }
 
-func (w *world) hasSuspect(worker *simulatedWorker) bool {
-	for _, r := range worker.inHand {
-		if level, _ := w.known(r.try.f); level > 0 {
+func (w *simulation) hasSuspect(worker *simulatedWorker) bool {
+	for _, r := range worker.inFlight {
+		if level, _ := w.levelOf(r.attempt.f); level > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// again has a caller come back, if it does.
-func (w *world) again(t try) {
-	const callerTries = 4
-	if t.tries++; t.tries < callerTries {
+// retryLater schedules the client retry, unless the caller has made all its attempts.
+func (w *simulation) retryLater(t attempt) {
+	const callerAttempts = 4
+	if t.number++; t.number < callerAttempts {
 		t.offers = 0
-		w.innocentTries++
+		w.innocentAttempts++
 		at := w.tick + 10 + w.random.IntN(20)
-		w.later[at] = append(w.later[at], t)
+		w.scheduled[at] = append(w.scheduled[at], t)
 	}
 }
 
-// lose takes what a worker has lost: it is offered again.
-func (w *world) lose(t try) {
+// offerAgain handles an attempt that a worker lost: it is offered again while it has had
+// fewer than the permitted number of offers.
+func (w *simulation) offerAgain(t attempt) {
 	const offers = 3
 	switch {
 	case t.offers < offers:
 		w.offer(t)
 	case !t.guilty:
-		w.again(t)
+		w.retryLater(t)
 	}
 }
 
-func (w *world) end(worker *simulatedWorker, guilty bool) {
-	if worker.downTo > w.tick {
+func (w *simulation) crashWorker(worker *simulatedWorker, guilty bool) {
+	if worker.downUntil > w.tick {
 		return
 	}
-	lost, life := worker.inHand, worker.life
-	worker.inHand, worker.downTo, worker.life = nil, w.tick+downTicks, w.nextLife()
+	lostRuns, incarnation := worker.inFlight, worker.incarnation
+	worker.inFlight, worker.downUntil, worker.incarnation = nil, w.tick+downTicks, w.nextIncarnation()
 	if guilty {
-		w.guiltyEnds++
+		w.guiltyCrashes++
 	}
-	for _, r := range lost {
-		w.against(r, life)
+	for _, r := range lostRuns {
+		w.recordCrash(r, incarnation)
 	}
-	for _, r := range lost {
-		w.lose(r.try)
+	for _, r := range lostRuns {
+		w.offerAgain(r.attempt)
 	}
 }
 
-func (w *world) run(ticks int) {
+func (w *simulation) run(ticks int) {
 	unique := 0
 	for w.tick = range ticks {
 		w.now = w.now.Add(tick)
-		for _, t := range w.later[w.tick] {
+		for _, t := range w.scheduled[w.tick] {
 			w.offer(t)
 		}
-		delete(w.later, w.tick)
+		delete(w.scheduled, w.tick)
 		if w.tick%30 == 0 {
 			for range 1 + 2*w.random.IntN(2) {
-				w.offer(try{f: guiltyRequest, guilty: true})
+				w.offer(attempt{f: guiltyRequest, guilty: true})
 			}
 		}
 		for range w.random.IntN(4) {
 			unique++
-			w.innocentTries++
+			w.innocentAttempts++
 			f := request(1000 + unique)
 			if w.random.IntN(2) == 0 {
 				f = request(w.random.IntN(20))
 			}
-			w.offer(try{f: f})
+			w.offer(attempt{f: f})
 		}
-		w.endSome()
-		w.finish()
+		w.crashSomeWorkers()
+		w.finishRuns()
 	}
 }
 
-// endSome ends workers for reasons of their own: one in 4 s each, four together in 5 s.
-func (w *world) endSome() {
+// crashSomeWorkers ends workers for unrelated reasons: each on average once in 4 s, and four
+// together every 5 s.
+func (w *simulation) crashSomeWorkers() {
 	for _, worker := range w.workers {
 		if w.random.IntN(400) == 0 {
-			w.end(worker, false)
+			w.crashWorker(worker, false)
 		}
 	}
 	if w.tick%500 == 250 {
 		for n := range 4 {
-			w.end(w.workers[n], false)
+			w.crashWorker(w.workers[n], false)
 		}
 	}
 }
 
-func (w *world) finish() {
+func (w *simulation) finishRuns() {
 	for _, worker := range w.workers {
-		ended := false
-		left := worker.inHand[:0:0]
-		var lost []*running
-		for _, r := range worker.inHand {
+		crashed := false
+		remaining := worker.inFlight[:0:0]
+		var lostRuns []*running
+		for _, r := range worker.inFlight {
 			switch {
 			case r.ends > w.tick:
-				left = append(left, r)
-			case r.try.guilty:
-				left, ended = append(left, r), true
+				remaining = append(remaining, r)
+			case r.attempt.guilty:
+				remaining, crashed = append(remaining, r), true
 			case w.random.IntN(100) < 3:
-				lost = append(lost, r)
-			case !w.way.plain:
-				w.table.Answered(r.try.f, w.now)
+				lostRuns = append(lostRuns, r)
+			case !w.strategy.plainCount:
+				w.table.Answered(r.attempt.f, w.now)
 			}
 		}
-		worker.inHand = left
-		for _, r := range lost {
-			if w.way.lost {
-				w.against(r, w.nextLife())
+		worker.inFlight = remaining
+		for _, r := range lostRuns {
+			if w.strategy.countLostAnswers {
+				w.recordCrash(r, w.nextIncarnation())
 			}
-			w.lose(r.try)
+			w.offerAgain(r.attempt)
 		}
-		if ended {
-			w.end(worker, true)
+		if crashed {
+			w.crashWorker(worker, true)
 		}
 	}
 }
 
-// TestWaysToTellGuiltyFromInnocent plays 40 s of heavy load and many ends of workers with
-// four ways to decide, on the same seeds. Figures of one run, of 20 seeds each: the log.
+// TestWaysToTellGuiltyFromInnocent simulates 40 s of heavy load and many worker crashes with
+// four strategies, on the same 20 seeds each, and logs the results.
 func TestWaysToTellGuiltyFromInnocent(t *testing.T) {
 	const seeds, ticks = 20, 4000
-	for _, way := range []way{
-		{name: "each lost connection counts", lost: true, plain: true},
-		{name: "each worker that ended counts", plain: true},
+	for _, strategy := range []strategy{
+		{name: "each lost connection counts", countLostAnswers: true, plainCount: true},
+		{name: "each worker that ended counts", plainCount: true},
 		{name: "levels and answers, suspects side by side"},
-		{name: "levels and answers, suspects one at a time", alone: true},
+		{name: "levels and answers, suspects one at a time", isolateSuspects: true},
 	} {
-		var tries, refused, ends, after, worst int
+		var attempts, refused, crashes, afterLimit, worst int
 		for seed := range uint64(seeds) {
-			w := newWorld(way, seed)
+			w := newSimulation(strategy, seed)
 			w.run(ticks)
-			tries += w.innocentTries
+			attempts += w.innocentAttempts
 			refused += len(w.refused)
-			ends += w.guiltyEnds
-			after += w.afterThird
-			worst = max(worst, w.afterThird)
+			crashes += w.guiltyCrashes
+			afterLimit += w.guiltyRunsAfterLimit
+			worst = max(worst, w.guiltyRunsAfterLimit)
 		}
 		t.Logf("%-45s innocent refused %d of %d tries (%.2f in 10,000); workers ended under the guilty one %.1f a run; runs of it after the third %.2f, at most %d",
-			way.name, refused, tries, 1e4*float64(refused)/float64(tries), float64(ends)/seeds, float64(after)/seeds, worst)
-		if way.alone && refused > 0 {
-			t.Errorf("%s: %d innocent requests were refused", way.name, refused)
+			strategy.name, refused, attempts, 1e4*float64(refused)/float64(attempts), float64(crashes)/seeds, float64(afterLimit)/seeds, worst)
+		if strategy.isolateSuspects && refused > 0 {
+			t.Errorf("%s: %d innocent requests were refused", strategy.name, refused)
 		}
-		if way.alone && worst > 3 {
-			t.Errorf("%s: the guilty one reached %d workers after the third", way.name, worst)
+		if strategy.isolateSuspects && worst > 3 {
+			t.Errorf("%s: the guilty one reached %d workers after the third", strategy.name, worst)
 		}
 	}
 }
