--- a/pkg/quota/admission.go
+++ b/pkg/quota/admission.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Ask tells who may have a token for a request.
+// Ask says which nodes may have a token for a request.
 type Ask uint8
 
 // The values of Ask.
 const (
 	AskNobody Ask = iota
-	// AskHub: the hub of the zone, by the message to come.
+	// AskHub: the hub of the zone, to be asked by the next message.
 	AskHub
 	// AskOtherHubs: the hubs of other zones.
 	AskOtherHubs
 )
 
-// Decision is what becomes of a request.
+// Decision is the decision on a request.
 type Decision struct {
 	Admitted bool
-	// Ask tells who may have a token: the request is decided when they have answered, by
-	// Settle.
+	// Ask says which nodes may have a token. Unless it is AskNobody, the request is not
+	// decided yet: call Settle when these nodes have answered.
 	Ask Ask
-	// RetryAfter is when a request that was refused may be admitted.
+	// RetryAfter is the time after which a refused request may be admitted.
 	RetryAfter time.Duration
 }
 
@@ -29,7 +29,7 @@
 	return n.decide(now, tenant, limit, true)
 }
 
-// Settle decides on a request for which others were asked.
+// Settle decides on a request for which other nodes were asked for a token.
 func (n *Node) Settle(now time.Duration, tenant string, limit Limit) Decision {
 	return n.decide(now, tenant, limit, false)
 }
@@ -44,23 +44,23 @@
 	n.refresh(now)
 	a := n.account(now, tenant, raised)
 	if first {
-		a.taken.add(now, 1)
+		a.arrivals.add(now, 1)
 	}
 	if a.spend(now) {
 		return n.admit(now, a)
 	}
 	next := max(a.deniedUntil-now, 0)
-	if n.own() {
+	if n.usesOwnPool() {
 		wait, ok := n.pool.take(now, tenant, raised)
 		if ok {
 			return n.admit(now, a)
 		}
 		next = wait
-		if first && n.hub == n.options.ID && n.pool.asks(now, tenant) {
-			n.pool.lack(tenant, 1)
+		if first && n.hub == n.options.ID && n.pool.mayAskOtherHubs(now, tenant) {
+			n.pool.addShortage(tenant, 1)
 			return Decision{Ask: AskOtherHubs}
 		}
-	} else if first && n.hub != "" && !n.link.silent && now >= a.deniedUntil {
+	} else if first && n.hub != "" && !n.link.unresponsive && now >= a.deniedUntil {
 		a.waiting++
 		return Decision{Ask: AskHub}
 	}
@@ -69,12 +69,13 @@
 
 // refuse refuses a request; next is the time until a token is expected.
 func (n *Node) refuse(now time.Duration, a *account, raised Limit, next time.Duration) Decision {
-	if n.pool.part.share == 0 && now < n.settled {
-		// This node has just started. Mostly its zone vouches for it before it is settled.
-		next = max(next, min(n.settled-now, unknownWait))
+	if n.pool.part.share == 0 && now < n.settledAt {
+		// This node has just started. Usually its zone confirms before settleTime is over
+		// that it may use its share.
+		next = max(next, min(n.settledAt-now, unknownWait))
 	}
-	leastPace := raised.Rate / float64(max(n.nodes, 1))
-	return Decision{RetryAfter: a.retryAfter(now, next, leastPace, n.options.Draw())}
+	minimumRate := raised.Rate / float64(max(n.nodes, 1))
+	return Decision{RetryAfter: a.retryAfter(now, next, minimumRate, n.options.Draw())}
 }
 
 func (n *Node) admit(now time.Duration, a *account) Decision {
@@ -82,21 +83,21 @@
 	return Decision{Admitted: true}
 }
 
-// account returns what this node has of a tenant.
+// account returns the account of a tenant. It creates it if there is none.
 func (n *Node) account(now time.Duration, tenant string, limit Limit) *account {
 	a, known := n.accounts[tenant]
 	if !known {
 		a = &account{limit: limit}
 		n.accounts[tenant] = a
 	}
-	a.follow(limit)
-	a.used = now
+	a.setLimit(limit)
+	a.usedAt = now
 	return a
 }
 
 // Return gives back the token of a request that did not run. It goes to the pool that
-// serves this node now, and is lost where that is full: the request may have taken it long
-// ago.
+// currently serves this node, and is lost if that pool is full: the request may have taken
+// it long ago.
 func (n *Node) Return(now time.Duration, tenant string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -105,7 +106,7 @@
 		return
 	}
 	n.refresh(now)
-	if n.own() {
+	if n.usesOwnPool() {
 		n.pool.giveBack(now, tenant, a.limit, 1)
 		return
 	}
--- a/pkg/quota/example_test.go
+++ b/pkg/quota/example_test.go
@@ -7,7 +7,7 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// Two nodes keep one limit together: one is the hub, the other borrows its tokens there.
+// Two nodes enforce one limit together: one is the hub, the other borrows tokens from it.
 func Example() {
 	half := func() float64 { return 0.5 }
 	hub := quota.NewNode(quota.Options{ID: "a", Incarnation: 1, Draw: half})
@@ -23,7 +23,7 @@
 		answer, _ := hub.Serve(now, request)
 		node.Answered(now, answer)
 	}
-	exchange() // The first message finds the hub,
+	exchange() // The first message gets a stamp from the hub,
 	exchange() // the second leases the node's share to it.
 
 	now += 900 * time.Millisecond
--- a/pkg/quota/hot_test.go
+++ b/pkg/quota/hot_test.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// hotPlay is what became of requests of a tenant that sends many times its usual, and of
-// those of the others, in requests a second, and how much of the mesh they took.
-type hotPlay struct {
+// hotTenantResult counts the requests of a tenant that sends many times its usual rate, those
+// of the other tenants, and the messages that the mesh needed for them.
+type hotTenantResult struct {
 	hotAdmitted, hotOwed       float64
 	othersAdmitted, othersSent float64
-	// messages a node and second, of all nodes.
+	// messages is the number of messages a node and second, averaged over all nodes.
 	messages float64
 }
 
-// playHotTenant has a fifth of all traffic of 68 nodes in four zones come from one tenant, which
-// sends a multiple of its usual for six seconds. Each tenant's limit is 1.6 times its usual.
-func playHotTenant(times float64, make func(*testMesh, Limit, string) func(t *testNode, done func(bool))) hotPlay {
+// simulateHotTenant runs 68 nodes in four zones. One tenant, which usually sends a fifth of
+// all traffic, sends a multiple of its usual rate for six seconds. Each tenant's limit is 1.6
+// times its usual rate.
+func simulateHotTenant(times float64, make func(*testMesh, Limit, string) func(t *testNode, done func(bool))) hotTenantResult {
 	const (
 		traffic = 1800.0
 		others  = 40
 		length  = 6 * time.Second
 	)
 	m := newTestMesh(3, 68, 4)
-	var p hotPlay
+	var p hotTenantResult
 	anywhere := m.pickers()[1]
 	m.run(4 * time.Second)
 	start := m.now
@@ -32,13 +33,13 @@
 		l := Limit{Rate: usual * 1.6, Burst: usual * 1.6}
 		m.limits[tenant] = l
 		request := make(m, l, tenant)
-		reference := bucket{limit: l, level: l.Burst, at: m.now}
+		reference := bucket{limit: l, level: l.Burst, mintedUntil: m.now}
 		var next func()
 		next = func() {
 			if m.now > start+length {
 				return
 			}
-			reference.settle(m.now, part{share: 1})
+			reference.mint(m.now, part{share: 1})
 			if reference.level >= 1 {
 				reference.level--
 				*owed++
@@ -66,17 +67,18 @@
 	return p
 }
 
-// TestHotTenant replays a tenant that sends five and eight times its usual: it gets what its
-// limit allows, and not more, and the others get what they send. Without a limit it takes as
-// much more; with fixed parts tenants with few requests lose theirs.
+// TestHotTenant simulates a tenant that sends five and eight times its usual rate: it gets
+// what its limit allows and no more, and the other tenants get what they send. Without a limit
+// the hot tenant would take that multiple; with fixed parts, requests of small tenants are
+// refused.
 func TestHotTenant(t *testing.T) {
 	borrowed := func(_ *testMesh, _ Limit, tenant string) func(*testNode, func(bool)) {
 		return func(n *testNode, done func(bool)) { n.request(tenant, 0, done) }
 	}
 	fixed := func(m *testMesh, l Limit, _ string) func(*testNode, func(bool)) { return newFixedParts(m, l).request }
 	for _, times := range []float64{5, 8} {
-		p := playHotTenant(times, borrowed)
-		f := playHotTenant(times, fixed)
+		p := simulateHotTenant(times, borrowed)
+		f := simulateHotTenant(times, fixed)
 		t.Logf("%.0f times: hot %.0f of %.0f owed, others %.4f, %.1f messages a node; fixed parts: hot %.0f of %.0f, others %.4f",
 			times, p.hotAdmitted, p.hotOwed, p.othersAdmitted/p.othersSent, p.messages, f.hotAdmitted, f.hotOwed, f.othersAdmitted/f.othersSent)
 		if p.hotAdmitted < 0.98*p.hotOwed || p.hotAdmitted > 1.1*p.hotOwed+20 {
--- a/pkg/quota/hub.go
+++ b/pkg/quota/hub.go
@@ -12,20 +12,21 @@
 	HubsPerRound = 4
 )
 
-// Serve answers another node, to which this one is the hub. Where it reports that tokens are
-// lacking, other hubs may have some; Complete then adds them to the answer.
+// Serve answers the message of another node that takes this one for its hub. If lacking is
+// true, the answer grants too few tokens and other hubs may have some: Complete then adds
+// them to the answer.
 func (n *Node) Serve(now time.Duration, r Request) (answer Answer, lacking bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.refresh(now)
 	answer = n.pool.serve(now, r)
 	for _, g := range answer.Grants {
-		lacking = lacking || g.Next > 0 && n.pool.asks(now, g.Tenant)
+		lacking = lacking || g.Next > 0 && n.pool.mayAskOtherHubs(now, g.Tenant)
 	}
 	return answer, lacking
 }
 
-// Complete adds to an answer what came since it was made.
+// Complete adds to an answer the tokens that arrived since Serve made it.
 func (n *Node) Complete(now time.Duration, r Request, answer Answer) Answer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -41,16 +42,16 @@
 	return n.pool.shortage(now)
 }
 
-// Give moves tokens to another hub that lacks them. They are gone, whether it gets them or
-// not.
-func (n *Node) Give(now time.Duration, wants []Demand) []Grant {
+// Give moves tokens to another hub that lacks them. They are gone here, whether they reach
+// the other hub or not.
+func (n *Node) Give(now time.Duration, demands []Demand) []Grant {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.refresh(now)
-	return n.pool.give(now, wants)
+	return n.pool.give(now, demands)
 }
 
-// Receive takes what another hub gave.
+// Receive adds the tokens that another hub gave.
 func (n *Node) Receive(now time.Duration, grants []Grant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/quota/limit.go
+++ b/pkg/quota/limit.go
@@ -1,6 +1,6 @@
 package quota
 
-// Limit is what a tenant may send, over all nodes together.
+// Limit is the request limit of a tenant, over all nodes together.
 type Limit struct {
 	// Rate is in requests a second; zero or less sets no limit.
 	Rate float64
@@ -17,9 +17,9 @@
 	Overage, Slack float64
 }
 
-// usedTolerance is the share of a tolerance that tokens are minted for. Small tenants get
-// whole tokens at several hubs by it. The rest is for nodes that do not agree on how many
-// they are.
+// usedTolerance is the fraction of a tolerance that tokens are minted for. It lets small
+// tenants have whole tokens at several hubs. The rest covers nodes that disagree on the
+// number of nodes.
 const usedTolerance = 0.5
 
 // raise returns the limit that tokens are minted by.
@@ -28,7 +28,7 @@
 	return Limit{Rate: l.Rate * factor, Burst: max(l.Burst, 0)*factor + t.Slack*usedTolerance}
 }
 
-// spare is what is left of the slack.
+// spare is the part of the slack that raise does not use.
 func (t Tolerance) spare() float64 { return t.Slack * (1 - usedTolerance) }
 
 // lower returns the lower rate and the lower burst of two limits.
--- a/pkg/quota/mesh_test.go
+++ b/pkg/quota/mesh_test.go
@@ -8,12 +8,12 @@
 )
 
 // The tests run nodes in simulated time, on a network that delays, loses and repeats
-// messages. A node here does what its wiring does: it makes messages when they are due, asks
-// other hubs where its pool lacks tokens, and decides on requests that wait.
+// messages. A test node does what the embedding program does: it sends messages when they are
+// due, asks other hubs when its pool lacks tokens, and decides on waiting requests.
 
 const (
-	testLookInterval  = 500 * time.Millisecond
-	testRequestsLater = time.Second
+	testViewInterval = 500 * time.Millisecond
+	testReturnWithin = time.Second
 )
 
 type testEvent struct {
@@ -45,36 +45,37 @@
 	byID   map[string]*testNode
 	limits map[string]Limit
 	tol    Tolerance
-	// loss, late and twice are the shares of messages that are lost, come up to 2 s late, and
-	// come again up to 2 s later.
-	loss, late, twice float64
-	// blind is the share of looks at which a node does not see what has changed.
+	// loss, late and repeated are the fractions of messages that are lost, arrive up to 2 s
+	// late, and arrive again up to 2 s later.
+	loss, late, repeated float64
+	// blind is the fraction of view updates that a node misses.
 	blind float64
-	// resets has cut links refuse connections.
+	// resets makes cut links refuse connections.
 	resets bool
 	// cut reports whether two nodes cannot reach each other.
 	cut func(a, b *testNode) bool
-	// admitted are the moments at which requests were admitted that ran, by tenant.
+	// admitted are the times at which requests that ran were admitted, by tenant.
 	admitted           map[string][]time.Duration
 	refused            map[string]int
 	messages, crossing int
 }
 
 type testNode struct {
-	m      *testMesh
-	i      int
-	id     string
-	zone   int
-	life   uint64
-	node   *Node
-	up     bool
-	frozen time.Duration
+	m              *testMesh
+	i              int
+	id             string
+	zone           int
+	incarnation    uint64
+	node           *Node
+	up             bool
+	suspendedUntil time.Duration
 	// joined is when the node first started.
 	joined   time.Duration
 	lost     map[int]bool
-	wakes    time.Duration
+	wakeAt   time.Duration
 	failures int
-	// waiting are decided when the next message, or the one on its way, is answered.
+	// waiting are the requests to decide when the next message is answered, attached those to
+	// decide when the message in transit is answered.
 	waiting, attached []func()
 	asking            bool
 	transfers         []func()
@@ -91,10 +92,10 @@
 		m.nodes = append(m.nodes, t)
 		m.byID[t.id] = t
 		t.start()
-		m.after(m.upTo(testLookInterval), t.look)
+		m.after(m.upTo(testViewInterval), t.refreshView)
 	}
 	for _, t := range m.nodes {
-		t.see()
+		t.updateView()
 	}
 	return m
 }
@@ -118,38 +119,39 @@
 }
 
 func (t *testNode) start() {
-	t.life++
+	t.incarnation++
 	t.up, t.lost = true, map[int]bool{}
-	t.waiting, t.attached, t.transfers, t.asking, t.wakes = nil, nil, nil, false, 0
-	t.node = NewNode(Options{ID: t.id, Incarnation: t.life, Start: t.m.now, Tolerance: t.m.tol, Draw: t.m.rng.Float64})
+	t.waiting, t.attached, t.transfers, t.asking, t.wakeAt = nil, nil, nil, false, 0
+	t.node = NewNode(Options{ID: t.id, Incarnation: t.incarnation, Start: t.m.now, Tolerance: t.m.tol, Draw: t.m.rng.Float64})
 }
 
 func (t *testNode) crash() {
 	t.up = false
-	t.frozen = 0
+	t.suspendedUntil = 0
 }
 
 // reaches reports whether a message between two nodes arrives now.
 func (m *testMesh) reaches(a, b *testNode) bool { return a == b || !m.cut(a, b) }
 
-// look has the node see who is there, and tells it the hub.
-func (t *testNode) look() {
+// refreshView updates the node's view of the mesh, unless it misses the update, and schedules
+// the next update.
+func (t *testNode) refreshView() {
 	if t.running() {
 		if t.m.rng.Float64() >= t.m.blind {
-			t.see()
+			t.updateView()
 		}
 	}
-	t.m.after(testLookInterval/2+t.m.upTo(testLookInterval), t.look)
+	t.m.after(testViewInterval/2+t.m.upTo(testViewInterval), t.refreshView)
 }
 
-func (t *testNode) see() {
+func (t *testNode) updateView() {
 	for _, other := range t.m.nodes {
-		t.lost[other.i] = !t.m.reaches(t, other) || !other.up || other.frozen > t.m.now
+		t.lost[other.i] = !t.m.reaches(t, other) || !other.up || other.suspendedUntil > t.m.now
 	}
-	t.tell()
+	t.updateMesh()
 }
 
-func (t *testNode) tell() {
+func (t *testNode) updateMesh() {
 	known, hub := 0, t.id
 	var zone []string
 	for _, other := range t.m.nodes {
@@ -164,7 +166,7 @@
 		hub = h.id
 	}
 	t.node.SetMesh(t.m.now, known, zone, hub)
-	t.wake()
+	t.scheduleMessage()
 }
 
 // hubOf returns the hub of a zone as this node sees it.
@@ -177,34 +179,35 @@
 	return nil
 }
 
-func (t *testNode) running() bool { return t.up && t.frozen <= t.m.now }
+func (t *testNode) running() bool { return t.up && t.suspendedUntil <= t.m.now }
 
-// whenRunning does something once the process is not suspended; nothing when it has ended.
+// whenRunning calls do once the process is not suspended, and never if it has ended.
 func (t *testNode) whenRunning(do func()) {
-	life := t.life
-	if t.frozen > t.m.now {
-		t.m.after(t.frozen-t.m.now, func() { t.whenRunning(func() { do() }) })
+	incarnation := t.incarnation
+	if t.suspendedUntil > t.m.now {
+		t.m.after(t.suspendedUntil-t.m.now, func() { t.whenRunning(func() { do() }) })
 		return
 	}
-	if t.up && t.life == life {
+	if t.up && t.incarnation == incarnation {
 		do()
 	}
 }
 
-// send brings a message from one node to another, and what that answers back. Done is
-// called once: with gone when the process there has ended, or not at all.
+// send delivers a message to another node by calling serve there, and delivers the reply. If
+// no reply arrives within bound, or the connection is refused, it calls failed instead; gone
+// is set if it was refused. Either the reply is delivered or failed is called, at most once.
 func (t *testNode) send(to *testNode, bound time.Duration, serve func(reply func(do func())), failed func(gone bool)) {
 	m := t.m
 	m.messages++
 	if t.zone != to.zone {
 		m.crossing++
 	}
-	over := false
-	life := t.life
+	finished := false
+	incarnation := t.incarnation
 	once := func(do func()) {
 		t.whenRunning(func() {
-			if !over && t.life == life {
-				over = true
+			if !finished && t.incarnation == incarnation {
+				finished = true
 				do()
 			}
 		})
@@ -233,7 +236,7 @@
 	if m.rng.Float64() >= m.loss {
 		m.after(m.delay(t, to), deliver)
 	}
-	if m.rng.Float64() < m.twice {
+	if m.rng.Float64() < m.repeated {
 		m.after(m.upTo(2*time.Second), func() {
 			if to.running() && m.reaches(t, to) {
 				serve(func(func()) {})
@@ -252,24 +255,24 @@
 	return time.Millisecond + m.upTo(time.Millisecond)
 }
 
-// wake makes the next message when it is due.
-func (t *testNode) wake() {
+// scheduleMessage sends the next message when it is due.
+func (t *testNode) scheduleMessage() {
 	at, due := t.node.Due(t.m.now)
-	if !due || t.wakes > t.m.now && t.wakes <= at {
+	if !due || t.wakeAt > t.m.now && t.wakeAt <= at {
 		return
 	}
-	t.wakes = max(at, t.m.now) + 1
-	life := t.life
-	t.m.after(t.wakes-t.m.now, func() {
+	t.wakeAt = max(at, t.m.now) + 1
+	incarnation := t.incarnation
+	t.m.after(t.wakeAt-t.m.now, func() {
 		t.whenRunning(func() {
-			if t.life != life {
+			if t.incarnation != incarnation {
 				return
 			}
 			if at, due := t.node.Due(t.m.now); due && at <= t.m.now {
 				t.exchange()
 				return
 			}
-			t.wake()
+			t.scheduleMessage()
 		})
 	})
 }
@@ -284,15 +287,15 @@
 				t.failures = 0
 				t.node.Answered(t.m.now, a)
 				t.decideAttached()
-				t.wake()
+				t.scheduleMessage()
 			})
 		})
 	}, func(gone bool) {
 		t.node.Failed(t.m.now)
-		if t.failures++; gone || t.failures >= silentAfter {
+		if t.failures++; gone || t.failures >= unresponsiveAfter {
 			t.lost[to.i] = true
 		}
-		t.tell()
+		t.updateMesh()
 		t.decideAttached()
 	})
 }
@@ -314,12 +317,13 @@
 	t.transfer(func() { reply(t.node.Complete(t.m.now, r, answer)) })
 }
 
-// transfer asks other hubs, and calls done when they have answered or have not in time.
+// transfer asks other hubs for tokens, and calls done when they have answered or AskWait is
+// over.
 func (t *testNode) transfer(done func()) {
-	over := false
+	finished := false
 	once := func() {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			t.whenRunning(done)
 		}
 	}
@@ -330,7 +334,7 @@
 	}
 }
 
-// ask asks some hubs, and others when these had too little.
+// ask asks some hubs for tokens, and others in further rounds while these had too few.
 func (t *testNode) ask(rounds int) {
 	var hubs []*testNode
 	for zone := range t.m.zones() {
@@ -340,18 +344,18 @@
 	}
 	t.m.rng.Shuffle(len(hubs), func(i, j int) { hubs[i], hubs[j] = hubs[j], hubs[i] })
 	hubs = hubs[:min(len(hubs), HubsPerRound)]
-	var wants []Demand
+	var demands []Demand
 	if len(hubs) > 0 && rounds > 0 {
-		wants = t.node.Shortage(t.m.now)
+		demands = t.node.Shortage(t.m.now)
 	}
-	if len(wants) == 0 {
-		t.transfersOver()
+	if len(demands) == 0 {
+		t.finishTransfers()
 		return
 	}
 	t.asking = true
 	open := len(hubs)
-	for i := range wants {
-		wants[i].Requested /= float64(len(hubs))
+	for i := range demands {
+		demands[i].Requested /= float64(len(hubs))
 	}
 	end := func() {
 		if open--; open == 0 {
@@ -360,13 +364,13 @@
 	}
 	for _, h := range hubs {
 		t.send(h, AnswerTimeout, func(reply func(func())) {
-			grants := h.node.Give(t.m.now, wants)
+			grants := h.node.Give(t.m.now, demands)
 			reply(func() { t.node.Receive(t.m.now, grants); end() })
 		}, func(bool) { end() })
 	}
 }
 
-func (t *testNode) transfersOver() {
+func (t *testNode) finishTransfers() {
 	t.asking = false
 	transfers := t.transfers
 	t.transfers = nil
@@ -383,13 +387,13 @@
 	return zones
 }
 
-// request sends one request of a tenant to a node. Each tenth of those admitted, as drawn,
-// is given back later.
+// request sends one request of a tenant to a node. A random fraction of the admitted requests,
+// given by returns, give their token back later.
 func (t *testNode) request(tenant string, returns float64, done func(admitted bool)) {
 	if !t.running() {
 		return
 	}
-	life := t.life
+	incarnation := t.incarnation
 	limit := t.m.limits[tenant]
 	finish := func(d Decision) {
 		if done != nil {
@@ -400,8 +404,8 @@
 			return
 		}
 		if t.m.rng.Float64() < returns {
-			t.m.after(t.m.upTo(testRequestsLater), func() {
-				if t.running() && t.life == life {
+			t.m.after(t.m.upTo(testReturnWithin), func() {
+				if t.running() && t.incarnation == incarnation {
 					t.node.Return(t.m.now, tenant)
 				}
 			})
@@ -414,10 +418,10 @@
 		finish(d)
 		return
 	}
-	over := false
+	settled := false
 	settle := func() {
-		if !over && t.life == life && t.running() {
-			over = true
+		if !settled && t.incarnation == incarnation && t.running() {
+			settled = true
 			finish(t.node.Settle(t.m.now, tenant, limit))
 		}
 	}
@@ -427,10 +431,10 @@
 		return
 	}
 	t.waiting = append(t.waiting, settle)
-	t.wake()
+	t.scheduleMessage()
 }
 
-// arrivals sends requests at a rate until a moment, to the node that pick names.
+// arrivals sends requests at a rate until a given time, to the nodes that pick returns.
 func (m *testMesh) arrivals(tenant string, rate float64, until time.Duration, returns float64, pick func() *testNode, done func(bool)) {
 	if rate <= 0 {
 		return
--- a/pkg/quota/message.go
+++ b/pkg/quota/message.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Stamp names a moment at a hub. It comes back with the next message, and tells the hub
-// that the message was made after it.
+// Stamp identifies a moment at a hub. The next message returns it, which proves to the hub
+// that the message was made after that moment.
 type Stamp struct {
 	// Incarnation distinguishes the runs of the hub's process. It is zero only in the
 	// empty stamp.
@@ -17,9 +17,11 @@
 	// Incarnation rises with each start of the node's process, Number with each message
 	// of an incarnation.
 	Incarnation, Number uint64
-	// Stamp is of the last answer of this hub; empty when it was silent since.
+	// Stamp is that of the last answer of this hub; empty if the hub has been unresponsive
+	// since.
 	Stamp Stamp
-	// Share is the part of each limit that the node leases to the hub; zero ends the lease.
+	// Share is the fraction of each limit that the node leases to the hub; zero ends the
+	// lease.
 	Share float64
 	// HoldsLeasedShares reports that other nodes, which take this node for the hub, have
 	// leased it their shares.
@@ -40,7 +42,7 @@
 	Requested, Waiting float64
 }
 
-// Answer is what the hub says to a Request.
+// Answer is the answer of the hub to a Request.
 type Answer struct {
 	Stamp Stamp
 	// Confirmed reports that no node of the zone holds a share leased by a previous
@@ -49,11 +51,11 @@
 	Grants    []Grant
 }
 
-// Grant are tokens of one tenant.
+// Grant holds the tokens granted for one tenant.
 type Grant struct {
 	Tenant string
 	Tokens float64
-	// Next is after which time there is likely another token; it is given when fewer were
-	// granted than wanted.
+	// Next is the time after which another token is likely available. It is set when fewer
+	// tokens were granted than requested.
 	Next time.Duration
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -8,7 +8,7 @@
 // meterMemory is the time over which a meter averages.
 const meterMemory = 500 * time.Millisecond
 
-// meter measures a rate, as an average that fades with time.
+// meter measures a rate as an exponentially decaying average.
 type meter struct {
 	count float64
 	at    time.Duration
--- a/pkg/quota/node.go
+++ b/pkg/quota/node.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// settleTime is how long a node that has started owns no share: a former life may have
-	// leased it, and the others have to count this node first.
+	// settleTime is how long a node that has started owns no share: its previous incarnation
+	// may have leased it, and the other nodes must first count this node.
 	settleTime = LeaseTerm + 100*time.Millisecond
-	// meetTime is how long nodes that start together take to hear of each other: sooner, each
-	// would count too few nodes and so take too large a share.
-	meetTime = 300 * time.Millisecond
+	// discoveryTime is how long nodes that start together take to discover each other: before,
+	// each would count too few nodes and so take too large a share.
+	discoveryTime = 300 * time.Millisecond
 	// WaitLimit is how long a request waits for tokens.
 	WaitLimit = 60 * time.Millisecond
-	// ahead is the time for which a node borrows tokens in advance, by its recent demand.
-	ahead = 300 * time.Millisecond
-	// shortestDenial and longestDenial bound how long a node refuses without asking its hub
-	// again, once that had no token: a refusal then costs no message.
+	// borrowAhead is the time for which a node borrows tokens in advance, by its recent
+	// request rate.
+	borrowAhead = 300 * time.Millisecond
+	// shortestDenial and longestDenial bound how long a node refuses requests without asking
+	// its hub again, once the hub had no token: a refusal then costs no message.
 	shortestDenial = 20 * time.Millisecond
 	longestDenial  = 200 * time.Millisecond
 )
@@ -36,45 +37,45 @@
 	Draw func() float64
 }
 
-// Node is the part of one node in keeping limits. Times are those of a clock that never
-// goes back and counts while the machine is suspended, as durations since any moment. It is
-// safe for concurrent use.
+// Node enforces the limits at one node. Times are durations since an arbitrary moment, on a
+// monotonic clock that also runs while the machine is suspended. A Node is safe for
+// concurrent use.
 type Node struct {
 	options Options
 
 	mu       sync.Mutex
 	pool     *pool
 	accounts map[string]*account
-	// settled is from when on the node owns a share; nodes is how many own one each, zero
-	// while that is not known.
-	settled time.Duration
-	nodes   int
+	// settledAt is the time from which the node owns a share. nodes is how many nodes own one
+	// each; zero while that is not known.
+	settledAt time.Duration
+	nodes     int
 	// hub is the hub of the zone as this node sees it; it may be the node itself.
 	hub string
-	// number is that of the last message, sentAt is when it was made.
+	// number is the number of the last message, sentAt is when it was made.
 	number uint64
 	sentAt time.Duration
 	link   link
 	lease  ownLease
-	// withdrawal is set while the node no longer mints for its own share and has not leased
-	// it yet: until withdrawn, tokens that it lent by that share can still be spent.
-	withdrawn  time.Duration
-	withdrawal bool
-	// forgotAt is when it was last looked what may be forgotten.
+	// withdrawing is set while the node no longer mints for its own share and has not leased
+	// it yet: until withdrawnAt, tokens that it lent from that share can still be spent.
+	withdrawnAt time.Duration
+	withdrawing bool
+	// forgotAt is when forget last removed unused entries.
 	forgotAt time.Duration
 }
 
-// NewNode returns a node that knows no others.
+// NewNode returns a node that knows no other nodes.
 func NewNode(o Options) *Node {
 	return &Node{
 		options: o, pool: newPool(o.Incarnation, o.Start, o.Tolerance.spare(), o.Draw), accounts: map[string]*account{},
-		settled: o.Start + settleTime,
+		settledAt: o.Start + settleTime,
 	}
 }
 
-// SetMesh tells how many nodes there are, which others there are in the zone, and which one
-// is the hub of the zone: the node itself, another one, or none. Lost nodes count. Zero nodes
-// says that their number is not known: the node then owns no share.
+// SetMesh sets the number of nodes, the other nodes of the zone, and the hub of the zone:
+// the node itself, another one, or none. Lost nodes count. Zero nodes means that their number
+// is not known: the node then owns no share.
 func (n *Node) SetMesh(now time.Duration, nodes int, zone []string, hub string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,50 +84,50 @@
 	n.pool.zone = zone
 	if hub != n.hub {
 		n.hub = hub
-		n.withdrawal = false
-		// What the former hub has granted counts there, and not at the new one.
+		n.withdrawing = false
+		// The tokens that the former hub granted are accounted for there, not at the new hub.
 		n.dropTokens()
 	}
 	n.refresh(now)
 }
 
-// vouch lets this node use its share as soon as the nodes know each other, in place of
-// waiting for settleTime: no hub still uses it on a lease of a former life.
-func (n *Node) vouch(now time.Duration) {
-	n.settled = min(n.settled, max(now, n.options.Start+meetTime))
-	n.pool.opens = min(n.pool.opens, now)
+// settleEarly lets this node use its share as soon as the nodes know each other, instead of
+// waiting for settleTime: no hub still uses it under a lease of a previous incarnation.
+func (n *Node) settleEarly(now time.Duration) {
+	n.settledAt = min(n.settledAt, max(now, n.options.Start+discoveryTime))
+	n.pool.acceptsLeasesFrom = min(n.pool.acceptsLeasesFrom, now)
 }
 
-// dropTokens forgets the borrowed tokens: the hub that granted them is no longer the hub, or
-// its process has ended.
+// dropTokens discards the borrowed tokens: the node that granted them is no longer the hub,
+// or its process has ended.
 func (n *Node) dropTokens() {
 	for _, a := range n.accounts {
-		a.held, a.ready, a.deniedUntil = 0, 0, 0
+		a.held, a.reserved, a.deniedUntil = 0, 0, 0
 	}
 }
 
-// owned is the share that the node owns.
-func (n *Node) owned(now time.Duration) float64 {
-	if n.nodes <= 0 || now < n.settled {
+// ownedShare is the share that the node owns.
+func (n *Node) ownedShare(now time.Duration) float64 {
+	if n.nodes <= 0 || now < n.settledAt {
 		return 0
 	}
 	return 1 / float64(n.nodes)
 }
 
-// refresh has the pool mint for the node's own share while that is leased to nobody.
+// refresh makes the pool mint for the node's own share while that is leased to no hub.
 func (n *Node) refresh(now time.Duration) {
-	if now < n.settled && n.nodes > 0 && n.hub == n.options.ID && n.pool.vouched(n.hub, n.options.Start) {
-		n.vouch(now)
+	if now < n.settledAt && n.nodes > 0 && n.hub == n.options.ID && n.pool.zoneConfirmed(n.hub, n.options.Start) {
+		n.settleEarly(now)
 	}
-	own := n.owned(now)
-	if now < n.lease.until || n.withdrawal {
+	own := n.ownedShare(now)
+	if now < n.lease.until || n.withdrawing {
 		own = 0
 	}
 	n.pool.setOwn(now, own)
 }
 
-// own reports whether the node decides by the tokens of its own pool.
-func (n *Node) own() bool { return n.hub == n.options.ID || n.pool.own > 0 }
+// usesOwnPool reports whether the node takes tokens from its own pool.
+func (n *Node) usesOwnPool() bool { return n.hub == n.options.ID || n.pool.ownShare > 0 }
 
 // SinceHubAnswered returns how long ago the hub last answered; zero for the hub itself.
 func (n *Node) SinceHubAnswered(now time.Duration) time.Duration {
@@ -135,18 +136,19 @@
 	if n.hub == n.options.ID {
 		return 0
 	}
-	return now - n.link.heard
+	return now - n.link.answeredAt
 }
 
-// Holdings are what a node has of all tenants together.
+// Holdings are the tokens and the share of a node, over all tenants together.
 type Holdings struct {
-	// Tokens are borrowed, Pooled there to be taken or lent.
+	// Tokens are borrowed from the hub. Pooled are those in the node's own pool, available to
+	// be taken or lent.
 	Tokens, Pooled float64
-	// Share is the part of each limit that this node mints for.
+	// Share is the fraction of each limit that this node mints for.
 	Share float64
 }
 
-// Holdings returns what the node has.
+// Holdings returns the current holdings of the node.
 func (n *Node) Holdings(now time.Duration) Holdings {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -164,7 +166,7 @@
 	return h
 }
 
-// forget drops tenants that were not heard of for long.
+// forget removes tenants and nodes that were not used or heard of for forgetTerm.
 func (n *Node) forget(now time.Duration) {
 	if now-n.forgotAt < forgetPause {
 		return
@@ -172,7 +174,7 @@
 	n.forgotAt = now
 	n.pool.forget(now)
 	for tenant, a := range n.accounts {
-		if now-a.used > forgetTerm {
+		if now-a.usedAt > forgetTerm {
 			delete(n.accounts, tenant)
 		}
 	}
--- a/pkg/quota/node_test.go
+++ b/pkg/quota/node_test.go
@@ -8,12 +8,12 @@
 
 var testLimit = Limit{Rate: 100, Burst: 100}
 
-func newTestNode(id string, life uint64, start time.Duration) *Node {
-	return NewNode(Options{ID: id, Incarnation: life, Start: start, Draw: func() float64 { return 0.5 }})
+func newTestNode(id string, incarnation uint64, start time.Duration) *Node {
+	return NewNode(Options{ID: id, Incarnation: incarnation, Start: start, Draw: func() float64 { return 0.5 }})
 }
 
-// talk brings the next message of a node to its hub, and the answer back.
-func talk(now time.Duration, node, hub *Node) Answer {
+// exchangeMessages delivers the next message of a node to its hub, and the answer back.
+func exchangeMessages(now time.Duration, node, hub *Node) Answer {
 	_, r := node.Request(now)
 	answer, _ := hub.Serve(now, r)
 	node.Answered(now, answer)
@@ -25,8 +25,8 @@
 	hub, node = newTestNode("a", 1, 0), newTestNode("b", 1, 0)
 	hub.SetMesh(start, 2, nil, "a")
 	node.SetMesh(start, 2, nil, "a")
-	talk(start, node, hub)
-	talk(start, node, hub)
+	exchangeMessages(start, node, hub)
+	exchangeMessages(start, node, hub)
 	return hub, node
 }
 
@@ -44,55 +44,55 @@
 	zone := []string{"silent"}
 	n.SetMesh(0, 2, zone, "a")
 	if got := takeAll(settleTime-1, n); got != 0 {
-		t.Errorf("a new node admits %d before a former life's lease is over", got)
+		t.Errorf("a new node admits %d before the lease of a previous incarnation is over", got)
 	}
 	n.SetMesh(settleTime, 2, zone, "a")
 	if got := takeAll(settleTime, n); got != 0 {
-		t.Errorf("a new node admits %d at once when it owns its share", got)
+		t.Errorf("a new node admits %d at the moment it owns its share", got)
 	}
 	if got := takeAll(settleTime+500*time.Millisecond, n); got != 25 {
 		t.Errorf("%d admitted half a second later, want 25", got)
 	}
 }
 
-// TestZoneVouchesForANewLife has the hub and another node of the zone say that they hold no
-// share of a former life: the new one need not wait for the end of a lease.
-func TestZoneVouchesForANewLife(t *testing.T) {
+// TestZoneConfirmsANewIncarnation has the hub and another node of the zone confirm that they
+// hold no share of a previous incarnation: the new one need not wait for the end of a lease.
+func TestZoneConfirmsANewIncarnation(t *testing.T) {
 	start := 3 * time.Second
 	hub, other, node := newTestNode("a", 1, 0), newTestNode("b", 1, 0), newTestNode("c", 2, start)
 	hub.SetMesh(start, 3, []string{"b", "c"}, "a")
 	node.SetMesh(start, 3, []string{"a", "b"}, "a")
-	talk(start, node, hub)
-	if node.settled < start+settleTime {
-		t.Error("a share is free although a node of the zone has said nothing")
+	exchangeMessages(start, node, hub)
+	if node.settledAt < start+settleTime {
+		t.Error("the node uses its share although a node of the zone has not confirmed")
 	}
 	other.SetMesh(start, 3, []string{"a", "c"}, "a")
-	talk(start, other, hub)
-	talk(start, node, hub)
-	if node.settled < start+settleTime {
-		t.Error("a share is free although a node may hold tokens of a former life of the hub")
+	exchangeMessages(start, other, hub)
+	exchangeMessages(start, node, hub)
+	if node.settledAt < start+settleTime {
+		t.Error("the node uses its share although a node may hold tokens of a previous incarnation of the hub")
 	}
-	talk(start, other, hub)
-	talk(start, node, hub)
-	if node.settled != start+meetTime {
-		t.Errorf("the share is free %v after the start", node.settled-start)
+	exchangeMessages(start, other, hub)
+	exchangeMessages(start, node, hub)
+	if node.settledAt != start+discoveryTime {
+		t.Errorf("the node uses its share %v after the start, want discoveryTime", node.settledAt-start)
 	}
 }
 
-func TestHolderOfSharesDoesNotVouch(t *testing.T) {
+func TestHolderOfSharesDoesNotConfirm(t *testing.T) {
 	start := 3 * time.Second
 	hub, former, leaser, node := newTestNode("a", 1, 0), newTestNode("b", 1, 0), newTestNode("d", 1, 0), newTestNode("c", 2, start)
 	leaser.SetMesh(start, 4, nil, "b")
-	talk(start, leaser, former)
-	talk(start, leaser, former)
+	exchangeMessages(start, leaser, former)
+	exchangeMessages(start, leaser, former)
 	hub.SetMesh(start, 4, []string{"b", "c"}, "a")
 	node.SetMesh(start, 4, []string{"a", "b"}, "a")
 	former.SetMesh(start, 4, []string{"a", "c"}, "a")
-	talk(start, former, hub)
-	talk(start, former, hub)
-	talk(start, node, hub)
-	if node.settled < start+settleTime {
-		t.Error("a share is free while a node of the zone holds shares that may include it")
+	exchangeMessages(start, former, hub)
+	exchangeMessages(start, former, hub)
+	exchangeMessages(start, node, hub)
+	if node.settledAt < start+settleTime {
+		t.Error("the node uses its share while a node of the zone holds shares that may include it")
 	}
 }
 
@@ -104,22 +104,22 @@
 	}
 }
 
-func TestShareComesBackWhenTheHubIsSilent(t *testing.T) {
+func TestShareReturnsWhenTheHubIsUnresponsive(t *testing.T) {
 	start := 3 * time.Second
 	hub, node := newLeasedPair(start)
 	if node.pool.part.share != 0 || hub.pool.part.share != 1 {
 		t.Fatalf("the hub holds %v, the node %v", hub.pool.part.share, node.pool.part.share)
 	}
-	_, _ = node.Request(start + calmInterval)
-	node.Failed(start + calmInterval + AnswerTimeout)
+	_, _ = node.Request(start + idleInterval)
+	node.Failed(start + idleInterval + AnswerTimeout)
 	node.SetMesh(start+time.Second, 2, nil, "b")
-	sent := start + calmInterval
+	sent := start + idleInterval
 	node.SetMesh(sent+LeaseTerm-1, 2, nil, "b")
 	if node.pool.part.share != 0 {
 		t.Error("the node uses its share while the hub may")
 	}
-	hub.SetMesh(start+useTerm, 2, nil, "a")
-	if hub.Shortage(start + useTerm); hub.pool.part.share != 0.5 {
+	hub.SetMesh(start+leaseUseTerm, 2, nil, "a")
+	if hub.Shortage(start + leaseUseTerm); hub.pool.part.share != 0.5 {
 		t.Errorf("the hub still uses %v after the term", hub.pool.part.share)
 	}
 	node.SetMesh(sent+LeaseTerm, 2, nil, "b")
@@ -128,33 +128,34 @@
 	}
 }
 
-// TestHubThatStartsAgainHasTheShareBack has the hub start again: the former life cannot use the
-// share any more, and the next one gets it when what the former one has granted is over.
+// TestHubThatStartsAgainHasTheShareBack restarts the hub: the previous incarnation can no
+// longer use the share, and the new one gets it when the tokens that the previous one granted
+// have expired.
 func TestHubThatStartsAgainHasTheShareBack(t *testing.T) {
 	start := 3 * time.Second
 	hub, node := newTestNode("a", 1, 0), newTestNode("b", 1, 0)
 	node.SetMesh(start, 2, nil, "a")
-	talk(start, node, hub)
-	talk(start, node, hub)
+	exchangeMessages(start, node, hub)
+	exchangeMessages(start, node, hub)
 	again := newTestNode("a", 2, start)
-	talk(start, node, again)
-	talk(start, node, again)
+	exchangeMessages(start, node, again)
+	exchangeMessages(start, node, again)
 	if again.pool.part.share != 0 {
-		t.Error("the new life uses a share while tokens of the former one may be spent")
+		t.Error("the new incarnation uses a share while tokens of the previous one may be spent")
 	}
-	now := start + lateLife
-	talk(now, node, again)
+	now := start + loanTerm
+	exchangeMessages(now, node, again)
 	if again.pool.part.share != 0.5 {
-		t.Errorf("the new life uses %v when they are over", again.pool.part.share)
+		t.Errorf("the new incarnation holds a share of %v once they have expired, want 0.5", again.pool.part.share)
 	}
 }
 
-func TestMessageThatComesTwiceChangesNothing(t *testing.T) {
+func TestRepeatedMessageChangesNothing(t *testing.T) {
 	start := 3 * time.Second
 	hub, node := newLeasedPair(start)
 	now := start + time.Second
 	node.Take(now, "a", testLimit)
-	talk(now, node, hub)
+	exchangeMessages(now, node, hub)
 	if !node.Settle(now, "a", testLimit).Admitted {
 		t.Fatal("the first request is refused")
 	}
@@ -166,24 +167,24 @@
 	level := hub.pool.buckets["a"].level
 	hub.Serve(now+10*time.Millisecond, r)
 	if again := hub.pool.buckets["a"].level; again != level {
-		t.Errorf("a message that came twice raised the tokens from %.1f to %.1f", level, again)
+		t.Errorf("a repeated message raised the tokens from %.1f to %.1f", level, again)
 	}
 }
 
-func TestMessageOfAnEarlierLifeIsNotTaken(t *testing.T) {
+func TestMessageOfAPreviousIncarnationIsIgnored(t *testing.T) {
 	start := 3 * time.Second
 	hub := newTestNode("a", 1, 0)
 	hub.SetMesh(start, 2, nil, "a")
 	node := newTestNode("b", 1, 0)
 	node.SetMesh(start, 2, nil, "a")
-	talk(start, node, hub)
+	exchangeMessages(start, node, hub)
 	_, late := node.Request(start)
 	again := newTestNode("b", 2, start)
 	again.SetMesh(start, 2, nil, "a")
-	talk(start, again, hub)
+	exchangeMessages(start, again, hub)
 	hub.Serve(start, late)
 	if hub.pool.part.share != 0.5 {
-		t.Errorf("the hub holds %v by the word of a life that is over", hub.pool.part.share)
+		t.Errorf("the hub holds a share of %v after a message of a previous incarnation, want 0.5", hub.pool.part.share)
 	}
 }
 
@@ -191,17 +192,17 @@
 	start := 3 * time.Second
 	hub, node := newTestNode("a", 1, 0), newTestNode("b", 1, 0)
 	node.SetMesh(start, 2, nil, "a")
-	talk(start, node, hub)
+	exchangeMessages(start, node, hub)
 	_, r := node.Request(start)
 	again := newTestNode("a", 2, start)
-	again.Serve(start+lateLife, r)
+	again.Serve(start+loanTerm, r)
 	if again.pool.part.share != 0 {
-		t.Errorf("the new life of the hub holds %v", again.pool.part.share)
+		t.Errorf("the new incarnation of the hub holds a share of %v, want 0", again.pool.part.share)
 	}
 }
 
-// TestLimitFallsWhileTheAnswerIsOnItsWay has the hub grant tokens by a limit that is not in
-// force any more when they come.
+// TestLimitFallsWhileTheAnswerIsOnItsWay has the hub grant tokens under a limit that is no
+// longer in force when they arrive.
 func TestLimitFallsWhileTheAnswerIsOnItsWay(t *testing.T) {
 	start := 3 * time.Second
 	hub, node := newLeasedPair(start)
@@ -232,13 +233,13 @@
 	for range 50 {
 		node.Take(now, "a", testLimit)
 	}
-	talk(now, node, hub)
-	if a := node.accounts["a"]; a.held+a.ready == 0 {
+	exchangeMessages(now, node, hub)
+	if a := node.accounts["a"]; a.held+a.reserved == 0 {
 		t.Fatal("the node holds nothing before")
 	}
-	// Its clock went on while it stood still.
-	if d := node.Settle(now+tokenLife, "a", testLimit); d.Admitted {
-		t.Error("a token is spent after its end")
+	// Its clock went on while it was suspended.
+	if d := node.Settle(now+tokenLifetime, "a", testLimit); d.Admitted {
+		t.Error("a token is spent after its lifetime")
 	}
 }
 
@@ -246,8 +247,8 @@
 	start := 3 * time.Second
 	former, next, node := newTestNode("a", 1, 0), newTestNode("b", 1, 0), newTestNode("c", 1, 0)
 	node.SetMesh(start, 3, nil, "a")
-	talk(start, node, former)
-	talk(start, node, former)
+	exchangeMessages(start, node, former)
+	exchangeMessages(start, node, former)
 	now := start + 100*time.Millisecond
 	node.SetMesh(now, 3, nil, "b")
 	if to, r := node.Request(now); to != "a" || r.Share != 0 {
@@ -256,13 +257,13 @@
 		answer, _ := former.Serve(now, r)
 		node.Answered(now, answer)
 	}
-	talk(now, node, next)
-	talk(now, node, next)
+	exchangeMessages(now, node, next)
+	exchangeMessages(now, node, next)
 	if next.pool.part.share != 0 || former.pool.part.share != 0 {
 		t.Errorf("the next hub holds %v, the former one %v", next.pool.part.share, former.pool.part.share)
 	}
-	now += lateLife + clockMargin
-	talk(now, node, next)
+	now += loanTerm + clockMargin
+	exchangeMessages(now, node, next)
 	if next.pool.part.share == 0 {
 		t.Error("the next hub has no share after what the former one has granted is over")
 	}
@@ -283,11 +284,12 @@
 		last = d.RetryAfter
 	}
 	if last < 50*time.Millisecond {
-		t.Errorf("the twentieth caller is told to come back after %v", last)
+		t.Errorf("the twentieth caller gets a retry time of %v, want at least 50 ms", last)
 	}
 }
 
-// TestHubForgetsWhoIsGone has a hub answer nodes and tenants that come once and never again.
+// TestHubForgetsWhoIsGone has a hub answer nodes and tenants that send one message and then
+// nothing more: the hub removes them.
 func TestHubForgetsWhoIsGone(t *testing.T) {
 	hub := newTestNode("hub", 1, 0)
 	hub.SetMesh(0, 2, nil, "hub")
@@ -300,11 +302,11 @@
 		hub.SetMesh(now, 2, nil, "hub")
 	}
 	if nodes, tenants, accounts := len(hub.pool.borrowers), len(hub.pool.buckets), len(hub.accounts); max(nodes, tenants, accounts) > 12 {
-		t.Errorf("%d nodes, %d and %d tenants are held, of a tenth as many in the term", nodes, tenants, accounts)
+		t.Errorf("%d nodes, %d buckets and %d accounts are held, want at most 12 of 100", nodes, tenants, accounts)
 	}
 }
 
-// TestBoundlessLimitAdmits has a limit that is higher than any count of requests.
+// TestBoundlessLimitAdmits uses a limit that is higher than any count of requests.
 func TestBoundlessLimitAdmits(t *testing.T) {
 	limit := Limit{Rate: 1e20, Burst: 1e20}
 	n := newTestNode("a", 1, 0)
@@ -319,14 +321,14 @@
 	for _, c := range []struct {
 		nodes int
 		gap   time.Duration
-	}{{2, leastGap}, {17, leastGap}, {85, 85 * hubPace}} {
+	}{{2, minimumGap}, {17, minimumGap}, {85, 85 * gapPerZoneNode}} {
 		node, hub := newTestNode("b", 1, 0), newTestNode("a", 1, 0)
 		hub.SetMesh(0, c.nodes, []string{"silent"}, "a")
 		node.SetMesh(0, c.nodes, make([]string, c.nodes-1), "a")
 		node.Take(0, "a", testLimit)
-		talk(0, node, hub)
+		exchangeMessages(0, node, hub)
 		node.accounts["a"].deniedUntil = 0
-		node.link.next = time.Hour
+		node.link.nextAt = time.Hour
 		if d := node.Take(0, "a", testLimit); d.Ask != AskHub {
 			t.Fatalf("%+v", d)
 		}
@@ -388,7 +390,7 @@
 	}
 }
 
-// BenchmarkServe is a message of a node with 20 tenants at a hub of 76 tenants and 17 nodes.
+// BenchmarkServe serves a message of a node with 20 tenants at a hub of 76 tenants and 17 nodes.
 func BenchmarkServe(b *testing.B) {
 	hub := newTestNode("hub", 1, 0)
 	hub.SetMesh(0, 18, nil, "hub")
--- a/pkg/quota/pool.go
+++ b/pkg/quota/pool.go
@@ -7,109 +7,110 @@
 )
 
 const (
-	// tokenLife is how long a node may spend tokens that it was granted, counted from when
-	// it asked. The hub counts until lateLife after the grant.
-	tokenLife = 500 * time.Millisecond
-	lateLife  = tokenLife + clockMargin
-	// clockMargin is for clocks that do not run at the same speed, and for a request that
-	// was admitted and not yet sent on.
+	// tokenLifetime is how long a node may spend tokens that it was granted, counted from its
+	// request. The hub counts them as lent until loanTerm after the grant.
+	tokenLifetime = 500 * time.Millisecond
+	loanTerm      = tokenLifetime + clockMargin
+	// clockMargin covers clocks that do not run at the same speed, and requests that were
+	// admitted and not yet forwarded.
 	clockMargin = 50 * time.Millisecond
-	// useTerm is how long a hub uses a share that was leased to it, counted from the stamp
-	// that came with the message. One message may be lost.
-	useTerm = time.Second
-	// limitMemory is for how long a lower limit counts that somebody has told.
+	// leaseUseTerm is how long a hub uses a share that was leased to it, counted from the
+	// stamp in the message. It is long enough for one message to be lost.
+	leaseUseTerm = time.Second
+	// limitMemory is how long a lower limit counts after a node has reported it.
 	limitMemory = time.Second
-	// drawTerm is for how long one draw decides whether a part of a token counts as a whole
-	// one: with a new draw for each try, every part would soon be granted.
+	// drawTerm is how long one random draw decides whether a fraction of a token counts as a
+	// whole one: with a new draw for each attempt, every fraction would soon be granted.
 	drawTerm = 5 * time.Second
-	// forgetTerm is after which time a tenant or a node that was not heard of is forgotten.
+	// forgetTerm is the time after which an unused tenant, or a node that was not heard of, is
+	// removed.
 	forgetTerm = time.Minute
-	// forgetPause is the time between two looks at what that is.
+	// forgetPause is the least time between two searches for entries to remove.
 	forgetPause = time.Second
-	// askPause is how long other hubs are left alone that had nothing to give.
+	// askPause is the time before other hubs that had no tokens to give are asked again.
 	askPause = 150 * time.Millisecond
-	// notableShare is the share of what was asked for from which on it is worth asking the
-	// other hubs again soon.
+	// notableShare is the least fraction of the requested tokens that other hubs must give for
+	// it to be worth asking them again soon.
 	notableShare = 0.1
-	// missingTerm is how long a hub asks others for tokens that were missing: by then the
-	// requests that lacked them have been refused.
+	// missingTerm is how long a hub asks other hubs for missing tokens: by then the requests
+	// that lacked them have been refused.
 	missingTerm = 60 * time.Millisecond
-	// wantedTerm is for how long a hub that was asked for tokens keeps half of what it has
-	// for its own zone.
-	wantedTerm = 250 * time.Millisecond
-	// unknownWait is told where nothing is known of when there are tokens.
+	// zoneDemandTerm is how long, after tokens were last requested in its own zone, a hub
+	// keeps half of its tokens for that zone when another hub asks for some.
+	zoneDemandTerm = 250 * time.Millisecond
+	// unknownWait is the reported wait when it is not known when tokens will be available.
 	unknownWait = 250 * time.Millisecond
-	// longestHistory bounds the changes of the share that are kept for buckets to come.
-	longestHistory = 256
+	// maximumHistory bounds the changes of the share that are kept for new buckets.
+	maximumHistory = 256
 )
 
-// pool is the tokens that one node mints for the shares that it holds.
+// pool holds the tokens that one node mints for the shares that it holds.
 type pool struct {
-	life uint64
-	// opens is from when on shares may be leased: a former life may have granted tokens
-	// that are still spent.
-	opens time.Duration
-	draw  func() float64
+	incarnation uint64
+	// acceptsLeasesFrom is the time from which shares may be leased to this node: before, a
+	// previous incarnation may have granted tokens that can still be spent.
+	acceptsLeasesFrom time.Duration
+	draw              func() float64
 	// spare is how many tokens all hubs together may hold beyond a burst.
 	spare float64
-	// own is the share of the node itself, while it leases it to nobody, and part what is
-	// minted for by all shares.
-	own       float64
+	// ownShare is the share of the node itself while it is leased to no hub. part is the part
+	// of each limit that the pool mints for, from its own and the leased shares.
+	ownShare  float64
 	part      part
 	borrowers map[string]*borrower
-	// firstEnd is before the first lease ends.
-	firstEnd time.Duration
-	// history are the latest changes of the share: a bucket that is made later has the
-	// tokens that were minted meanwhile.
-	history []change
+	// firstExpiry is not later than the end of the first lease to end; zero without leases.
+	firstExpiry time.Duration
+	// history holds the latest changes of the share: a bucket that is created later gets the
+	// tokens that would have been minted meanwhile.
+	history []partChange
 	buckets map[string]*bucket
-	// zone are the other nodes of the zone, lost ones among them.
+	// zone are the other nodes of the zone, including lost ones.
 	zone []string
-	// lastLoan is when tokens were last lent to another node.
+	// lastLoan is when tokens were last lent to another node, if hasLent is set.
 	lastLoan time.Duration
-	lentAny  bool
+	hasLent  bool
 }
 
 // borrower is what a hub knows of a node.
 type borrower struct {
-	life, number uint64
-	share        float64
-	until        time.Duration
-	heard        time.Duration
-	// born is when this life was first heard of.
-	born time.Duration
-	// vouches tells that the node, when it was heard, held no share of others and no token
-	// that a former life of this hub or another hub has granted.
-	vouches bool
+	incarnation, number uint64
+	share               float64
+	until               time.Duration
+	heardAt             time.Duration
+	// firstHeardAt is when the hub first heard of this incarnation of the node.
+	firstHeardAt time.Duration
+	// confirms reports that the node, when last heard of, held no share leased by other nodes
+	// and no token granted by a previous incarnation of this hub or by another hub.
+	confirms bool
 }
 
-// change is a change of what a pool mints for.
-type change struct {
+// partChange is a change of the part that a pool mints for.
+type partChange struct {
 	at   time.Duration
 	part part
 }
 
-func newPool(life uint64, now time.Duration, spare float64, draw func() float64) *pool {
+func newPool(incarnation uint64, now time.Duration, spare float64, draw func() float64) *pool {
 	return &pool{
-		life: life, opens: now + lateLife, spare: spare, draw: draw,
+		incarnation: incarnation, acceptsLeasesFrom: now + loanTerm, spare: spare, draw: draw,
 		borrowers: map[string]*borrower{}, buckets: map[string]*bucket{},
 	}
 }
 
-// advance ends the leases that are over.
+// advance ends the leases whose time is over.
 func (p *pool) advance(now time.Duration) {
-	if p.firstEnd == 0 || now < p.firstEnd {
+	if p.firstExpiry == 0 || now < p.firstExpiry {
 		return
 	}
 	var ended []*borrower
-	p.firstEnd = 0
+	p.firstExpiry = 0
 	for _, b := range p.borrowers {
 		switch {
 		case b.share == 0:
 		case now >= b.until:
 			ended = append(ended, b)
 		default:
-			p.endsBy(b.until)
+			p.noteLeaseEnd(b.until)
 		}
 	}
 	slices.SortFunc(ended, func(a, b *borrower) int { return cmp.Compare(a.until, b.until) })
@@ -119,45 +120,46 @@
 	}
 }
 
-func (p *pool) endsBy(at time.Duration) {
-	if p.firstEnd == 0 || at < p.firstEnd {
-		p.firstEnd = at
+func (p *pool) noteLeaseEnd(at time.Duration) {
+	if p.firstExpiry == 0 || at < p.firstExpiry {
+		p.firstExpiry = at
 	}
 }
 
 // setOwn sets the share of the node itself.
 func (p *pool) setOwn(now time.Duration, own float64) {
-	if own == p.own {
+	if own == p.ownShare {
 		return
 	}
 	p.advance(now)
-	p.own = own
+	p.ownShare = own
 	p.shareChanged(now)
 }
 
-// shareChanged mints by the former share up to a moment, and by the shares held from then on.
+// shareChanged mints for the former shares up to the given time, and for the shares held now
+// from then on.
 func (p *pool) shareChanged(at time.Duration) {
 	former := p.part
-	p.part = part{share: p.own}
+	p.part = part{share: p.ownShare}
 	for _, b := range p.borrowers {
 		p.part.share += b.share
 	}
-	if p.part.share > p.own {
-		// Only hubs get spare tokens: nodes that use nothing but their own share may be many,
-		// and what each of them held beyond the burst would add up.
+	if p.part.share > p.ownShare {
+		// Only hubs get spare tokens: many nodes may use only their own share, and what each of
+		// them held beyond the burst would add up.
 		p.part.spare = p.spare
 	}
 	for _, b := range p.buckets {
-		b.settle(at, former)
+		b.mint(at, former)
 		b.clip(p.part)
 	}
-	p.history = append(p.history, change{at: at, part: p.part})
-	if len(p.history) > longestHistory {
+	p.history = append(p.history, partChange{at: at, part: p.part})
+	if len(p.history) > maximumHistory {
 		p.history = slices.Delete(p.history, 0, 1)
 	}
 }
 
-// bucket returns the tokens of a tenant as they are now.
+// bucket returns the bucket of a tenant, brought up to date. It creates it if there is none.
 func (p *pool) bucket(now time.Duration, tenant string, limit Limit) *bucket {
 	p.advance(now)
 	b, known := p.buckets[tenant]
@@ -165,75 +167,77 @@
 		b = p.newBucket(limit)
 		p.buckets[tenant] = b
 	}
-	b.used = now
-	b.settle(now, p.part)
-	b.follow(now, limit)
+	b.usedAt = now
+	b.mint(now, p.part)
+	b.followLimit(now, limit)
 	b.clip(p.part)
 	return b
 }
 
-// newBucket returns a bucket with the tokens that were minted since the share is known.
+// newBucket returns a bucket with the tokens that would have been minted over the recorded
+// history of the share.
 func (p *pool) newBucket(limit Limit) *bucket {
-	b := &bucket{limit: limit, loans: map[string]loan{}, least: 1 - p.draw()}
+	b := &bucket{limit: limit, loans: map[string]loan{}, grantThreshold: 1 - p.draw()}
 	var held part
 	for _, c := range p.history {
-		if b.at == 0 {
-			b.at = c.at
+		if b.mintedUntil == 0 {
+			b.mintedUntil = c.at
 		}
-		b.settle(c.at, held)
+		b.mint(c.at, held)
 		held = c.part
 		b.clip(held)
 	}
 	return b
 }
 
-// take takes one token for a request of this node. Where there is none it returns the time
-// until the next.
+// take takes one token for a request of this node. If none is available it returns the time
+// until the next one.
 func (p *pool) take(now time.Duration, tenant string, limit Limit) (next time.Duration, ok bool) {
 	b := p.bucket(now, tenant, limit)
-	b.asked = now
-	if b.whole(now, 1, p.draw) == 1 {
+	b.requestedAt = now
+	if b.takeWhole(now, 1, p.draw) == 1 {
 		return 0, true
 	}
-	return b.next(p.part), false
+	return b.untilNext(p.part), false
 }
 
-// lack notes that tokens were wanted that are not there, for other hubs to be asked.
-func (p *pool) lack(tenant string, tokens float64) { p.buckets[tenant].missing += tokens }
+// addShortage records that requested tokens were not available, so that other hubs are asked
+// for them.
+func (p *pool) addShortage(tenant string, tokens float64) { p.buckets[tenant].missing += tokens }
 
-// giveBack takes tokens back that were not spent. What exceeds the burst is lost.
+// giveBack adds tokens that were returned unspent. What exceeds the capacity is lost.
 func (p *pool) giveBack(now time.Duration, tenant string, limit Limit, tokens float64) {
 	b := p.bucket(now, tenant, limit)
 	b.level += tokens
 	b.clip(p.part)
 }
 
-// serve answers a node.
+// serve answers the message of a node.
 func (p *pool) serve(now time.Duration, r Request) Answer {
 	p.advance(now)
-	answer := Answer{Stamp: Stamp{Incarnation: p.life, At: now}}
-	from, fresh := p.hear(now, r)
-	if !fresh {
+	answer := Answer{Stamp: Stamp{Incarnation: p.incarnation, At: now}}
+	sender, newest := p.recordMessage(now, r)
+	if !newest {
 		return answer
 	}
-	p.lease(now, from, r)
-	answer.Confirmed = p.vouched(r.Node, from.born)
+	p.lease(now, sender, r)
+	answer.Confirmed = p.zoneConfirmed(r.Node, sender.firstHeardAt)
 	for _, w := range r.Demands {
 		g := p.grant(now, r.Node, w)
 		if g.Next > 0 {
-			p.lack(w.Tenant, w.Requested-g.Tokens)
+			p.addShortage(w.Tenant, w.Requested-g.Tokens)
 		}
 		answer.Grants = append(answer.Grants, g)
 	}
 	return answer
 }
 
-// complete grants what an answer lacks, unless the node has sent another message meanwhile:
-// then it does not get this answer any more.
+// complete grants the tokens that an answer lacks, unless the node has sent another message
+// meanwhile: then this answer no longer reaches it.
 func (p *pool) complete(now time.Duration, r Request, answer Answer) Answer {
 	p.advance(now)
-	from, known := p.borrowers[r.Node]
-	if !known || from.life != r.Incarnation || from.number != r.Number {
+	sender, known := p.borrowers[r.Node]
+	if !known || sender.incarnation != r.Incarnation || sender.number != r.Number {
 		return answer
 	}
 	for i, g := range answer.Grants {
@@ -252,136 +256,140 @@
 	return answer
 }
 
-// hear notes a message. It reports whether it is newer than all that came before: one that
-// came late or twice must not change what a later one has told.
-func (p *pool) hear(now time.Duration, r Request) (*borrower, bool) {
-	from, known := p.borrowers[r.Node]
+// recordMessage records the sender of a message. It reports whether the message is newer than
+// all previous ones: a late or repeated message must not change what a newer one has reported.
+func (p *pool) recordMessage(now time.Duration, r Request) (*borrower, bool) {
+	sender, known := p.borrowers[r.Node]
 	if !known {
-		from = &borrower{}
-		p.borrowers[r.Node] = from
+		sender = &borrower{}
+		p.borrowers[r.Node] = sender
 	}
-	if r.Incarnation < from.life || r.Incarnation == from.life && r.Number <= from.number {
-		return from, false
+	if r.Incarnation < sender.incarnation || r.Incarnation == sender.incarnation && r.Number <= sender.number {
+		return sender, false
 	}
-	if r.Incarnation != from.life {
-		from.born = now
+	if r.Incarnation != sender.incarnation {
+		sender.firstHeardAt = now
 	}
-	from.life, from.number, from.heard = r.Incarnation, r.Number, now
-	// Who brings back a stamp of this life has dropped the tokens of the one before.
-	from.vouches = !r.HoldsLeasedShares && r.Stamp.Incarnation == p.life
-	return from, true
+	sender.incarnation, sender.number, sender.heardAt = r.Incarnation, r.Number, now
+	// A node that returns a stamp of this incarnation has dropped the tokens that the
+	// previous one granted.
+	sender.confirms = !r.HoldsLeasedShares && r.Stamp.Incarnation == p.incarnation
+	return sender, true
 }
 
-// vouched reports whether all other nodes of the zone have vouched since a node has begun its
-// life: then nobody holds a share of a former life of it, or tokens that were granted by it.
-func (p *pool) vouched(node string, born time.Duration) bool {
+// zoneConfirmed reports whether all other nodes of the zone have confirmed since the given
+// time, when the current incarnation of a node was first heard of. Then no node holds a share
+// leased by a previous incarnation of that node, or tokens granted by one.
+func (p *pool) zoneConfirmed(node string, firstHeardAt time.Duration) bool {
 	for _, id := range p.zone {
-		if from, known := p.borrowers[id]; id != node && (!known || !from.heldNothing(born)) {
+		if sender, known := p.borrowers[id]; id != node && (!known || !sender.confirmedSince(firstHeardAt)) {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *borrower) heldNothing(since time.Duration) bool {
-	return b.vouches && b.heard >= since
+func (b *borrower) confirmedSince(since time.Duration) bool {
+	return b.confirms && b.heardAt >= since
 }
 
-// lease takes the share that a node leases to this one, until a term after the stamp that
-// the message brings back: the node counts from when it made the message, which is later.
-func (p *pool) lease(now time.Duration, from *borrower, r Request) {
-	share, until := min(max(r.Share, 0), 1), r.Stamp.At+useTerm
-	if r.Stamp.Incarnation != p.life || now >= until || now < p.opens {
+// lease accepts the share that a node leases to this one, until leaseUseTerm after the stamp
+// in the message. The node counts its own term from when it made the message, which is later.
+func (p *pool) lease(now time.Duration, sender *borrower, r Request) {
+	share, until := min(max(r.Share, 0), 1), r.Stamp.At+leaseUseTerm
+	if r.Stamp.Incarnation != p.incarnation || now >= until || now < p.acceptsLeasesFrom {
 		share = 0
 	}
 	if share > 0 {
-		from.until = until
-		p.endsBy(until)
+		sender.until = until
+		p.noteLeaseEnd(until)
 	}
-	if share != from.share {
-		from.share = share
+	if share != sender.share {
+		sender.share = share
 		p.shareChanged(now)
 	}
 }
 
-// grant lends tokens to a node.
+// grant lends tokens to a node, and takes back those that it returns.
 func (p *pool) grant(now time.Duration, node string, w Demand) Grant {
 	b := p.bucket(now, w.Tenant, w.Limit)
 	returned := min(max(w.Returned, 0), b.limit.Burst)
 	held := min(max(w.Held, 0), b.loans[node].tokens)
-	b.setLoan(node, loan{tokens: held, until: now + lateLife})
+	b.setLoan(node, loan{tokens: held, until: now + loanTerm})
 	b.level += returned
 	b.clip(p.part)
 	g := Grant{Tenant: w.Tenant}
 	if w.Requested > 0 {
-		b.asked = now
-		g.Tokens = b.whole(now, w.Requested, p.draw)
+		b.requestedAt = now
+		g.Tokens = b.takeWhole(now, w.Requested, p.draw)
 	}
 	if g.Tokens < w.Requested {
-		g.Next = max(b.next(p.part), 1)
+		g.Next = max(b.untilNext(p.part), 1)
 	}
-	// What is for requests that wait counts as spent.
+	// Tokens for waiting requests count as spent.
 	kept := held + max(g.Tokens-w.Waiting, 0)
-	b.setLoan(node, loan{tokens: kept, until: now + lateLife})
-	p.lent(now, kept+g.Tokens)
+	b.setLoan(node, loan{tokens: kept, until: now + loanTerm})
+	p.noteLoan(now, kept+g.Tokens)
 	return g
 }
 
-// lent notes that a node holds tokens of this pool.
-func (p *pool) lent(now time.Duration, tokens float64) {
+// noteLoan records that a node holds tokens of this pool.
+func (p *pool) noteLoan(now time.Duration, tokens float64) {
 	if tokens > 0 {
-		p.lastLoan, p.lentAny = now, true
+		p.lastLoan, p.hasLent = now, true
 	}
 }
 
-// free returns from when on no token can be spent that this pool has lent by now.
-func (p *pool) free(now time.Duration) time.Duration {
-	if !p.lentAny || now >= p.lastLoan+lateLife {
+// loansEndAt returns the time from which no token that this pool has lent so far can be spent.
+func (p *pool) loansEndAt(now time.Duration) time.Duration {
+	if !p.hasLent || now >= p.lastLoan+loanTerm {
 		return now
 	}
-	return now + lateLife
+	return now + loanTerm
 }
 
-// shortage returns what this pool lacks and other hubs may have. What it asks for fits in
-// its own part of the burst, so that moved tokens need no end.
+// shortage returns the tokens that this pool lacks and other hubs may have. The requested
+// tokens fit into the pool's own capacity, so that moved tokens need no expiry.
 func (p *pool) shortage(now time.Duration) []Demand {
 	p.advance(now)
 	if p.part.share <= 0 {
 		return nil
 	}
-	var wants []Demand
+	var demands []Demand
 	for tenant, b := range p.buckets {
 		if b.missing <= 0 {
 			continue
 		}
-		if now-b.asked > missingTerm {
+		if now-b.requestedAt > missingTerm {
 			b.missing = 0
 			continue
 		}
-		b.settle(now, p.part)
-		wanted := min(b.missing+b.granted.rate(now)*ahead.Seconds()+1, b.room(p.part)) - b.level
-		if now < b.nextAsk || wanted <= 0 {
+		b.mint(now, p.part)
+		requested := min(b.missing+b.granted.rate(now)*borrowAhead.Seconds()+1, b.freeCapacity(p.part)) - b.level
+		if now < b.nextAsk || requested <= 0 {
 			continue
 		}
-		b.lastAsk, b.lastAskAt, b.nextAsk = wanted, now, now+askPause
-		wants = append(wants, Demand{Tenant: tenant, Limit: b.limit, Requested: wanted})
+		b.lastAsk, b.lastAskAt, b.nextAsk = requested, now, now+askPause
+		demands = append(demands, Demand{Tenant: tenant, Limit: b.limit, Requested: requested})
 	}
-	return wants
+	return demands
 }
 
-// asks reports whether other hubs may be asked for tokens of a tenant, or were just now.
-func (p *pool) asks(now time.Duration, tenant string) bool {
+// mayAskOtherHubs reports whether other hubs may be asked for tokens of a tenant, or were
+// asked within AskWait.
+func (p *pool) mayAskOtherHubs(now time.Duration, tenant string) bool {
 	b := p.buckets[tenant]
 	return p.part.share > 0 && (now >= b.nextAsk || now < b.lastAskAt+AskWait)
 }
 
-// give moves tokens to another hub: all where the own zone wants none, else half.
-func (p *pool) give(now time.Duration, wants []Demand) []Grant {
+// give moves tokens to another hub: up to all that are available if its own zone has
+// requested none recently, else up to half.
+func (p *pool) give(now time.Duration, demands []Demand) []Grant {
 	var grants []Grant
-	for _, w := range wants {
+	for _, w := range demands {
 		b := p.bucket(now, w.Tenant, w.Limit)
 		spare := max(b.level, 0)
-		if b.asked > 0 && now-b.asked < wantedTerm {
+		if b.requestedAt > 0 && now-b.requestedAt < zoneDemandTerm {
 			spare /= 2
 		}
 		moved := min(max(w.Requested, 0), spare)
@@ -391,7 +399,7 @@
 	return grants
 }
 
-// receive takes tokens that another hub has moved.
+// receive adds tokens that another hub has moved here.
 func (p *pool) receive(now time.Duration, grants []Grant) {
 	p.advance(now)
 	for _, g := range grants {
@@ -399,26 +407,27 @@
 		if !known || g.Tokens <= 0 {
 			continue
 		}
-		b.settle(now, p.part)
+		b.mint(now, p.part)
 		b.level += g.Tokens
 		b.clip(p.part)
 		b.missing = max(b.missing-g.Tokens, 0)
 		if g.Tokens >= b.lastAsk*notableShare {
-			// There may be more.
+			// The other hubs may have more.
 			b.nextAsk = min(b.nextAsk, now+AskGap)
 		}
 	}
 }
 
-// forget drops tenants and nodes that were not heard of for long.
+// forget removes unused tenants, and nodes that lease nothing and were not heard of, after
+// forgetTerm.
 func (p *pool) forget(now time.Duration) {
 	for tenant, b := range p.buckets {
-		if now-b.used > forgetTerm {
+		if now-b.usedAt > forgetTerm {
 			delete(p.buckets, tenant)
 		}
 	}
 	for node, b := range p.borrowers {
-		if b.share == 0 && now-b.heard > forgetTerm {
+		if b.share == 0 && now-b.heardAt > forgetTerm {
 			delete(p.borrowers, node)
 		}
 	}
