--- a/pkg/canary/canary_test.go
+++ b/pkg/canary/canary_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// version draws what the workers of a version do.
+// version simulates the workers of a version.
 type version struct {
-	// failing is the share that fails and slower how many times slower it is, from the
-	// request of the given number on.
+	// failing is the fraction of requests that fail and slower how many times slower the
+	// version is, both beginning with request number from.
 	failing, slower float64
 	from            int
 }
@@ -33,10 +33,10 @@
 	return t
 }
 
-// play has a judge watch rounds of 60 requests of the former version and 5 of the next.
-// It returns how many failed or slow answers the next one had given when it was found
-// bad; -1 when it was not.
-func play(v version, seed uint64, rounds int) int {
+// simulate passes a judge rounds of 60 requests of the former version and 5 of the next.
+// It returns how many failed or slow answers the next version had given when it was found
+// to be bad; -1 if it was not.
+func simulate(v version, seed uint64, rounds int) int {
 	const former, next = 60, 5
 	random := rand.New(rand.NewPCG(seed, 1))
 	judge := NewJudge()
@@ -67,7 +67,7 @@
 	} {
 		missed, most := 0, 0
 		for seed := range uint64(seeds) {
-			found := play(v, seed, 400)
+			found := simulate(v, seed, 400)
 			if found < 0 || found > 50 {
 				missed++
 			}
@@ -84,7 +84,7 @@
 	const seeds = 2000
 	wrong := 0
 	for seed := range uint64(seeds) {
-		if play(version{}, seed, 200) >= 0 {
+		if simulate(version{}, seed, 200) >= 0 {
 			wrong++
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestTroubleOfBothVersionsIsNoFault has both versions fail alike.
+// TestTroubleOfBothVersionsIsNoFault has both versions fail at the same rate.
 func TestTroubleOfBothVersionsIsNoFault(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	judge := NewJudge()
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestSuddenTroubleOfBothVersionsIsNoFault has both versions begin to fail at one moment.
+// TestSuddenTroubleOfBothVersionsIsNoFault has both versions begin to fail at the same moment.
 func TestSuddenTroubleOfBothVersionsIsNoFault(t *testing.T) {
 	const seeds = 500
 	wrong := 0
--- a/pkg/canary/example_test.go
+++ b/pkg/canary/example_test.go
@@ -7,8 +7,8 @@
 	"github.com/levertide/levertide/pkg/canary"
 )
 
-// A coordinator hands over what the workers of both versions did, and carries out what
-// is decided.
+// A coordinator passes in the results of the workers of both versions, and carries out the
+// decisions.
 func Example() {
 	began := time.Unix(0, 0)
 	rollout := canary.NewRollout(began, began.Add(20*time.Second))
--- a/pkg/canary/judge.go
+++ b/pkg/canary/judge.go
@@ -2,33 +2,35 @@
 
 import "math"
 
-// Figures of the test. It is a cumulative sum (E. S. Page, Continuous inspection
-// schemes, Biometrika 1954): evidence against the new version adds up, evidence for it
-// never counts for more than none, so that a fault that begins late is found as fast as
-// one that is there from the start.
+// Parameters of the statistical test. It is a cumulative sum (E. S. Page, Continuous
+// inspection schemes, Biometrika 1954): evidence against the new version adds up, and
+// evidence for it never takes the sum below zero, so that a fault that begins late is found
+// as fast as one that is there from the start.
 const (
-	// alarm is the sum at which a version is bad: one of exp(alarm) good versions, about
-	// 3,000, reaches it within a run of requests of the length that a bad one needs.
+	// alarm is the sum at which a version counts as bad: one of exp(alarm) good versions,
+	// about 3,000, reaches it within as many requests as it takes to detect a bad one.
 	alarm = 8.0
-	// leastFailing is the share of failures that is taken for usual even if the former
-	// version has none, and moreFailing how much more makes a version bad.
+	// leastFailing is the failure rate that counts as usual even if the former version has
+	// none. moreFailing is by how much more a bad version fails.
 	leastFailing = 0.01
 	moreFailing  = 0.05
 	// slowerBy is the natural logarithm of how many times slower a version must be to
-	// be bad: 2.5, since workers of one version differ by up to 2.3 times. logSpread is
-	// how widely the logarithms of run times of one route are spread.
+	// count as bad: 2.5, since workers of one version differ by up to 2.3 times. logSpread
+	// is the standard deviation of the logarithms of the run times of one route.
 	slowerBy  = 0.92
 	logSpread = 0.8
-	// formerRuns is how many of the latest runs of the former version tell what is usual:
-	// trouble that strikes both versions alike is so soon, however often the judge is told.
+	// formerRuns is how many of the latest runs of the former version define what is usual:
+	// trouble that affects both versions alike soon counts as usual, however often Observe
+	// is called.
 	formerRuns = 300
-	// smallestFormer is how many runs of the former version a comparison of times needs.
+	// smallestFormer is the least number of successful runs of the former version that a
+	// comparison of run times needs.
 	smallestFormer = 20
 )
 
-// Tally sums up finished requests. The zero value is none.
+// Tally sums up finished requests. The zero value holds none.
 type Tally struct {
-	// Runs is how many requests have ended, Failed how many of them in failure.
+	// Runs is how many requests have ended, Failed how many of these failed.
 	Runs, Failed float64
 	// LogTime is the sum of the natural logarithms of the run times, in seconds, of
 	// those that did not fail.
@@ -40,7 +42,7 @@
 	return Tally{Runs: t.Runs + other.Runs, Failed: t.Failed + other.Failed, LogTime: t.LogTime + other.LogTime}
 }
 
-// Minus returns what was added to a former tally.
+// Minus returns what was added since a former tally.
 func (t Tally) Minus(former Tally) Tally {
 	return Tally{Runs: t.Runs - former.Runs, Failed: t.Failed - former.Failed, LogTime: t.LogTime - former.LogTime}
 }
@@ -64,23 +66,24 @@
 // meanLogTime is the mean of the logarithms of the run times.
 func (t Tally) meanLogTime() float64 { return t.LogTime / max(t.succeeded(), 1) }
 
-// Judge compares a new version with the former one, route by route. Use NewJudge.
+// Judge compares a new version with the former one, route by route. Create one with
+// NewJudge.
 type Judge struct {
 	routes map[string]*comparison
 }
 
-// comparison is what is known of one route.
+// comparison holds the results of both versions on one route.
 type comparison struct {
-	// former is what the former version did lately; its figures are what is usual.
+	// former is the tally of the latest runs of the former version; it defines what is usual.
 	former Tally
-	// failures and slowness are the cumulative sums.
+	// failures and slowness are the cumulative sums of the evidence against the new version.
 	failures, slowness float64
 }
 
 // NewJudge returns a judge that has seen nothing.
 func NewJudge() *Judge { return &Judge{routes: map[string]*comparison{}} }
 
-// Observe takes what both versions did on a route since the last call.
+// Observe adds the results of both versions on a route since the last call.
 func (j *Judge) Observe(route string, former, next Tally) {
 	c, known := j.routes[route]
 	if !known {
@@ -93,8 +96,8 @@
 	c.observeTimes(next)
 }
 
-// Bad returns the route on which the new version is bad, and why; false when it is not
-// known to be.
+// Bad returns the route on which the new version is bad, and the reason; false if it is not
+// known to be bad on any route.
 func (j *Judge) Bad() (route, reason string, bad bool) {
 	for name, c := range j.routes {
 		switch {
--- a/pkg/outcome/errors.go
+++ b/pkg/outcome/errors.go
@@ -35,7 +35,7 @@
 	return typeOf(reason).Wrap(cause, "%s", reason.Message()).WithProperty(propertyReason, reason)
 }
 
-// WithRetryAfter is New with a time after which another try is worth it.
+// WithRetryAfter is New with a time after which a client retry is worthwhile.
 func WithRetryAfter(reason Reason, after time.Duration) error {
 	return newError(reason).WithProperty(propertyRetryAfter, after)
 }
@@ -51,7 +51,7 @@
 	return ErrUnknown
 }
 
-// Of returns the outcome that an error stands for. Nil is Answered; an error
+// Of returns the outcome that an error represents. Nil is Answered; an error
 // that is not of this package is Unknown, which is always safe.
 func Of(err error) Outcome {
 	switch {
@@ -79,7 +79,7 @@
 	return reason
 }
 
-// RetryAfterOf returns the time after which another try is worth it, or zero.
+// RetryAfterOf returns the time after which a client retry is worthwhile, or zero.
 func RetryAfterOf(err error) time.Duration {
 	typed := errorx.Cast(err)
 	if typed == nil {
--- a/pkg/outcome/reason.go
+++ b/pkg/outcome/reason.go
@@ -22,7 +22,7 @@
 	OutOfScope Reason = "out-of-scope"
 	// NotReady: the node has no configuration in force yet.
 	NotReady Reason = "not-ready"
-	// NoWorker: the service has no worker that may be tried.
+	// NoWorker: the service has no worker that the request may be sent to.
 	NoWorker Reason = "no-worker"
 	// Unreachable: no connection was made, or nothing was written on it.
 	Unreachable Reason = "unreachable"
@@ -52,8 +52,9 @@
 	// Unauthenticated: the configuration has tenants, the route is not public, and the
 	// request bears no key of a tenant; or it bears one that no tenant holds.
 	Unauthenticated Reason = "unauthenticated"
-	// ParentUnknown: the request says that a worker makes it for another one, which the
-	// node does not know to run. It may have begun before the node started.
+	// ParentUnknown: the request states that a worker makes it while running another request,
+	// and the node does not know of such a running request. That one may have begun before
+	// the node started.
 	ParentUnknown Reason = "parent-unknown"
 	// QuotaExceeded: the tenant has sent more than its limit allows.
 	QuotaExceeded Reason = "quota-exceeded"
@@ -72,7 +73,7 @@
 	Canceled Reason = "canceled"
 	// UploadFailed: the caller's body broke off, or came too slowly.
 	UploadFailed Reason = "upload-failed"
-	// InvalidAnswer: the worker's answer breaks HTTP, or its end cannot be told.
+	// InvalidAnswer: the worker's answer violates HTTP, or its end cannot be determined.
 	InvalidAnswer Reason = "invalid-answer"
 	// NotSpecified: a node reported Unknown without a reason known here.
 	NotSpecified Reason = "not-specified"
@@ -123,7 +124,7 @@
 // Status returns the HTTP status that a response with this reason has.
 func (r Reason) Status() int { return r.describe().status }
 
-// Message returns a sentence for people.
+// Message returns a human-readable description.
 func (r Reason) Message() string { return r.describe().message }
 
 // Known reports whether the reason is one of those defined here.
