--- a/pkg/quota/example_test.go
+++ b/pkg/quota/example_test.go
@@ -7,11 +7,11 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// Two nodes keep one limit together: one is the hub, the other borrows its tokens there.
+// Two nodes enforce one limit together: one is the hub, the other borrows tokens from it.
 func Example() {
 	half := func() float64 { return 0.5 }
-	hub := quota.NewNode(quota.Options{ID: "a", Life: 1, Draw: half})
-	node := quota.NewNode(quota.Options{ID: "b", Life: 1, Draw: half})
+	hub := quota.NewNode(quota.Options{ID: "a", Incarnation: 1, Draw: half})
+	node := quota.NewNode(quota.Options{ID: "b", Incarnation: 1, Draw: half})
 	limit := quota.Limit{Rate: 4, Burst: 4}
 
 	// Nodes own a share of the limits once they have run for a while.
@@ -23,7 +23,7 @@
 		answer, _ := hub.Serve(now, request)
 		node.Answered(now, answer)
 	}
-	exchange() // The first message finds the hub,
+	exchange() // The first message gets a stamp from the hub,
 	exchange() // the second leases the node's share to it.
 
 	now += 900 * time.Millisecond
