--- a/internal/dataplane/header.go
+++ b/internal/dataplane/header.go
@@ -36,7 +36,7 @@
 // forwardable reports whether a header with this canonical name goes on to the
 // next leg: it does not when it belongs to one connection or to the system.
 func forwardable(name string) bool {
-	if httpleg.OfOneConnection(name) {
+	if httpleg.IsHopByHop(name) {
 		return false
 	}
 	return !strings.HasPrefix(name, headerPrefix)
--- a/internal/forwarding/answer.go
+++ b/internal/forwarding/answer.go
@@ -100,7 +100,7 @@
 func (a *answer) write(w http.ResponseWriter, closing bool) error {
 	target := w.Header()
 	for name, values := range a.header {
-		if !httpleg.OfOneConnection(name) && name != hopLoadHeader && name != hopFailureHeader {
+		if !httpleg.IsHopByHop(name) && name != hopLoadHeader && name != hopFailureHeader {
 			target[name] = values
 		}
 	}
--- a/internal/forwarding/leg.go
+++ b/internal/forwarding/leg.go
@@ -154,7 +154,7 @@
 	const added = 6
 	header := make(http.Header, len(from.Header)+added)
 	for name, values := range from.Header {
-		if !httpleg.OfOneConnection(name) && !dialect.own(name) {
+		if !httpleg.IsHopByHop(name) && !dialect.own(name) {
 			header[name] = values
 		}
 	}
--- a/internal/httpleg/header.go
+++ b/internal/httpleg/header.go
@@ -12,9 +12,9 @@
 // in these are not the same one.
 var CredentialHeaders = []string{"Authorization", "Cookie"}
 
-// OfOneConnection reports whether a header with this canonical name belongs to
+// IsHopByHop reports whether a header with this canonical name belongs to
 // one connection and does not go on to the next leg.
-func OfOneConnection(name string) bool {
+func IsHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Host":
