--- a/internal/dataplane/answer.go
+++ b/internal/dataplane/answer.go
@@ -30,7 +30,7 @@
 	writer   http.ResponseWriter
 	control  *http.ResponseController
 	response *http.Response
-	life     *lifetime
+	lifetime     *lifetime
 	stall    time.Duration
 	pace     pace
 	// closing tells that the connection is not to be used again.
@@ -40,7 +40,7 @@
 // run passes the answer on. An error means that it did not arrive whole: the
 // caller of run must then abort the handler.
 func (d *delivery) run() error {
-	d.life.answerMoved(d.stall)
+	d.lifetime.answerProgressed(d.stall)
 	d.begin()
 	if err := d.copyBody(); err != nil {
 		return err
@@ -96,7 +96,7 @@
 // write passes a part on. Flush it when the worker has no more to give now, so
 // that the caller sees what there is.
 func (d *delivery) write(part []byte, flush bool) error {
-	d.life.answerMoved(d.stall)
+	d.lifetime.answerProgressed(d.stall)
 	remaining := d.pace.remaining()
 	if remaining <= 0 {
 		return errTooSlow
@@ -109,7 +109,7 @@
 	}
 	d.pace.step(len(part), time.Since(began))
 	// The next read may take long through no fault of the caller.
-	d.life.answerMoved(d.stall)
+	d.lifetime.answerProgressed(d.stall)
 	return err
 }
 
--- a/internal/dataplane/attempt.go
+++ b/internal/dataplane/attempt.go
@@ -20,8 +20,8 @@
 func (c *callerCall) run() {
 	var tried [retry.MaximumAttempts]string
 	for {
-		if err := c.quarantined(); err != nil {
-			c.refuse(err)
+		if err := c.checkQuarantine(); err != nil {
+			c.refuseQuarantined(err)
 			return
 		}
 		c.plane.refreshMembers(c.destination)
@@ -31,14 +31,14 @@
 			return
 		}
 		tried[c.attempts.Made()] = pick.Endpoint.ID
-		c.carried = c.attempts.Begin()
-		result, seen, err := c.attempt(pick.Endpoint)
+		c.attemptAllowance = c.attempts.Begin()
+		result, observed, err := c.attempt(pick.Endpoint)
 		if err == nil {
-			c.conclude(result, &pick, seen)
+			c.conclude(result, &pick, observed)
 			return
 		}
-		pick.Done(seen)
-		if !c.attempts.Fail(err, c.canGoOn(), time.Now()) || !c.pause() {
+		pick.Done(observed)
+		if !c.attempts.Fail(err, c.canRetry(), time.Now()) || !c.pause() {
 			c.giveUp()
 			return
 		}
@@ -55,14 +55,14 @@
 	})
 }
 
-// canGoOn reports whether another attempt could be made at all.
-func (c *callerCall) canGoOn() bool { return c.life.ctx.Err() == nil && c.body.repeatable() }
+// canRetry reports whether another attempt could be made at all.
+func (c *callerCall) canRetry() bool { return c.lifetime.ctx.Err() == nil && c.body.repeatable() }
 
 // pause waits before the next attempt. It reports false when the call ended
 // meanwhile.
 func (c *callerCall) pause() bool {
 	duration := c.attempts.Pause(c.plane.config.Backoff, rand.Float64())
-	return duration == 0 || pause(c.life.ctx, duration)
+	return duration == 0 || pause(c.lifetime.ctx, duration)
 }
 
 // pick chooses a node that was not tried yet, or one that was if there is no other.
@@ -75,26 +75,26 @@
 }
 
 // conclude delivers an answer and tells the balancer how it went.
-func (c *callerCall) conclude(result *answer, pick *balance.Pick, seen balance.Result) {
+func (c *callerCall) conclude(result *answer, pick *balance.Pick, observed balance.Result) {
 	c.relay.close()
 	err := c.deliver(result)
 	if err != nil && !c.callerGone() {
-		seen.Outcome = balance.Failed
+		observed.Outcome = balance.Failed
 	}
 	own := result.transport == nil
 	result.close()
-	pick.Done(seen)
+	pick.Done(observed)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	if own {
-		c.answeredWhole()
+		c.recordAnswer()
 	}
 }
 
 // callerGone reports whether the call ended because its caller left.
 func (c *callerCall) callerGone() bool {
-	return c.life.ctx.Err() != nil && !errors.Is(context.Cause(c.life.ctx), errDeadline)
+	return c.lifetime.ctx.Err() != nil && !errors.Is(context.Cause(c.lifetime.ctx), errDeadline)
 }
 
 // giveUp answers with the failure of the attempts, or says that there is no worker.
@@ -107,9 +107,9 @@
 	c.fail(failure)
 }
 
-// refuse answers that the request is run no more, or, when an attempt may have run, with
+// refuseQuarantined answers that the request is run no more, or, when an attempt may have run, with
 // that attempt's failure.
-func (c *callerCall) refuse(err error) {
+func (c *callerCall) refuseQuarantined(err error) {
 	if failure := c.attempts.Failure(); failure != nil && outcome.Of(failure) == outcome.Unknown {
 		c.giveUp()
 		return
@@ -121,80 +121,80 @@
 // attempt sends the request to one node, or straight to the worker of this one.
 func (c *callerCall) attempt(endpoint balance.Endpoint) (*answer, balance.Result, error) {
 	if endpoint.ID == c.plane.config.Node && c.plane.worker != nil {
-		return c.attemptHere()
+		return c.attemptLocal()
 	}
 	return c.attemptPeer(endpoint)
 }
 
-func (c *callerCall) attemptHere() (*answer, balance.Result, error) {
+func (c *callerCall) attemptLocal() (*answer, balance.Result, error) {
 	worker := c.plane.worker
-	level, _ := c.suspicion()
-	result, err := worker.ask(workerCall{
+	level, _ := c.quarantineLevel()
+	result, err := worker.send(workerCall{
 		level:     level,
 		inbound:   c.request,
 		route:     c.route,
 		body:      c.body,
-		life:      c.life,
+		lifetime:      c.lifetime,
 		relay:     &c.relay,
-		allowance: c.carried,
+		allowance: c.attemptAllowance,
 		expect:    c.request.Header.Get("Expect") != "",
 		tenant:    c.tenant,
 	})
-	seen := balance.Result{
+	observed := balance.Result{
 		Load:      worker.gate.Load(),
 		LoadKnown: true,
 		Draining:  c.plane.draining.Load(),
 	}
 	if outcome.ReasonOf(err) == outcome.WorkerCrashed {
-		c.crashed(level)
+		c.recordCrash(level)
 	}
 	if err != nil {
-		seen.Outcome = blame(err)
-		return nil, seen, err
+		observed.Outcome = balancerOutcome(err)
+		return nil, observed, err
 	}
-	seen.Latency = result.latency
-	return result, seen, nil
+	observed.Latency = result.latency
+	return result, observed, nil
 }
 
 func (c *callerCall) attemptPeer(endpoint balance.Endpoint) (*answer, balance.Result, error) {
 	transport := c.plane.peers.get(endpoint.ID, endpoint.Address)
-	sending := sending{
+	sending := roundTrip{
 		transport: transport.Transport,
 		request:   c.peerRequest(endpoint.Address),
 		body:      c.body,
 		relay:     &c.relay,
 	}
 	began := time.Now()
-	response, err := sending.do(c.life.ctx)
+	response, err := sending.do(c.lifetime.ctx)
 	if err != nil {
-		transport.used()
-		return nil, balance.Result{Outcome: blame(err)}, err
+		transport.callEnded()
+		return nil, balance.Result{Outcome: balancerOutcome(err)}, err
 	}
-	c.plane.hear(response.Header)
-	seen := readMarks(response.Header)
-	if seen.Draining {
+	c.plane.receiveEvidence(response.Header)
+	observed := readStatusHeaders(response.Header)
+	if observed.Draining {
 		c.plane.peers.retire(endpoint.Address)
 	}
-	seen.Latency = time.Since(began)
-	if err := failureOf(response, seen.LoadKnown); err != nil {
+	observed.Latency = time.Since(began)
+	if err := failureOf(response, observed.LoadKnown); err != nil {
 		discard(response)
-		transport.used()
-		seen.Outcome = blame(err)
-		return nil, seen, err
+		transport.callEnded()
+		observed.Outcome = balancerOutcome(err)
+		return nil, observed, err
 	}
-	return &answer{response: response, latency: seen.Latency, transport: transport}, seen, nil
+	return &answer{response: response, latency: observed.Latency, transport: transport}, observed, nil
 }
 
 // peerRequest returns the request to another node, without its body.
 func (c *callerCall) peerRequest(address string) *http.Request {
 	header := outgoingHeader(c.request)
 	header[routeHeader] = []string{c.route.Name}
-	header[retry.AttemptsLeftHeader] = []string{c.carried.String()}
-	if left, ok := c.life.left(); ok {
+	header[retry.AttemptsLeftHeader] = []string{c.attemptAllowance.String()}
+	if left, ok := c.lifetime.left(); ok {
 		header[retry.DeadlineHeader] = []string{retry.FormatDeadline(left)}
 	}
 	setTenant(header, c.tenant)
-	c.plane.tellPeer(header, address)
+	c.plane.addEvidence(header, address)
 	if c.body.streamed {
 		// A long body is held back until the other node has admitted the request.
 		header["Expect"] = []string{expectContinue}
@@ -209,24 +209,24 @@
 	return outgoingRequest(c.request, scheme, address, header)
 }
 
-// readMarks reads what another node says of itself.
-func readMarks(header http.Header) balance.Result {
-	seen := balance.Result{Draining: header.Get(drainingHeader) == drainingMark}
+// readStatusHeaders reads what another node says of itself.
+func readStatusHeaders(header http.Header) balance.Result {
+	observed := balance.Result{Draining: header.Get(drainingHeader) == drainingMark}
 	load, err := strconv.ParseUint(header.Get(loadHeader), 10, 16)
 	if err == nil {
-		seen.Load = min(float64(load)/loadScale, 1)
-		seen.LoadKnown = true
+		observed.Load = min(float64(load)/loadScale, 1)
+		observed.LoadKnown = true
 	}
-	return seen
+	return observed
 }
 
 // failureOf returns the failure that another node reported, or nil for an
 // answer. An answer without marks does not come from a node's PeerHandler. A
 // failure may: a node that is not ready yet refuses before its PeerHandler.
-func failureOf(response *http.Response, marked bool) error {
+func failureOf(response *http.Response, hasStatus bool) error {
 	reported, reason := outcome.FromResponse(response.Header)
 	if reported == outcome.Answered {
-		if !marked || !endsDetectably(response) {
+		if !hasStatus || !endsDetectably(response) {
 			return outcome.New(outcome.InvalidAnswer)
 		}
 		return nil
@@ -249,8 +249,8 @@
 	return outcome.NotSpecified
 }
 
-// blame tells the balancer what a failure says of the node.
-func blame(err error) balance.Outcome {
+// balancerOutcome tells the balancer what a failure says of the node.
+func balancerOutcome(err error) balance.Outcome {
 	switch outcome.ReasonOf(err) {
 	case outcome.Overloaded, outcome.Draining, outcome.RefusedByOwnWorker,
 		outcome.Malformed, outcome.DeadlineBeforeStart:
--- a/internal/dataplane/authentication_test.go
+++ b/internal/dataplane/authentication_test.go
@@ -16,7 +16,7 @@
 const markedKey = "marked-key-of-acme"
 
 // calls returns how many calls of callers have ended.
-func (w *watcher) calls() int {
+func (w *recordingObserver) calls() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return len(w.reports)
@@ -44,8 +44,8 @@
 	m.current.Store(m.snapshot(version, resources))
 }
 
-// TestWhoMayCall asks by way of a node without a worker, and of the one beside it.
-func TestWhoMayCall(t *testing.T) {
+// TestTenantAuthentication asks by way of a node without a worker, and of the one beside it.
+func TestTenantAuthentication(t *testing.T) {
 	m := newMesh(t)
 	var seen atomic.Pointer[http.Header]
 	beside := m.addHandler("beside", func(_ http.ResponseWriter, r *http.Request) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestKeysAreThoseInForce takes the tenants away again.
-func TestKeysAreThoseInForce(t *testing.T) {
+// TestKeysFollowTheVersionInForce takes the tenants away again.
+func TestKeysFollowTheVersionInForce(t *testing.T) {
 	m := newMesh(t)
 	var seen atomic.Pointer[http.Header]
 	m.addHandler("beside", func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/dataplane/body.go
+++ b/internal/dataplane/body.go
@@ -27,8 +27,8 @@
 	pace     pace
 	buffered []byte
 	streamed bool
-	// moved is called after each part read from a streamed body.
-	moved func()
+	// onProgress is called after each part read from a streamed body.
+	onProgress func()
 
 	started     atomic.Bool // something was read of a streamed body
 	complete    atomic.Bool // the end was seen
@@ -223,7 +223,7 @@
 		b.finish()
 	}
 	if n > 0 || err == io.EOF {
-		b.moved()
+		b.onProgress()
 	}
 	return n, err
 }
--- a/internal/dataplane/bounds_test.go
+++ b/internal/dataplane/bounds_test.go
@@ -25,7 +25,7 @@
 		defer life.end()
 		for range 100 {
 			time.Sleep(9 * time.Second) // virtual time
-			life.uploadMoved()
+			life.uploadProgressed()
 		}
 		requireCut(t, life, 0, false, "an upload that moves on was cut")
 		requireCut(t, life, 11*time.Second, true, "an upload that stands still was not cut")
@@ -42,7 +42,7 @@
 		})
 		defer life.end()
 		time.Sleep(4 * time.Second)
-		life.answerMoved(3 * time.Second)
+		life.answerProgressed(3 * time.Second)
 		requireCut(t, life, 2*time.Second, false, "the answer was cut at a deadline that bounds its beginning only")
 		requireCut(t, life, 2*time.Second, true, "a silent answer was not cut")
 	})
@@ -55,7 +55,7 @@
 		defer life.end()
 		for range 4 {
 			time.Sleep(time.Second)
-			life.answerMoved(10 * time.Second)
+			life.answerProgressed(10 * time.Second)
 		}
 		requireCut(t, life, 0, false, "cut too early")
 		requireCut(t, life, 2*time.Second, true, "the end given by the caller does not hold")
--- a/internal/dataplane/caller.go
+++ b/internal/dataplane/caller.go
@@ -20,7 +20,7 @@
 	destination *destination
 	allowance   retry.Allowance
 	attempts    retry.Attempts
-	carried     retry.Allowance // by the attempt under way
+	attemptAllowance     retry.Allowance // by the attempt under way
 	// answered is set when a whole answer or a failure was written.
 	answered bool
 }
--- a/internal/dataplane/destination.go
+++ b/internal/dataplane/destination.go
@@ -52,7 +52,7 @@
 // date with the directory.
 func (p *Plane) refreshMembers(d *destination) {
 	d.refresh(p.config.Directory)
-	p.peers.compare(p.config.Directory())
+	p.peers.retireUnlisted(p.config.Directory())
 }
 
 // refresh hands the members to the balancer when they have changed.
--- a/internal/dataplane/failure.go
+++ b/internal/dataplane/failure.go
@@ -8,8 +8,8 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// failureTime bounds the writing of a failure.
-const failureTime = 5 * time.Second
+// failureWriteTimeout bounds the writing of a failure.
+const failureWriteTimeout = 5 * time.Second
 
 // writeFailure answers a request that got no answer from a worker. It returns
 // the status.
@@ -22,7 +22,7 @@
 	if closing {
 		header[connectionName] = []string{closeValue}
 	}
-	_ = control.SetWriteDeadline(time.Now().Add(failureTime))
+	_ = control.SetWriteDeadline(time.Now().Add(failureWriteTimeout))
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(message))
 	return status
--- a/internal/dataplane/faults_test.go
+++ b/internal/dataplane/faults_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestPeerLegIsNotResentEither(t *testing.T) {
+func TestPeerRequestIsNotResent(t *testing.T) {
 	m := newMesh(t)
 	peer := newRawWorker(t, breaking("HTTP/1.1 200 OK\r\nLevertide-Load: 0\r\nContent-Length: 2\r\n\r\nok", onUsedConnection))
 	m.join("a", peer.address())
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestOnlyTheMarkerIsARefusal(t *testing.T) {
+func TestOnlyMarked503IsARefusal(t *testing.T) {
 	m := newMesh(t)
 	var runs atomic.Int64
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestNodeThatIsNotReadyIsPassedOver(t *testing.T) {
+func TestNodeThatIsNotReadyIsSkipped(t *testing.T) {
 	m := newMesh(t)
 	m.join("a", listen(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(outcome.SetHeaders(w.Header(), outcome.New(outcome.NotReady)))
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestStrangerAtANodesAddressIsUnknown(t *testing.T) {
+func TestAnswerOfAnUnknownPeerIsUnknown(t *testing.T) {
 	m := newMesh(t)
 	m.join("a", listen(t, func(http.ResponseWriter, *http.Request) {}))
 	m.call("POST", "/never", "x").expect(t, http.StatusBadGateway, "unknown")
--- a/internal/dataplane/fixture_test.go
+++ b/internal/dataplane/fixture_test.go
@@ -57,37 +57,37 @@
 	plane   *Plane
 	callers *httptest.Server
 	peers   *httptest.Server
-	watch   *watcher
+	watch   *recordingObserver
 }
 
-// watcher keeps what a plane reports.
-type watcher struct {
+// recordingObserver keeps what a plane reports.
+type recordingObserver struct {
 	noObserver
 	mutex   sync.Mutex
 	reports []CallReport
 	peers   int
 }
 
-func (w *watcher) CallFinished(report CallReport) {
+func (w *recordingObserver) CallFinished(report CallReport) {
 	w.mutex.Lock()
 	w.reports = append(w.reports, report)
 	w.mutex.Unlock()
 }
 
-func (w *watcher) PeerCallFinished(CallReport) {
+func (w *recordingObserver) PeerCallFinished(CallReport) {
 	w.mutex.Lock()
 	w.peers++
 	w.mutex.Unlock()
 }
 
 // peerReports returns how many calls of other nodes have ended.
-func (w *watcher) peerReports() int {
+func (w *recordingObserver) peerReports() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.peers
 }
 
-func (w *watcher) last() CallReport {
+func (w *recordingObserver) last() CallReport {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.reports[len(w.reports)-1]
@@ -147,7 +147,7 @@
 }
 
 func (m *mesh) start(id, worker string, change ...func(*Config)) *testNode {
-	watch := &watcher{}
+	watch := &recordingObserver{}
 	config := Config{
 		Node: id, Region: "region", Zone: "zone",
 		Current:   m.current.Load,
--- a/internal/dataplane/inbound.go
+++ b/internal/dataplane/inbound.go
@@ -15,7 +15,7 @@
 	request *http.Request
 	control *http.ResponseController
 	body    *requestBody
-	life    *lifetime // nil until the route is known
+	lifetime    *lifetime // nil until the route is known
 	relay   informationalRelay
 	began   time.Time
 	report  CallReport
@@ -55,8 +55,8 @@
 func (c *inboundCall) startLifetime(options lifetimeOptions) {
 	options.Interrupt = c.body.interrupt
 	options.Suspended = c.plane.config.Suspended
-	c.life = newLifetime(c.request.Context(), options)
-	c.body.moved = c.life.uploadMoved
+	c.lifetime = newLifetime(c.request.Context(), options)
+	c.body.onProgress = c.lifetime.uploadProgressed
 }
 
 // deliver passes an answer on. After an error, which means that it did not
@@ -68,7 +68,7 @@
 		writer:   c.writer,
 		control:  c.control,
 		response: result.response,
-		life:     c.life,
+		lifetime:     c.lifetime,
 		stall:    c.limits.Stall,
 		pace:     pace{grace: c.limits.Grace, rate: c.limits.MinimumRate},
 		closing:  c.closing(),
@@ -93,8 +93,8 @@
 
 // finish releases what the call holds and completes its report.
 func (c *inboundCall) finish(answered bool, attempts int) {
-	if c.life != nil {
-		c.life.end()
+	if c.lifetime != nil {
+		c.lifetime.end()
 	}
 	c.body.release(answered)
 	c.report.Attempts = attempts
--- a/internal/dataplane/lifetime.go
+++ b/internal/dataplane/lifetime.go
@@ -51,14 +51,14 @@
 	return max(min(step, time.Until(deadline)), 0)
 }
 
-// uploadMoved is called when a part of a streamed body came from the caller.
-func (l *lifetime) uploadMoved() {
+// uploadProgressed is called when a part of a streamed body came from the caller.
+func (l *lifetime) uploadProgressed() {
 	l.timer.Reset(shorter(l.options.Step, l.options.Deadline))
 }
 
-// answerMoved is called with the bound on silence when the answer begins and
+// answerProgressed is called with the bound on silence when the answer begins and
 // when a part of it came.
-func (l *lifetime) answerMoved(stall time.Duration) {
+func (l *lifetime) answerProgressed(stall time.Duration) {
 	l.timer.Reset(shorter(stall, l.options.End))
 }
 
@@ -78,8 +78,8 @@
 	l.cancel(errCallEnded)
 }
 
-// admission returns the context to wait for a slot with: it knows the deadline.
-func (l *lifetime) admission() context.Context {
+// admissionContext returns the context to wait for a slot with: it knows the deadline.
+func (l *lifetime) admissionContext() context.Context {
 	return deadlineContext{Context: l.ctx, deadline: l.options.Deadline}
 }
 
--- a/internal/dataplane/network_test.go
+++ b/internal/dataplane/network_test.go
@@ -59,8 +59,8 @@
 }
 
 // addBehindToxic starts a worker's node with a proxy on one of its legs.
-func (m *mesh) addBehindToxic(t *testing.T, leg, worker string) *toxiproxy.Proxy {
-	if leg == "worker" {
+func (m *mesh) addBehindToxic(t *testing.T, connection, worker string) *toxiproxy.Proxy {
+	if connection == "worker" {
 		proxy := newToxic(t, worker)
 		m.addWorker("a", proxy.Listen)
 		return proxy
--- a/internal/dataplane/pace.go
+++ b/internal/dataplane/pace.go
@@ -10,18 +10,18 @@
 	grace  time.Duration
 	rate   int64 // bytes a second
 	waited time.Duration
-	moved  int64
+	transferred  int64
 }
 
 // remaining returns how long the next step may take; zero or less when the
 // bound is used up.
 func (p *pace) remaining() time.Duration {
-	earned := time.Duration(float64(p.moved) / float64(p.rate) * float64(time.Second))
+	earned := time.Duration(float64(p.transferred) / float64(p.rate) * float64(time.Second))
 	return p.grace + earned - p.waited
 }
 
 // step counts a step that moved bytes and took some time.
 func (p *pace) step(bytes int, took time.Duration) {
-	p.moved += int64(bytes)
+	p.transferred += int64(bytes)
 	p.waited += took
 }
--- a/internal/dataplane/peer.go
+++ b/internal/dataplane/peer.go
@@ -23,9 +23,9 @@
 func (p *Plane) servePeer(w http.ResponseWriter, r *http.Request) {
 	c := &peerCall{newInboundCall(p, &p.peerLimits, w, r)}
 	defer c.end()
-	result, err := c.ask()
+	result, err := c.callWorker()
 	c.relay.close()
-	c.setMarks()
+	c.setStatusHeaders()
 	if err != nil {
 		if known := evidencewire.Header(c.plane.config.Quarantine, time.Now()); known != "" {
 			c.writer.Header()[evidenceHeader] = []string{known}
@@ -37,11 +37,11 @@
 	if c.deliver(result) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	c.answeredWhole()
+	c.recordAnswer()
 }
 
-// ask has the worker answer, unless the node drains.
-func (c *peerCall) ask() (*answer, error) {
+// callWorker has the worker answer, unless the node drains.
+func (c *peerCall) callWorker() (*answer, error) {
 	if !c.enter(&c.plane.peerCalls, c.plane.draining.Load) {
 		return nil, outcome.New(outcome.Draining)
 	}
@@ -58,16 +58,16 @@
 		return nil, outcome.Wrap(outcome.BodyNotReceived, err)
 	}
 	c.tenant = c.request.Header.Get(tenantHeader)
-	c.plane.hear(c.request.Header)
-	level, quarantined := c.suspicion()
+	c.plane.receiveEvidence(c.request.Header)
+	level, quarantined := c.quarantineLevel()
 	if quarantined {
 		return nil, outcome.New(outcome.Quarantined)
 	}
-	result, err := c.plane.worker.ask(workerCall{
+	result, err := c.plane.worker.send(workerCall{
 		inbound:   c.request,
 		route:     route,
 		body:      c.body,
-		life:      c.life,
+		lifetime:      c.lifetime,
 		relay:     &c.relay,
 		allowance: allowance,
 		level:     level,
@@ -75,7 +75,7 @@
 		tenant:    c.tenant,
 	})
 	if outcome.ReasonOf(err) == outcome.WorkerCrashed {
-		c.crashed(level)
+		c.recordCrash(level)
 	}
 	return result, err
 }
@@ -96,22 +96,22 @@
 
 // boundTime bounds the call by the time that the other node gives it, else by
 // that of the route.
-func (c *peerCall) boundTime(route *routing.Route, left callBounds) {
+func (c *peerCall) boundTime(route *routing.Route, bounds callBounds) {
 	options := lifetimeOptions{Step: route.Timeout}
 	switch {
-	case left.given:
-		options.Deadline = c.began.Add(left.left)
+	case bounds.given:
+		options.Deadline = c.began.Add(bounds.left)
 	case !c.body.streamed:
 		options.Deadline = c.began.Add(route.Timeout)
 	}
-	if left.given && !c.body.streamed {
-		options.Step = left.left
+	if bounds.given && !c.body.streamed {
+		options.Step = bounds.left
 	}
 	c.startLifetime(options)
 }
 
-// setMarks tells the other node the load and whether this node is leaving.
-func (c *peerCall) setMarks() {
+// setStatusHeaders tells the other node the load and whether this node is leaving.
+func (c *peerCall) setStatusHeaders() {
 	header := c.writer.Header()
 	header[loadHeader] = []string{strconv.Itoa(c.plane.load())}
 	if c.plane.draining.Load() {
--- a/internal/dataplane/plane.go
+++ b/internal/dataplane/plane.go
@@ -26,8 +26,8 @@
 	destinations destinations
 
 	peers  *peerPool
-	told   told
-	worker *workerLeg
+	evidenceSent   evidenceSendTimes
+	worker *workerClient
 
 	callerCalls inFlight
 	peerCalls   inFlight
@@ -59,7 +59,7 @@
 	p.peers = newPeerPool(&p.config)
 	p.destinations.make = p.newDestination
 	if config.WorkerAddress != "" {
-		p.worker = newWorkerLeg(&p.config)
+		p.worker = newWorkerClient(&p.config)
 	}
 	return p, nil
 }
@@ -146,6 +146,6 @@
 func (p *Plane) Close() {
 	p.peers.close()
 	if p.worker != nil {
-		p.worker.current().CloseIdleConnections()
+		p.worker.currentTransport().CloseIdleConnections()
 	}
 }
--- a/internal/dataplane/pool.go
+++ b/internal/dataplane/pool.go
@@ -15,9 +15,9 @@
 	retired atomic.Bool
 }
 
-// used is called at the end of each call. Connections that became unused after
+// callEnded is called at the end of each call. Connections that became unused after
 // the address was retired are closed.
-func (t *peerTransport) used() {
+func (t *peerTransport) callEnded() {
 	if t.retired.Load() {
 		t.CloseIdleConnections()
 	}
@@ -83,9 +83,9 @@
 	t.CloseIdleConnections()
 }
 
-// compare retires the addresses of nodes that a new directory does not list as
+// retireUnlisted retires the addresses of nodes that a new directory does not list as
 // live there.
-func (p *peerPool) compare(view *membership.View) {
+func (p *peerPool) retireUnlisted(view *membership.View) {
 	former := p.view.Load()
 	if view == nil || view == former || !p.view.CompareAndSwap(former, view) {
 		return
--- a/internal/dataplane/rules_test.go
+++ b/internal/dataplane/rules_test.go
@@ -81,7 +81,7 @@
 		if bounds, allowance, err := readBounds(r.Header); err == nil && (bounds.left < 0 || allowance > 10) {
 			t.Fatalf("bounds %v, allowance %d", bounds, allowance)
 		}
-		if seen := readMarks(r.Header); seen.Load < 0 || seen.Load > 1 {
+		if seen := readStatusHeaders(r.Header); seen.Load < 0 || seen.Load > 1 {
 			t.Fatalf("load %v", seen.Load)
 		}
 		asksForUpgrade(r.Header)
--- a/internal/dataplane/send.go
+++ b/internal/dataplane/send.go
@@ -10,8 +10,8 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// sending is one request on its way over one leg.
-type sending struct {
+// roundTrip is one request on its way over one leg.
+type roundTrip struct {
 	transport *http.Transport
 	request   *http.Request
 	body      *requestBody
@@ -23,15 +23,15 @@
 
 // do sends the request and returns the head of the answer. Errors are those of
 // package outcome: not-run when nothing was written on any connection.
-func (s *sending) do(ctx context.Context) (*http.Response, error) {
-	response, err := s.try(ctx)
+func (s *roundTrip) do(ctx context.Context) (*http.Response, error) {
+	response, err := s.sendOnce(ctx)
 	if err != nil && s.metStaleConnection(ctx, err) {
-		response, err = s.try(ctx)
+		response, err = s.sendOnce(ctx)
 	}
 	return response, err
 }
 
-func (s *sending) try(ctx context.Context) (*http.Response, error) {
+func (s *roundTrip) sendOnce(ctx context.Context) (*http.Response, error) {
 	s.conn, s.reused = nil, false
 	s.body.attach(s.request)
 	trace := &httptrace.ClientTrace{GotConn: s.gotConn, Got1xxResponse: s.relay.relay}
@@ -46,7 +46,7 @@
 	return response, nil
 }
 
-func (s *sending) gotConn(info httptrace.GotConnInfo) {
+func (s *roundTrip) gotConn(info httptrace.GotConnInfo) {
 	tracked, ok := info.Conn.(*httpleg.Conn)
 	if !ok {
 		return
@@ -57,12 +57,12 @@
 
 // metStaleConnection reports whether a kept connection turned out to be closed
 // before anything was written on it.
-func (s *sending) metStaleConnection(ctx context.Context, err error) bool {
+func (s *roundTrip) metStaleConnection(ctx context.Context, err error) bool {
 	return s.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && s.body.repeatable()
 }
 
 // classify tells what became of a request that got no answer.
-func (s *sending) classify(ctx context.Context, err error) error {
+func (s *roundTrip) classify(ctx context.Context, err error) error {
 	nothingWritten := s.conn == nil || s.conn.Seal()
 	if nothingWritten {
 		return outcome.Wrap(s.reasonBeforeStart(ctx), err)
@@ -70,7 +70,7 @@
 	return outcome.Wrap(s.reasonAfterStart(ctx), err)
 }
 
-func (s *sending) reasonBeforeStart(ctx context.Context) outcome.Reason {
+func (s *roundTrip) reasonBeforeStart(ctx context.Context) outcome.Reason {
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
 		return outcome.DeadlineBeforeStart
@@ -83,7 +83,7 @@
 	}
 }
 
-func (s *sending) reasonAfterStart(ctx context.Context) outcome.Reason {
+func (s *roundTrip) reasonAfterStart(ctx context.Context) outcome.Reason {
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
 		return outcome.Timeout
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// readHeaderTime bounds the arrival of a request's head.
-	readHeaderTime = 10 * time.Second
+	// readHeaderTimeout bounds the arrival of a request's head.
+	readHeaderTimeout = 10 * time.Second
 	// addedHeaderBytes is room for what a node adds to the head of a request.
 	addedHeaderBytes = 8 << 10
 )
@@ -18,11 +18,11 @@
 func (p *Plane) CallerServer() *http.Server {
 	return &http.Server{
 		Handler:                      p.CallerHandler(),
-		ReadHeaderTimeout:            readHeaderTime,
+		ReadHeaderTimeout:            readHeaderTimeout,
 		IdleTimeout:                  p.limits.CallerIdle,
 		MaxHeaderBytes:               p.limits.HeaderBytes,
 		DisableGeneralOptionsHandler: true,
-		ConnState:                    p.callerConnections.follow,
+		ConnState:                    p.callerConnections.trackConnState,
 	}
 }
 
@@ -31,16 +31,16 @@
 func (p *Plane) PeerServer() *http.Server {
 	return &http.Server{
 		Handler:                      p.PeerHandler(),
-		ReadHeaderTimeout:            readHeaderTime,
+		ReadHeaderTimeout:            readHeaderTimeout,
 		IdleTimeout:                  p.limits.PeerServerIdle,
 		MaxHeaderBytes:               p.limits.HeaderBytes + addedHeaderBytes,
 		DisableGeneralOptionsHandler: true,
-		ConnState:                    p.peerConnections.follow,
+		ConnState:                    p.peerConnections.trackConnState,
 	}
 }
 
-// follow counts the connections that are open. It is a ConnState of http.Server.
-func (f *inFlight) follow(_ net.Conn, state http.ConnState) {
+// trackConnState counts the connections that are open. It is a ConnState of http.Server.
+func (f *inFlight) trackConnState(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		f.enter()
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -19,26 +19,26 @@
 const (
 	// evidenceHeader carries what a node knows of such requests.
 	evidenceHeader = "Levertide-Evidence"
-	// evidencePause is how long what another node was told is not told it again. It may
+	// evidenceResendInterval is how long what another node was told is not told it again. It may
 	// have been restarted since, and its workers must hear within seconds.
-	evidencePause = time.Second
+	evidenceResendInterval = time.Second
 )
 
-// told is when other nodes were told what this one knows, by address. The zero value is
+// evidenceSendTimes is when other nodes were evidenceSendTimes what this one knows, by address. The zero value is
 // ready.
-type told struct {
+type evidenceSendTimes struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 }
 
 // due reports whether an address is to be told again, and counts it as told.
-func (t *told) due(address string, now time.Time) bool {
+func (t *evidenceSendTimes) due(address string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.last == nil {
 		t.last = map[string]time.Time{}
 	}
-	if now.Sub(t.last[address]) < evidencePause {
+	if now.Sub(t.last[address]) < evidenceResendInterval {
 		return false
 	}
 	t.last[address] = now
@@ -68,9 +68,9 @@
 	return request.Fingerprint(), true
 }
 
-// suspicion returns how many crashes speak against the request of a call, and whether it is
+// quarantineLevel returns how many crashes speak against the request of a call, and whether it is
 // quarantined.
-func (c *inboundCall) suspicion() (level int, quarantined bool) {
+func (c *inboundCall) quarantineLevel() (level int, quarantined bool) {
 	table := c.plane.config.Quarantine
 	if table.Empty() {
 		return 0, false
@@ -82,24 +82,24 @@
 	return table.Level(f, time.Now())
 }
 
-// quarantined returns the failure of a request that is run no more; nil for any other.
-func (c *inboundCall) quarantined() error {
-	if _, found := c.suspicion(); found {
+// checkQuarantine returns the failure of a request that is run no more; nil for any other.
+func (c *inboundCall) checkQuarantine() error {
+	if _, found := c.quarantineLevel(); found {
 		return outcome.New(outcome.Quarantined)
 	}
 	return nil
 }
 
-// crashed takes that a worker has ended with the call in hand. The life of the worker is
+// recordCrash takes that a worker has ended with the call in hand. The life of the worker is
 // told from others by the time: a node does not know more of it.
-func (c *inboundCall) crashed(level int) {
+func (c *inboundCall) recordCrash(level int) {
 	if f, ok := c.fingerprint(); ok {
 		c.plane.config.Quarantine.Crashed(f, c.plane.config.Node+" "+time.Now().UTC().Format(time.RFC3339), level, time.Now())
 	}
 }
 
-// answeredWhole takes that the worker has answered the call.
-func (c *inboundCall) answeredWhole() {
+// recordAnswer takes that the worker has answered the call.
+func (c *inboundCall) recordAnswer() {
 	if c.plane.config.Quarantine.Empty() {
 		return
 	}
@@ -109,16 +109,16 @@
 	}
 }
 
-// tellPeer puts what this node knows into the header of a call to another node.
-func (p *Plane) tellPeer(header http.Header, address string) {
+// addEvidence puts what this node knows into the header of a call to another node.
+func (p *Plane) addEvidence(header http.Header, address string) {
 	now := time.Now()
-	if p.config.Quarantine.Empty() || !p.told.due(address, now) {
+	if p.config.Quarantine.Empty() || !p.evidenceSent.due(address, now) {
 		return
 	}
 	header[evidenceHeader] = []string{evidencewire.Header(p.config.Quarantine, now)}
 }
 
-// hear takes what another node tells in the header of a call or of an answer.
-func (p *Plane) hear(header http.Header) {
+// receiveEvidence takes what another node tells in the header of a call or of an answer.
+func (p *Plane) receiveEvidence(header http.Header) {
 	evidencewire.TakeHeader(p.config.Quarantine, header.Get(evidenceHeader), time.Now())
 }
--- a/internal/dataplane/doubt_test.go
+++ b/internal/dataplane/unknownoutcome_test.go
@@ -7,7 +7,7 @@
 
 // A repeatable request whose first attempt may have run is not reported as
 // not-run because a later attempt was refused.
-func TestNotRunIsNotSaidAfterAnAttemptThatMayHaveRun(t *testing.T) {
+func TestNotRunIsNotReportedAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nLevertide-Outcome: not-run\r\nContent-Length: 0\r\n\r\n"
 	m := newMesh(t)
 	worker := m.addRaw(breaking(refusal, func(_ int, inAll int64) bool { return inAll == 1 }), "a", "b")
--- a/internal/dataplane/worker.go
+++ b/internal/dataplane/worker.go
@@ -22,11 +22,11 @@
 // than most runs last, and short enough to turn elsewhere.
 const longestIsolation = 500 * time.Millisecond
 
-// workerLeg is the way from this node to its worker.
-type workerLeg struct {
+// workerClient is the way from this node to its worker.
+type workerClient struct {
 	address string
-	// connect returns a transport that opens the given number of connections at most.
-	connect func(connections int) *http.Transport
+	// makeTransport returns a transport that opens the given number of connections at most.
+	makeTransport func(connections int) *http.Transport
 	gate    *admission.Gate
 	// crashes tells the end of the worker from the loss of one connection.
 	crashes *crashwatch.Watch
@@ -39,10 +39,10 @@
 	connections int
 }
 
-func newWorkerLeg(config *Config) *workerLeg {
-	l := &workerLeg{
+func newWorkerClient(config *Config) *workerClient {
+	l := &workerClient{
 		address: config.WorkerAddress,
-		connect: func(connections int) *http.Transport { return newWorkerTransport(config, connections) },
+		makeTransport: func(connections int) *http.Transport { return newWorkerTransport(config, connections) },
 		gate:    admission.New(admission.Options{}),
 		crashes: crashwatch.New(config.Dial),
 	}
@@ -53,7 +53,7 @@
 // applyLimits gives the gate the limits of a service. A start that was reported
 // before the first of them is reported again, since the gate did not know then
 // how long slow start takes.
-func (l *workerLeg) applyLimits(service *model.Service) {
+func (l *workerClient) applyLimits(service *model.Service) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	options := gateOptions(service)
@@ -87,27 +87,27 @@
 // limitConnections has further requests use a transport that keeps to the connections that the
 // worker accepts. Requests under way keep theirs. The mutex is held, or nobody else has the leg
 // yet.
-func (l *workerLeg) limitConnections(options admission.Options) {
+func (l *workerClient) limitConnections(options admission.Options) {
 	connections := connectionsFor(options)
 	if connections == l.connections {
 		return
 	}
 	former := l.transport
-	l.transport, l.connections = l.connect(connections), connections
+	l.transport, l.connections = l.makeTransport(connections), connections
 	if former != nil {
 		former.CloseIdleConnections()
 	}
 }
 
-// current returns the transport for further requests.
-func (l *workerLeg) current() *http.Transport {
+// currentTransport returns the transport for further requests.
+func (l *workerClient) currentTransport() *http.Transport {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.transport
 }
 
 // workerStarted begins slow start.
-func (l *workerLeg) workerStarted() {
+func (l *workerClient) workerStarted() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.started = true
@@ -121,7 +121,7 @@
 	inbound   *http.Request
 	route     *routing.Route
 	body      *requestBody
-	life      *lifetime
+	lifetime      *lifetime
 	relay     *informationalRelay
 	allowance retry.Allowance
 	// level is how many crashes of workers speak against the request.
@@ -144,46 +144,46 @@
 func (a *answer) close() {
 	_ = a.response.Body.Close()
 	if a.transport != nil {
-		a.transport.used()
+		a.transport.callEnded()
 	}
 	a.permit.Release(admission.Result{Latency: a.measured})
 }
 
-// ask admits a request and sends it to the worker. A suspect waits until the worker has no
+// send admits a request and sends it to the worker. A suspect waits until the worker has no
 // other one in hand.
-func (l *workerLeg) ask(call workerCall) (*answer, error) {
+func (l *workerClient) send(call workerCall) (*answer, error) {
 	if call.level > 0 {
-		if !l.crashes.Isolate(call.life.ctx, time.Now().Add(longestIsolation)) {
+		if !l.crashes.Isolate(call.lifetime.ctx, time.Now().Add(longestIsolation)) {
 			return nil, outcome.WithRetryAfter(outcome.Overloaded, refusedRetryAfter)
 		}
 		defer l.crashes.EndIsolation()
 	}
-	permit, err := l.gate.Admit(call.life.admission(), priorityOf(call.route))
+	permit, err := l.gate.Admit(call.lifetime.admissionContext(), priorityOf(call.route))
 	if err != nil {
 		return nil, shedError(err)
 	}
 	began := time.Now()
-	sending := sending{
-		transport: l.current(),
+	sending := roundTrip{
+		transport: l.currentTransport(),
 		request:   l.request(call),
 		body:      call.body,
 		relay:     call.relay,
 	}
 	l.crashes.Begin()
-	response, err := sending.do(call.life.ctx)
+	response, err := sending.do(call.lifetime.ctx)
 	l.crashes.End()
 	if err != nil {
 		permit.Release(admission.Result{})
-		if outcome.ReasonOf(err) == outcome.ConnectionLost && l.crashes.Ended(call.life.ctx, l.address) {
+		if outcome.ReasonOf(err) == outcome.ConnectionLost && l.crashes.Ended(call.lifetime.ctx, l.address) {
 			return nil, outcome.Wrap(outcome.WorkerCrashed, err)
 		}
 		return nil, err
 	}
-	return l.accept(call, response, permit, time.Since(began))
+	return l.acceptResponse(call, response, permit, time.Since(began))
 }
 
-// accept sorts out answers that are none.
-func (l *workerLeg) accept(call workerCall, response *http.Response, permit admission.Permit, latency time.Duration) (*answer, error) {
+// acceptResponse sorts out answers that are none.
+func (l *workerClient) acceptResponse(call workerCall, response *http.Response, permit admission.Permit, latency time.Duration) (*answer, error) {
 	if outcome.RefusedByWorker(response.StatusCode, response.Header) {
 		discard(response)
 		permit.Release(admission.Result{Refused: true})
@@ -201,9 +201,9 @@
 	return result, nil
 }
 
-func (l *workerLeg) request(call workerCall) *http.Request {
+func (l *workerClient) request(call workerCall) *http.Request {
 	header := outgoingHeader(call.inbound)
-	if left, ok := call.life.left(); ok {
+	if left, ok := call.lifetime.left(); ok {
 		header[retry.DeadlineHeader] = []string{retry.FormatDeadline(left)}
 	}
 	header[retry.AttemptsLeftHeader] = []string{call.allowance.String()}
--- a/internal/httpleg/key.go
+++ b/internal/httpleg/key.go
@@ -59,7 +59,7 @@
 // that of another scheme where a proxy has joined values to a list.
 func (s KeyScheme) holdsKey(value string) bool {
 	first := strings.TrimLeft(value, " \t,")
-	if s.begins(first) {
+	if s.hasSchemePrefix(first) {
 		return true
 	}
 	_, rest, more := strings.Cut(first, ",")
@@ -67,14 +67,14 @@
 		var part string
 		part, rest, more = strings.Cut(rest, ",")
 		part = strings.TrimLeft(part, " \t")
-		if s.begins(part) && strings.ContainsAny(part[len(s.Scheme):min(len(s.Scheme)+1, len(part))], " \t") {
+		if s.hasSchemePrefix(part) && strings.ContainsAny(part[len(s.Scheme):min(len(s.Scheme)+1, len(part))], " \t") {
 			return true
 		}
 	}
 	return false
 }
 
-// begins reports whether a text begins with the name of the scheme.
-func (s KeyScheme) begins(text string) bool {
+// hasSchemePrefix reports whether a text hasSchemePrefix with the name of the scheme.
+func (s KeyScheme) hasSchemePrefix(text string) bool {
 	return len(text) >= len(s.Scheme) && strings.EqualFold(text[:len(s.Scheme)], s.Scheme)
 }
--- a/internal/pipeline/bench_test.go
+++ b/internal/pipeline/bench_test.go
@@ -19,7 +19,7 @@
 	plain := &http.Server{Handler: handler}
 	go func() { _ = plain.Serve(l) }()
 	b.Cleanup(func() { _ = plain.Close() })
-	own := startServed(b, func(cfg *Config) { cfg.Handler = handler })
+	own := startTestServer(b, func(cfg *Config) { cfg.Handler = handler })
 	for _, target := range []struct{ name, address string }{{"net-http", l.Addr().String()}, {"pipeline", own.address}} {
 		for _, depth := range []struct {
 			name  string
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -22,8 +22,8 @@
 	lingerBytes = 1 << 20
 )
 
-// past is a deadline that ends a read that is under way.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline that ends a read that is under way.
+var expiredDeadline = time.Unix(1, 0)
 
 // conn is one connection of a caller. One goroutine reads the requests; each
 // request has one that handles it and writes the answer when its turn has come.
@@ -42,11 +42,11 @@
 	mu sync.Mutex
 	// newest is the last request that was handed to the handler.
 	newest *exchange
-	inHand int
-	// waiting tells that the reader waits for a request to begin.
-	waiting bool
-	// timed tells that reads have an end.
-	timed bool
+	inFlight int
+	// awaitingRequest tells that the reader waits for a request to begin.
+	awaitingRequest bool
+	// hasDeadline tells that reads have an end.
+	hasDeadline bool
 	// stopping has the next answer end the connection; sealed tells that no
 	// further request is taken.
 	stopping, sealed bool
@@ -96,7 +96,7 @@
 		if err != nil {
 			return err
 		}
-		if err := c.takeSlot(); err != nil {
+		if err := c.acquireSlot(); err != nil {
 			return err
 		}
 		if !c.admit(x) {
@@ -125,9 +125,9 @@
 func (c *conn) awaitRequest() error {
 	var err error
 	if c.br.Buffered() == 0 {
-		c.setWaiting(true)
+		c.setAwaitingRequest(true)
 		_, err = c.br.Peek(1)
-		c.setWaiting(false)
+		c.setAwaitingRequest(false)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,21 +137,21 @@
 	return err
 }
 
-func (c *conn) setWaiting(waiting bool) {
+func (c *conn) setAwaitingRequest(waiting bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting = waiting
-	c.retime()
+	c.awaitingRequest = waiting
+	c.updateReadDeadline()
 }
 
-// retime sets the end of the wait for a request. The mutex is held.
-func (c *conn) retime() {
+// updateReadDeadline sets the end of the wait for a request. The mutex is held.
+func (c *conn) updateReadDeadline() {
 	switch {
-	case !c.waiting:
-	case c.inHand > 0:
+	case !c.awaitingRequest:
+	case c.inFlight > 0:
 		c.setDeadline(time.Time{})
 	case c.sealed || c.stopping:
-		c.setDeadline(past)
+		c.setDeadline(expiredDeadline)
 	default:
 		c.setDeadline(time.Now().Add(c.server.cfg.IdleTimeout))
 	}
@@ -160,10 +160,10 @@
 // setDeadline sets the end of reads of requests, unless it is none already. The
 // mutex is held.
 func (c *conn) setDeadline(t time.Time) {
-	if t.IsZero() && !c.timed {
+	if t.IsZero() && !c.hasDeadline {
 		return
 	}
-	c.timed = !t.IsZero()
+	c.hasDeadline = !t.IsZero()
 	_ = c.rwc.SetReadDeadline(t)
 }
 
@@ -174,8 +174,8 @@
 	c.setDeadline(t)
 }
 
-// takeSlot waits until a further request may be handled.
-func (c *conn) takeSlot() error {
+// acquireSlot waits until a further request may be handled.
+func (c *conn) acquireSlot() error {
 	select {
 	case c.slots <- struct{}{}:
 		return nil
@@ -204,7 +204,7 @@
 		defer close(interrupted)
 		select {
 		case <-until:
-			c.setReadDeadline(past)
+			c.setReadDeadline(expiredDeadline)
 		case <-watched:
 		}
 	}()
@@ -245,14 +245,14 @@
 		x.turn = c.newest.ended
 	}
 	c.newest = x
-	c.inHand++
+	c.inFlight++
 	c.sealed = x.last
 	return true
 }
 
-// concluded tells whether the answer that begins now is the last one, and seals the
+// beginAnswer tells whether the answer that begins now is the last one, and seals the
 // connection when its handler wants it to end.
-func (c *conn) concluded(x *exchange, closing bool) bool {
+func (c *conn) beginAnswer(x *exchange, closing bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = c.sealed || closing || c.stopping
@@ -271,8 +271,8 @@
 	<-c.slots
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inHand--
-	c.retime()
+	c.inFlight--
+	c.updateReadDeadline()
 }
 
 // lastEnded is closed when all requests in hand are answered.
@@ -280,12 +280,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.newest == nil {
-		return ended
+		return closedChannel
 	}
 	return c.newest.ended
 }
 
-var ended = func() chan struct{} {
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -296,7 +296,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
-	c.retime()
+	c.updateReadDeadline()
 }
 
 // abort ends the connection at once.
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -32,14 +32,14 @@
 		conn:      c,
 		request:   r,
 		last:      r.Close || !r.ProtoAtLeast(1, 1),
-		bodyEnded: ended,
+		bodyEnded: closedChannel,
 		ended:     make(chan struct{}),
 	}
 	x.response = response{exchange: x, header: http.Header{}}
 	r.RemoteAddr = c.remote
 	if r.ContentLength != 0 {
 		x.bodyEnded = make(chan struct{})
-		x.body = &body{exchange: x, source: r.Body, expected: expectsContinue(r)}
+		x.body = &body{exchange: x, source: r.Body, continuePending: expectsContinue(r)}
 		r.Body = x.body
 	}
 	return x
@@ -103,11 +103,11 @@
 
 	mu     sync.Mutex
 	source io.ReadCloser
-	// expected tells that the caller waits for a word before it sends the body.
-	expected bool
+	// continuePending tells that the caller waits for a word before it sends the body.
+	continuePending bool
 	closed   bool
-	// whole tells that the end was read.
-	whole bool
+	// complete tells that the end was read.
+	complete bool
 }
 
 // errBodyClosed is returned for a body that is read after the handler has ended.
@@ -120,26 +120,26 @@
 	if b.closed {
 		return 0, errBodyClosed
 	}
-	if b.expected {
-		b.expected = false
-		if err := b.exchange.response.proceed(); err != nil {
+	if b.continuePending {
+		b.continuePending = false
+		if err := b.exchange.response.sendContinue(); err != nil {
 			return 0, err
 		}
 	}
 	n, err := b.source.Read(p)
 	switch {
-	case err == io.EOF && !b.whole:
-		b.whole = true
+	case err == io.EOF && !b.complete:
+		b.complete = true
 		close(b.exchange.bodyEnded)
-	case brokeOff(err):
+	case callerDisconnected(err):
 		b.exchange.conn.cancel()
 	}
 	return n, err
 }
 
-// brokeOff reports whether an error of a body means that the caller has gone away:
+// callerDisconnected reports whether an error of a body means that the caller has gone away:
 // not one that it was too slow, nor one that what it sent cannot be read.
-func brokeOff(err error) bool {
+func callerDisconnected(err error) bool {
 	var failed *net.OpError
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &failed) && !failed.Timeout()
 }
@@ -154,7 +154,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.whole
+	return b.complete
 }
 
 // close keeps others that still hold the body from reading what follows it.
@@ -166,12 +166,12 @@
 		defer b.mu.Unlock()
 	} else {
 		// Somebody is reading.
-		b.exchange.conn.setReadDeadline(past)
+		b.exchange.conn.setReadDeadline(expiredDeadline)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 	}
 	b.closed = true
-	if !b.whole {
+	if !b.complete {
 		b.exchange.conn.seal()
 		close(b.exchange.bodyEnded)
 	}
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -13,29 +13,29 @@
 	"time"
 )
 
-// patience bounds waits for what comes much sooner.
-const patience = 20 * time.Second
+// testTimeout bounds waits for what comes much sooner.
+const testTimeout = 20 * time.Second
 
-// served is a server on a port of its own, whose handler a test holds and lets go.
-type served struct {
+// testServer is a server on a port of its own, whose handler a test holds and lets go.
+type testServer struct {
 	server  *Server
 	address string
 
 	mu    sync.Mutex
 	gates map[string]chan struct{}
-	// began gets the path of each request that is handed to the handler, and left
+	// began gets the path of each request that is handed to the handler, and canceled
 	// that of each whose context was canceled.
-	began, left chan string
+	began, canceled chan string
 }
 
-// startServed starts a server. Its handler answers with method, path and body. A
+// startTestServer starts a server. Its handler answers with method, path and body. A
 // path that begins with /hold/ is answered once it is let go.
-func startServed(t testing.TB, configure func(*Config)) *served {
+func startTestServer(t testing.TB, configure func(*Config)) *testServer {
 	t.Helper()
-	s := &served{gates: map[string]chan struct{}{}, began: make(chan string, 1000), left: make(chan string, 1000)}
+	s := &testServer{gates: map[string]chan struct{}{}, began: make(chan string, 1000), canceled: make(chan string, 1000)}
 	cfg := Config{
 		Handler: http.HandlerFunc(s.handle), MaxPipelined: 8, MaxHeaderBytes: 16 << 10,
-		ReadHeaderTimeout: patience, IdleTimeout: patience,
+		ReadHeaderTimeout: testTimeout, IdleTimeout: testTimeout,
 	}
 	if configure != nil {
 		configure(&cfg)
@@ -51,7 +51,7 @@
 	return s
 }
 
-func (s *served) gate(path string) chan struct{} {
+func (s *testServer) gate(path string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.gates[path] == nil {
@@ -60,16 +60,16 @@
 	return s.gates[path]
 }
 
-func (s *served) letGo(path string) { close(s.gate(path)) }
+func (s *testServer) release(path string) { close(s.gate(path)) }
 
-func (s *served) handle(w http.ResponseWriter, r *http.Request) {
+func (s *testServer) handle(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Path
 	s.began <- path
 	if strings.HasPrefix(path, "/hold/") {
 		select {
 		case <-s.gate(path):
 		case <-r.Context().Done():
-			s.left <- path
+			s.canceled <- path
 			return
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 // awaitBegan waits until requests were handed to the handler, in any order.
-func (s *served) awaitBegan(t *testing.T, paths ...string) {
+func (s *testServer) awaitBegan(t *testing.T, paths ...string) {
 	t.Helper()
 	missing := map[string]bool{}
 	for _, path := range paths {
@@ -110,7 +110,7 @@
 	select {
 	case value := <-from:
 		return value
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came")
 		return ""
 	}
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	return &caller{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
@@ -146,21 +146,21 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", path, len(content), content)
 }
 
-// answered is one answer as a caller sees it.
-type answered struct {
+// answer is one answer as a caller sees it.
+type answer struct {
 	status  int
 	closing bool
 	body    string
 }
 
 // next reads the next answer; an error says how the connection ended.
-func (c *caller) next() (answered, error) {
+func (c *caller) next() (answer, error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return answered{}, err
+		return answer{}, err
 	}
 	body, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, closing: response.Close, body: string(body)}, err
+	return answer{status: response.StatusCode, closing: response.Close, body: string(body)}, err
 }
 
 func (c *caller) expect(t *testing.T, bodies ...string) {
@@ -181,9 +181,9 @@
 	}
 }
 
-func (s *served) shutdown(t *testing.T) <-chan error {
+func (s *testServer) shutdown(t *testing.T) <-chan error {
 	done := make(chan error, 1)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	go func() { done <- s.server.Shutdown(ctx) }()
 	return done
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -10,56 +10,56 @@
 )
 
 func TestRequestsAreHandledSideBySideAndAnsweredInOrder(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/hold/1")+get("/hold/2")+get("/3"))
 	s.awaitBegan(t, "/hold/1", "/hold/2", "/3")
-	s.letGo("/hold/2")
-	s.letGo("/hold/1")
+	s.release("/hold/2")
+	s.release("/hold/1")
 	c.expect(t, "GET /hold/1 ", "GET /hold/2 ", "GET /3 ")
 	c.send(t, get("/4"))
 	c.expect(t, "GET /4 ")
 }
 
 func TestBodiesAreReadOneAtATime(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	chunked := "POST /3 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
 	c.send(t, post("/hold/1", "one")+post("/2", strings.Repeat("b", 100<<10))+chunked+get("/4"))
-	s.letGo("/hold/1")
+	s.release("/hold/1")
 	c.expect(t, "POST /hold/1 one", "POST /2 "+strings.Repeat("b", 100<<10), "POST /3 abcde", "GET /4 ")
 }
 
 func TestNoMoreThanTheBoundIsHandled(t *testing.T) {
-	s := startServed(t, func(cfg *Config) { cfg.MaxPipelined = 2 })
+	s := startTestServer(t, func(cfg *Config) { cfg.MaxPipelined = 2 })
 	c := dial(t, s.address)
 	c.send(t, get("/hold/1")+get("/hold/2")+get("/hold/3"))
 	s.awaitBegan(t, "/hold/1", "/hold/2")
 	if len(s.began) > 0 {
 		t.Fatalf("%s is handled beside two others", <-s.began)
 	}
-	s.letGo("/hold/1")
+	s.release("/hold/1")
 	s.awaitBegan(t, "/hold/3")
-	s.letGo("/hold/2")
-	s.letGo("/hold/3")
+	s.release("/hold/2")
+	s.release("/hold/3")
 	c.expect(t, "GET /hold/1 ", "GET /hold/2 ", "GET /hold/3 ")
 }
 
 func TestCallerThatLeavesCancelsAllItsRequests(t *testing.T) {
 	for _, bound := range []int{8, 2} {
-		s := startServed(t, func(cfg *Config) { cfg.MaxPipelined = bound })
+		s := startTestServer(t, func(cfg *Config) { cfg.MaxPipelined = bound })
 		c := dial(t, s.address)
 		c.send(t, get("/hold/1")+get("/hold/2")+get("/hold/3"))
 		s.awaitBegan(t, "/hold/1", "/hold/2")
 		_ = c.Close()
 		for range 2 {
-			receive(t, s.left)
+			receive(t, s.canceled)
 		}
 	}
 }
 
 func TestAnswerThatClosesLeavesWhatIsBehindUnread(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/close/1"))
 	got, err := c.next()
@@ -75,12 +75,12 @@
 }
 
 func TestRequestsInHandAreAnsweredBeforeTheEnd(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/hold/1")+get("/close/2")+get("/hold/3"))
 	s.awaitBegan(t, "/hold/1", "/close/2", "/hold/3")
-	s.letGo("/hold/1")
-	s.letGo("/hold/3")
+	s.release("/hold/1")
+	s.release("/hold/3")
 	for number, closing := range []bool{false, false, true} {
 		got, err := c.next()
 		if err != nil || got.closing != closing {
@@ -91,22 +91,22 @@
 }
 
 func TestAbortedAnswerEndsTheConnection(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/hold/1")+get("/abort/2")+get("/hold/3"))
 	s.awaitBegan(t, "/hold/1", "/abort/2", "/hold/3")
-	s.letGo("/hold/1")
+	s.release("/hold/1")
 	c.expect(t, "GET /hold/1 ")
 	if got, err := c.next(); err == nil {
 		t.Fatalf("an answer that is cut short looks whole: %+v", got)
 	}
-	if path := receive(t, s.left); path != "/hold/3" {
+	if path := receive(t, s.canceled); path != "/hold/3" {
 		t.Fatalf("%s was canceled", path)
 	}
 }
 
 func TestShutdownAnswersWhatWasRead(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	busy, idle := dial(t, s.address), dial(t, s.address)
 	idle.send(t, get("/1"))
 	idle.expect(t, "GET /1 ")
@@ -114,8 +114,8 @@
 	s.awaitBegan(t, "/hold/2", "/hold/3")
 	done := s.shutdown(t)
 	idle.expectEnd(t)
-	s.letGo("/hold/3")
-	s.letGo("/hold/2")
+	s.release("/hold/3")
+	s.release("/hold/2")
 	first, err := busy.next()
 	if err != nil || first.closing {
 		t.Fatalf("%+v, %v", first, err)
@@ -131,23 +131,23 @@
 }
 
 func TestIdleConnectionEnds(t *testing.T) {
-	s := startServed(t, func(cfg *Config) { cfg.IdleTimeout = time.Millisecond })
+	s := startTestServer(t, func(cfg *Config) { cfg.IdleTimeout = time.Millisecond })
 	c := dial(t, s.address)
 	c.expectEnd(t)
 }
 
 func TestCallerIsToldToSendItsBody(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/hold/1")+"POST /2 HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-	s.letGo("/hold/1")
+	s.release("/hold/1")
 	c.expect(t, "GET /hold/1 ", "")
 	c.send(t, "abc")
 	c.expect(t, "POST /2 abc")
 }
 
 func TestBodyThatIsNotReadEndsTheConnection(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, "POST /unread/1 HTTP/1.1\r\nHost: x\r\nContent-Length: 300000\r\n\r\nabc"+get("/2"))
 	got, err := c.next()
@@ -158,7 +158,7 @@
 }
 
 func TestHeadHasNoBody(t *testing.T) {
-	s := startServed(t, nil)
+	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, "HEAD /1 HTTP/1.1\r\nHost: x\r\n\r\n")
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodHead})
@@ -189,11 +189,11 @@
 		"unknown codec": {"POST /bad HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip\r\n\r\n", http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startServed(t, nil)
+			s := startTestServer(t, nil)
 			c := dial(t, s.address)
 			c.send(t, get("/hold/1")+item.text+get("/behind"))
 			s.awaitBegan(t, "/hold/1")
-			s.letGo("/hold/1")
+			s.release("/hold/1")
 			c.expect(t, "GET /hold/1 ")
 			got, err := c.next()
 			if err != nil || got.status != item.status || !got.closing {
@@ -213,7 +213,7 @@
 		"chunks": "POST /1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startServed(t, nil)
+			s := startTestServer(t, nil)
 			c := dial(t, s.address)
 			c.send(t, text)
 			if err := c.Conn.(interface{ CloseWrite() error }).CloseWrite(); err != nil {
@@ -239,7 +239,7 @@
 	go func() {
 		var err error
 		for n := 0; n < times && err == nil; n++ {
-			err = c.watch(ended)
+			err = c.watch(closedChannel)
 		}
 		watched <- err
 	}()
@@ -248,7 +248,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the connection is read on although nothing is waited for any more")
 	}
 }
--- a/internal/pipeline/rapid_test.go
+++ b/internal/pipeline/rapid_test.go
@@ -41,28 +41,28 @@
 	}
 }
 
-// handled counts the requests that were handled, by connection. A handler of a connection that
+// handledCounts counts the requests that were handledCounts, by connection. A handler of a connection that
 // was broken off may begin while the next one is tested.
-type handled struct {
+type handledCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-func (h *handled) add(connection string) {
+func (h *handledCounts) add(connection string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.counts[connection]++
 }
 
-func (h *handled) of(connection int64) int {
+func (h *handledCounts) of(connection int64) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.counts[strconv.FormatInt(connection, 10)]
 }
 
-// scrambling answers after the delay that the path names, in milliseconds, so that
+// delayedHandler answers after the delay that the path names, in milliseconds, so that
 // handlers end in another order than they began.
-func scrambling(begun *handled) http.HandlerFunc {
+func delayedHandler(begun *handledCounts) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		parts := strings.Split(r.URL.Path, "/")
 		begun.add(parts[3])
@@ -77,8 +77,8 @@
 	}
 }
 
-// due returns the answers that must come.
-func due(items []item) []item {
+// expectedAnswers returns the answers that must come.
+func expectedAnswers(items []item) []item {
 	for index, each := range items {
 		if each.ends {
 			return items[:index+1]
@@ -90,11 +90,11 @@
 // TestAnyConnection sends drawn requests, cut anywhere, maybe broken off anywhere, and
 // compares the answers with those that are due: in order, whole, and nothing beyond.
 func TestAnyConnection(t *testing.T) {
-	begun := &handled{counts: map[string]int{}}
+	begun := &handledCounts{counts: map[string]int{}}
 	var connections int64
-	s := startServed(t, func(cfg *Config) {
+	s := startTestServer(t, func(cfg *Config) {
 		cfg.MaxPipelined = 3
-		cfg.Handler = scrambling(begun)
+		cfg.Handler = delayedHandler(begun)
 	})
 	rapid.Check(t, func(rt *rapid.T) {
 		connections++
@@ -113,7 +113,7 @@
 		c := dial(t, s.address)
 		defer func() { _ = c.Close() }()
 		go sendInPieces(c, sent, rapid.IntRange(1, 9000).Draw(rt, "piece"), brokenOff)
-		expected := due(items)
+		expected := expectedAnswers(items)
 		for index, want := range expected {
 			got, err := c.next()
 			if err != nil && brokenOff {
--- a/internal/pipeline/request.go
+++ b/internal/pipeline/request.go
@@ -78,7 +78,7 @@
 		return http.StatusHTTPVersionNotSupported
 	case r.ProtoAtLeast(1, 1) && r.Host == "" && r.Method != http.MethodConnect:
 		return http.StatusBadRequest
-	case len(r.TransferEncoding) > 0 && namesLength(head):
+	case len(r.TransferEncoding) > 0 && hasContentLength(head):
 		// With both lengths given, others may see the end of the body elsewhere.
 		return http.StatusBadRequest
 	case r.Header.Get("Expect") != "" && !expectsContinue(r):
@@ -87,9 +87,9 @@
 	return 0
 }
 
-// namesLength reports whether a head gives a Content-Length, or was too long to be
+// hasContentLength reports whether a head gives a Content-Length, or was too long to be
 // looked through.
-func namesLength(head []byte) bool {
+func hasContentLength(head []byte) bool {
 	if !hasHeadEnd(head) {
 		return true
 	}
--- a/internal/pipeline/response.go
+++ b/internal/pipeline/response.go
@@ -26,8 +26,8 @@
 	begun bool
 	// empty tells that the answer has no body, whatever its head says.
 	empty bool
-	// left is how much of an announced body is missing; -1 when none was announced.
-	left   int64
+	// remaining is how much of an announced body is missing; -1 when none was announced.
+	remaining   int64
 	chunks io.WriteCloser // nil unless the length is not known
 	err    error
 }
@@ -52,7 +52,7 @@
 	x := w.exchange
 	closing := w.header.Get("Connection") == "close" || !x.body.consumed()
 	delete(w.header, "Connection")
-	if x.conn.concluded(x, closing) {
+	if x.conn.beginAnswer(x, closing) {
 		w.header["Connection"] = []string{"close"}
 	}
 	if w.header["Date"] == nil {
@@ -77,10 +77,10 @@
 
 // frame decides how the end of the body is told.
 func (w *response) frame(status int) {
-	w.left = -1
+	w.remaining = -1
 	w.empty = w.exchange.request.Method == http.MethodHead || !httpleg.BodyAllowed(status)
 	if length, err := strconv.ParseInt(w.header.Get("Content-Length"), 10, 64); err == nil && length >= 0 {
-		w.left = length
+		w.remaining = length
 		return
 	}
 	delete(w.header, "Content-Length")
@@ -104,13 +104,13 @@
 	switch {
 	case w.chunks != nil:
 		n, w.err = w.chunks.Write(p)
-	case w.left >= 0 && int64(len(p)) > w.left:
+	case w.remaining >= 0 && int64(len(p)) > w.remaining:
 		return 0, http.ErrContentLength
 	default:
 		n, w.err = w.exchange.conn.bw.Write(p)
 	}
-	if w.left >= 0 {
-		w.left -= int64(n)
+	if w.remaining >= 0 {
+		w.remaining -= int64(n)
 	}
 	return n, w.err
 }
@@ -138,8 +138,8 @@
 // always so here.
 func (w *response) EnableFullDuplex() error { return nil }
 
-// proceed tells the caller to send the body that it holds back.
-func (w *response) proceed() error {
+// sendContinue tells the caller to send the body that it holds back.
+func (w *response) sendContinue() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.begun {
@@ -164,7 +164,7 @@
 	switch {
 	case w.err != nil:
 		return w.err
-	case w.left > 0 && !w.empty:
+	case w.remaining > 0 && !w.empty:
 		return errShort
 	case w.chunks != nil:
 		if err := w.chunks.Close(); err != nil {
--- a/internal/pipeline/server.go
+++ b/internal/pipeline/server.go
@@ -39,8 +39,8 @@
 	closed    bool
 	listeners map[net.Listener]struct{}
 	conns     map[*conn]struct{}
-	// dated is the Date header of the present second.
-	dated atomic.Pointer[dateHeader]
+	// cachedDate is the Date header of the present second.
+	cachedDate atomic.Pointer[dateHeader]
 	// ended is closed and replaced whenever a connection has ended.
 	ended chan struct{}
 }
@@ -54,11 +54,11 @@
 // date returns the Date header for an answer that begins now.
 func (s *Server) date() []string {
 	now := time.Now()
-	if held := s.dated.Load(); held != nil && held.second == now.Unix() {
+	if held := s.cachedDate.Load(); held != nil && held.second == now.Unix() {
 		return held.value
 	}
 	made := &dateHeader{second: now.Unix(), value: []string{now.UTC().Format(http.TimeFormat)}}
-	s.dated.Store(made)
+	s.cachedDate.Store(made)
 	return made.value
 }
 
@@ -132,11 +132,11 @@
 	s.conns[c] = struct{}{}
 	go func() {
 		c.serve()
-		s.forget(c)
+		s.removeConn(c)
 	}()
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
