--- a/internal/dataplane/active.go
+++ b/internal/dataplane/active.go
@@ -7,15 +7,15 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// activeVersion is one snapshot made ready for calls. It is immutable but for the
-// destinations, which live on from version to version.
+// activeVersion is a snapshot prepared for serving calls. It is immutable except
+// for the destinations, which successive versions share.
 type activeVersion struct {
 	snapshot     *snapshot.Snapshot
 	table        *routing.Table
 	destinations map[string]*destination
 }
 
-// stagedTable is a table compiled before its snapshot came in force.
+// stagedTable is a table compiled before its snapshot came into force.
 type stagedTable struct {
 	snapshot *snapshot.Snapshot
 	table    *routing.Table
@@ -34,8 +34,9 @@
 	return p.activate()
 }
 
-// activate swaps the runtime. The snapshot in force is asked for again under the
-// lock, so that a slow caller cannot bring an older one back.
+// activate prepares the snapshot in force and makes it the active version. It
+// reads the snapshot in force again under the lock, so that a slow goroutine
+// cannot reinstate an older one.
 func (p *Plane) activate() *activeVersion {
 	p.compiling.Lock()
 	defer p.compiling.Unlock()
@@ -59,7 +60,7 @@
 	return next
 }
 
-// compile returns the table of a snapshot, from the stage if it is there.
+// compile returns the table of a snapshot, the staged one if there is one.
 func (p *Plane) compile(source *snapshot.Snapshot) (*routing.Table, error) {
 	if staged := p.staged.Load(); staged != nil && staged.snapshot == source {
 		return staged.table, nil
@@ -81,7 +82,7 @@
 	}
 }
 
-// gateOptions returns the admission options that a service asks for.
+// gateOptions returns the admission options that a service configures.
 func gateOptions(service *model.Service) admission.Options {
 	return admission.Options{
 		Slots:       service.Slots,
--- a/internal/dataplane/answer.go
+++ b/internal/dataplane/answer.go
@@ -9,35 +9,36 @@
 	"github.com/levertide/levertide/internal/httpleg"
 )
 
-// discardLimit is how much of an unwanted answer is read to keep its connection.
+// discardLimit is how many bytes of an unused answer are read so that its
+// connection can be reused.
 const discardLimit = 4 << 10
 
-// discard ends an answer that nobody wants.
+// discard drains and closes an answer that is not delivered.
 func discard(response *http.Response) {
 	_, _ = io.CopyN(io.Discard, response.Body, discardLimit)
 	_ = response.Body.Close()
 }
 
-// endsDetectably reports whether the end of an answer can be told from a broken
-// connection: it has a length, or comes in chunks, or has no body.
+// endsDetectably reports whether the end of an answer can be distinguished from a
+// broken connection: the answer has a length, or is chunked, or has no body.
 func endsDetectably(response *http.Response) bool {
 	return response.ContentLength >= 0 || slices.Contains(response.TransferEncoding, "chunked") ||
 		response.Body == http.NoBody || response.Request.Method == http.MethodHead
 }
 
-// delivery passes one answer on.
+// delivery forwards one answer to whoever sent the request.
 type delivery struct {
 	writer   http.ResponseWriter
 	control  *http.ResponseController
 	response *http.Response
-	lifetime     *lifetime
+	lifetime *lifetime
 	stall    time.Duration
 	pace     pace
-	// closing tells that the connection is not to be used again.
+	// closing is set when the connection must not be reused.
 	closing bool
 }
 
-// run passes the answer on. An error means that it did not arrive whole: the
+// run forwards the answer. An error means that it did not arrive completely: the
 // caller of run must then abort the handler.
 func (d *delivery) run() error {
 	d.lifetime.answerProgressed(d.stall)
@@ -53,7 +54,7 @@
 	header := d.writer.Header()
 	copyForwardable(header, d.response.Header)
 	if _, ok := header["Content-Type"]; !ok {
-		header["Content-Type"] = nil // keeps the server from guessing
+		header["Content-Type"] = nil // keeps the server from sniffing the type
 	}
 	for name := range d.response.Trailer {
 		if forwardable(name) {
@@ -78,9 +79,9 @@
 		n, readErr := d.response.Body.Read(buffer[:])
 		if n > 0 {
 			left -= int64(n)
-			wholeAnswer := left == 0
+			complete := left == 0
 			partial := n < len(buffer)
-			if err := d.write(buffer[:n], partial && !wholeAnswer); err != nil {
+			if err := d.write(buffer[:n], partial && !complete); err != nil {
 				return err
 			}
 		}
@@ -93,8 +94,8 @@
 	}
 }
 
-// write passes a part on. Flush it when the worker has no more to give now, so
-// that the caller sees what there is.
+// write forwards a part of the body. It is flushed when the worker has sent no
+// more for now, so that the caller sees what has arrived.
 func (d *delivery) write(part []byte, flush bool) error {
 	d.lifetime.answerProgressed(d.stall)
 	remaining := d.pace.remaining()
@@ -108,7 +109,8 @@
 		err = d.control.Flush()
 	}
 	d.pace.step(len(part), time.Since(began))
-	// The next read may take long through no fault of the caller.
+	// The next read waits for the worker, not for the caller: it gets the whole
+	// stall time, however long this write took.
 	d.lifetime.answerProgressed(d.stall)
 	return err
 }
--- a/internal/dataplane/attempt.go
+++ b/internal/dataplane/attempt.go
@@ -13,7 +13,7 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// noWorkerRetryAfter is what a caller is told to wait when a service has no worker.
+// noWorkerRetryAfter is the Retry-After of the answer when a service has no worker.
 const noWorkerRetryAfter = time.Second
 
 // run makes attempts until one is answered or no further one is allowed.
@@ -55,7 +55,7 @@
 	})
 }
 
-// canRetry reports whether another attempt could be made at all.
+// canRetry reports whether the call is still live and its body can be sent again.
 func (c *callerCall) canRetry() bool { return c.lifetime.ctx.Err() == nil && c.body.repeatable() }
 
 // pause waits before the next attempt. It reports false when the call ended
@@ -65,7 +65,8 @@
 	return duration == 0 || pause(c.lifetime.ctx, duration)
 }
 
-// pick chooses a node that was not tried yet, or one that was if there is no other.
+// pick chooses a node that was not tried yet, or an already tried one if there is
+// no other.
 func (c *callerCall) pick(tried []string) (balance.Pick, error) {
 	pick, err := c.destination.balancer.Pick(tried...)
 	if err != nil && len(tried) > 0 {
@@ -74,7 +75,7 @@
 	return pick, err
 }
 
-// conclude delivers an answer and tells the balancer how it went.
+// conclude delivers an answer and reports the result to the balancer.
 func (c *callerCall) conclude(result *answer, pick *balance.Pick, observed balance.Result) {
 	c.relay.close()
 	err := c.deliver(result)
@@ -92,12 +93,12 @@
 	}
 }
 
-// callerGone reports whether the call ended because its caller left.
+// callerGone reports whether the call ended because its caller disconnected.
 func (c *callerCall) callerGone() bool {
 	return c.lifetime.ctx.Err() != nil && !errors.Is(context.Cause(c.lifetime.ctx), errDeadline)
 }
 
-// giveUp answers with the failure of the attempts, or says that there is no worker.
+// giveUp answers with the failure of the attempts, or with NoWorker when there is none.
 func (c *callerCall) giveUp() {
 	c.relay.close()
 	failure := c.attempts.Failure()
@@ -107,8 +108,8 @@
 	c.fail(failure)
 }
 
-// refuseQuarantined answers that the request is run no more, or, when an attempt may have run, with
-// that attempt's failure.
+// refuseQuarantined answers that the request is quarantined, or, when an attempt may
+// have run, with that attempt's failure.
 func (c *callerCall) refuseQuarantined(err error) {
 	if failure := c.attempts.Failure(); failure != nil && outcome.Of(failure) == outcome.Unknown {
 		c.giveUp()
@@ -118,7 +119,7 @@
 	c.fail(err)
 }
 
-// attempt sends the request to one node, or straight to the worker of this one.
+// attempt sends the request to one node, or directly to the worker of this one.
 func (c *callerCall) attempt(endpoint balance.Endpoint) (*answer, balance.Result, error) {
 	if endpoint.ID == c.plane.config.Node && c.plane.worker != nil {
 		return c.attemptLocal()
@@ -134,7 +135,7 @@
 		inbound:   c.request,
 		route:     c.route,
 		body:      c.body,
-		lifetime:      c.lifetime,
+		lifetime:  c.lifetime,
 		relay:     &c.relay,
 		allowance: c.attemptAllowance,
 		expect:    c.request.Header.Get("Expect") != "",
@@ -158,14 +159,14 @@
 
 func (c *callerCall) attemptPeer(endpoint balance.Endpoint) (*answer, balance.Result, error) {
 	transport := c.plane.peers.get(endpoint.ID, endpoint.Address)
-	sending := roundTrip{
+	trip := roundTrip{
 		transport: transport.Transport,
 		request:   c.peerRequest(endpoint.Address),
 		body:      c.body,
 		relay:     &c.relay,
 	}
 	began := time.Now()
-	response, err := sending.do(c.lifetime.ctx)
+	response, err := trip.do(c.lifetime.ctx)
 	if err != nil {
 		transport.callEnded()
 		return nil, balance.Result{Outcome: balancerOutcome(err)}, err
@@ -209,7 +210,7 @@
 	return outgoingRequest(c.request, scheme, address, header)
 }
 
-// readStatusHeaders reads what another node says of itself.
+// readStatusHeaders reads the load and the draining state that another node reports.
 func readStatusHeaders(header http.Header) balance.Result {
 	observed := balance.Result{Draining: header.Get(drainingHeader) == drainingMark}
 	load, err := strconv.ParseUint(header.Get(loadHeader), 10, 16)
@@ -221,8 +222,9 @@
 }
 
 // failureOf returns the failure that another node reported, or nil for an
-// answer. An answer without marks does not come from a node's PeerHandler. A
-// failure may: a node that is not ready yet refuses before its PeerHandler.
+// answer. An answer without status headers does not come from a node's
+// PeerHandler. A failure may lack them: a node that is not ready yet refuses
+// requests before they reach its PeerHandler.
 func failureOf(response *http.Response, hasStatus bool) error {
 	reported, reason := outcome.FromResponse(response.Header)
 	if reported == outcome.Answered {
@@ -241,7 +243,7 @@
 	return outcome.WithRetryAfter(reason, time.Duration(seconds)*time.Second)
 }
 
-// defaultReason stands for a reason that this node does not know.
+// defaultReason returns the reason that replaces one unknown to this node.
 func defaultReason(reported outcome.Outcome) outcome.Reason {
 	if reported == outcome.NotRun {
 		return outcome.Unreachable
@@ -249,7 +251,7 @@
 	return outcome.NotSpecified
 }
 
-// balancerOutcome tells the balancer what a failure says of the node.
+// balancerOutcome returns what the failure of an attempt means to the balancer.
 func balancerOutcome(err error) balance.Outcome {
 	switch outcome.ReasonOf(err) {
 	case outcome.Overloaded, outcome.Draining, outcome.RefusedByOwnWorker,
--- a/internal/dataplane/authentication.go
+++ b/internal/dataplane/authentication.go
@@ -8,15 +8,15 @@
 	"github.com/levertide/levertide/pkg/routing"
 )
 
-// tenantHeader names the tenant to the node beside the worker, and to the worker. Like all
-// headers of the system it is not taken from callers.
+// tenantHeader carries the name of the tenant to the worker's node and to the worker. Like
+// all headers with headerPrefix it is not accepted from callers.
 const tenantHeader = headerPrefix + "Tenant"
 
-// keyScheme is how callers give their keys.
+// keyScheme defines how callers send their keys.
 var keyScheme = httpleg.KeyScheme{Header: "Authorization", Scheme: "Bearer"}
 
-// authenticate finds whose the call is. The key is removed from the request: it must go on
-// to nobody.
+// authenticate determines the tenant of the call. The key is removed from the request: it
+// must not be forwarded.
 func (c *callerCall) authenticate(table *routing.Table, route *routing.Route) error {
 	if !table.HasTenants() {
 		return nil
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// setTenant tells the next leg whose the call is.
+// setTenant adds the tenant, if there is one, to the headers of a forwarded request.
 func setTenant(header http.Header, tenant string) {
 	if tenant != "" {
 		header[tenantHeader] = []string{tenant}
--- a/internal/dataplane/authentication_test.go
+++ b/internal/dataplane/authentication_test.go
@@ -15,7 +15,7 @@
 // markedKey is the key of the tenant "acme". Nothing but the caller's node may see it.
 const markedKey = "marked-key-of-acme"
 
-// calls returns how many calls of callers have ended.
+// calls returns how many calls from callers have ended.
 func (w *recordingObserver) calls() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -44,7 +44,7 @@
 	m.current.Store(m.snapshot(version, resources))
 }
 
-// TestTenantAuthentication asks by way of a node without a worker, and of the one beside it.
+// TestTenantAuthentication calls through a node without a worker, and through the worker's own node.
 func TestTenantAuthentication(t *testing.T) {
 	m := newMesh(t)
 	var seen atomic.Pointer[http.Header]
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestKeysFollowTheVersionInForce takes the tenants away again.
+// TestKeysFollowTheVersionInForce adds tenants in one version and removes them in the next.
 func TestKeysFollowTheVersionInForce(t *testing.T) {
 	m := newMesh(t)
 	var seen atomic.Pointer[http.Header]
--- a/internal/dataplane/bench_test.go
+++ b/internal/dataplane/bench_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// BenchmarkDirect is the worker without any node, to compare with.
+// BenchmarkDirect calls the worker without any node, as the baseline.
 func BenchmarkDirect(b *testing.B) {
 	m := newMesh(b)
 	worker := httptest.NewServer(http.HandlerFunc(answerSmall))
@@ -102,7 +102,7 @@
 	}
 }
 
-// watchHeap reports the most heap in use that it saw until stopped.
+// watchHeap reports the largest heap in use that it observed until stopped.
 func watchHeap(stop <-chan struct{}, peak chan<- uint64) {
 	const period = 5 * time.Millisecond
 	ticker := time.NewTicker(period)
--- a/internal/dataplane/body.go
+++ b/internal/dataplane/body.go
@@ -11,16 +11,16 @@
 	"github.com/levertide/levertide/internal/httpleg"
 )
 
-// lingerTime is how long the rest of a body that nobody wants is still read, so
-// that the caller gets to see the answer.
+// lingerTime is how long the unused rest of a body is still read, so that the
+// caller receives the answer.
 const lingerTime = time.Second
 
 // chunkedEncoding keeps the transport from probing a body of unknown length.
 var chunkedEncoding = []string{"chunked"}
 
 // requestBody is the body of one call. A short body of declared length is read
-// whole beforehand and can be sent any number of times. Any other is streamed,
-// and can be sent again only while nothing of it was read.
+// completely beforehand and can be sent any number of times. Any other is
+// streamed, and can be sent again only while nothing of it was read.
 type requestBody struct {
 	request  *http.Request
 	control  *http.ResponseController
@@ -31,8 +31,8 @@
 	onProgress func()
 
 	started     atomic.Bool // something was read of a streamed body
-	complete    atomic.Bool // the end was seen
-	failed      atomic.Bool // the caller's side broke off or was too slow
+	complete    atomic.Bool // the end was read
+	failed      atomic.Bool // the caller disconnected or was too slow
 	interrupted atomic.Bool
 
 	mutex   sync.Mutex // held while the body is read
@@ -56,7 +56,7 @@
 	return b
 }
 
-// prepare reads a short body whole.
+// prepare reads a short body completely.
 func (b *requestBody) prepare() error {
 	if b.streamed || b.complete.Load() {
 		return nil
@@ -80,7 +80,7 @@
 func (b *requestBody) repeatable() bool { return !b.streamed || !b.started.Load() }
 
 // attach gives the body to an outgoing request in a form that http.Transport
-// cannot send twice by itself: a body that is there and has no GetBody.
+// cannot send twice by itself: a body that is not nil and has no GetBody.
 func (b *requestBody) attach(out *http.Request) {
 	switch {
 	case b.streamed:
@@ -142,10 +142,10 @@
 	return n, err
 }
 
-// finish notes that the end was seen. The mutex is held.
+// finish records that the end was read. The mutex is held.
 func (b *requestBody) finish() {
-	// From now on the server watches the connection for the caller's leaving; a
-	// deadline would look like that.
+	// From now on the server reads the connection to detect that the caller
+	// disconnects; an expired deadline would look like that.
 	_ = b.control.SetReadDeadline(time.Time{})
 	b.complete.Store(true)
 	for name := range b.trailer {
@@ -153,7 +153,7 @@
 	}
 }
 
-// interrupt frees a reader that waits for the caller.
+// interrupt unblocks a reader that waits for the caller.
 func (b *requestBody) interrupt() {
 	if b.complete.Load() {
 		return
@@ -164,8 +164,8 @@
 
 // release ends all reading by attempts. It must be called before the handler
 // returns. When an answer was written before the body had ended, answered makes
-// it read on for a moment: closing a connection with data unread would destroy
-// the answer on its way to a caller that is still sending.
+// it read on for up to lingerTime: closing a connection with unread data would
+// destroy the answer on its way to a caller that is still sending.
 func (b *requestBody) release(answered bool) {
 	if b.complete.Load() {
 		return
@@ -183,7 +183,7 @@
 	}
 }
 
-// linger sends the answer off and reads what the caller still sends. The mutex is held.
+// linger flushes the answer and discards what the caller still sends. The mutex is held.
 func (b *requestBody) linger() {
 	if b.control.Flush() != nil {
 		return
@@ -198,7 +198,7 @@
 	}
 }
 
-// streamReader is a streamed body as one attempt sends it.
+// streamReader reads a streamed body for one attempt.
 type streamReader struct {
 	body   *requestBody
 	closed atomic.Bool
@@ -228,7 +228,7 @@
 	return n, err
 }
 
-// Close implements io.Closer. Reading goes on only in another attempt.
+// Close implements io.Closer. Only another attempt can continue reading.
 func (s *streamReader) Close() error {
 	s.closed.Store(true)
 	return nil
--- a/internal/dataplane/caller.go
+++ b/internal/dataplane/caller.go
@@ -10,18 +10,18 @@
 	"github.com/levertide/levertide/pkg/routing"
 )
 
-// CallerHandler takes the requests of callers.
+// CallerHandler returns the handler for requests from callers.
 func (p *Plane) CallerHandler() http.Handler { return http.HandlerFunc(p.serveCaller) }
 
-// callerCall is one request from a caller, through all its attempts.
+// callerCall is one request from a caller, with all its attempts.
 type callerCall struct {
 	inboundCall
-	route       *routing.Route
-	destination *destination
-	allowance   retry.Allowance
-	attempts    retry.Attempts
-	attemptAllowance     retry.Allowance // by the attempt under way
-	// answered is set when a whole answer or a failure was written.
+	route            *routing.Route
+	destination      *destination
+	allowance        retry.Allowance
+	attempts         retry.Attempts
+	attemptAllowance retry.Allowance // sent with the current attempt
+	// answered is set when a complete answer or a failure was written.
 	answered bool
 }
 
@@ -90,7 +90,7 @@
 }
 
 // boundTime bounds the call by the caller's deadline, if it gave one, and by
-// the route's. The latter starts anew with each part of a streamed body.
+// the route's timeout. The latter restarts with each part of a streamed body.
 func (c *callerCall) boundTime(bounds callBounds) {
 	options := lifetimeOptions{Step: c.route.Timeout}
 	if bounds.given {
--- a/internal/dataplane/callerdrain_test.go
+++ b/internal/dataplane/callerdrain_test.go
@@ -27,12 +27,12 @@
 	return response
 }
 
-// keptConnections is so many that a stop which does not wait for them ends
-// before the last one is used.
+// keptConnections is large enough that a stop which does not wait for the
+// connections ends before the last one is used.
 const keptConnections = 200
 
-// A planned stop once closed callers' idle connections while a request was on
-// its way on one of them.
+// Guards against a planned stop that closes callers' idle connections while a
+// request is on its way on one of them.
 func TestPlannedStopAnswersOnKeptCallerConnections(t *testing.T) {
 	m := newMesh(t, func(c *Config) {
 		c.Limits.DrainConnections = time.Minute
--- a/internal/dataplane/chain_test.go
+++ b/internal/dataplane/chain_test.go
@@ -11,7 +11,7 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// chainLevels is how many services call each other in a row.
+// chainLevels is how many services call one another in a chain.
 const chainLevels = 6
 
 // passedOn are the headers that a worker copies to the calls that it makes on
@@ -19,7 +19,7 @@
 var passedOn = []string{retry.DeadlineHeader, retry.AttemptsLeftHeader}
 
 // newChain starts a chain of services, each with a node of its own and a worker
-// that calls the next by its node. At the last, answers break off.
+// that calls the next service through its node. The last one aborts its answers.
 func newChain(t *testing.T, change func(*Config)) (entry *mesh, bottom *atomic.Int64) {
 	m := &mesh{t: t, table: membership.NewTable()}
 	m.publishChain()
@@ -55,8 +55,8 @@
 	m.current.Store(m.snapshot(1, resources))
 }
 
-// levelHandler calls the next level; a failure there breaks the answer off, as
-// a worker does that dies of it.
+// levelHandler calls the next level; a failure there aborts the answer, as if the
+// worker had crashed because of it.
 func (m *mesh) levelHandler(level int, node *testNode, bottom *atomic.Int64) http.HandlerFunc {
 	client := m.client()
 	return func(_ http.ResponseWriter, r *http.Request) {
@@ -101,6 +101,6 @@
 	m, bottom := newChain(t, func(c *Config) { c.NoRetryBudget = true })
 	m.callChain(t)
 	if got := bottom.Load(); got < 3*3 {
-		t.Errorf("one call made %d at the bottom: the comparison shows nothing", got)
+		t.Errorf("one call made %d at the bottom: the comparison proves nothing", got)
 	}
 }
--- a/internal/dataplane/config.go
+++ b/internal/dataplane/config.go
@@ -15,9 +15,9 @@
 
 // Config sets up a Plane.
 type Config struct {
-	// Node is the identifier of this node, Region and Zone say where it is.
+	// Node is the identifier of this node, Region and Zone its location.
 	Node, Region, Zone string
-	// Service is what the worker beside this node answers for; empty without one.
+	// Service is the service of this node's worker; empty without a worker.
 	Service string
 	// WorkerAddress is host:port of the worker; empty without one.
 	WorkerAddress string
@@ -30,25 +30,25 @@
 	// PeerTLS is the client side of the connections between nodes; nil means
 	// that they are not encrypted.
 	PeerTLS *tls.Config
-	// Quarantine is what this node knows of requests that crash workers; nil has it keep
-	// a table of its own.
+	// Quarantine is the evidence of this node about requests that crash workers; nil means
+	// a new table that only this Plane uses.
 	Quarantine *quarantine.Table
-	// Suspended returns for how long the machine was suspended since a moment; nil has
-	// its clocks tell.
+	// Suspended returns how long the machine was suspended since a given time; nil means
+	// suspend.Since, which compares the machine's clocks.
 	Suspended func(since time.Time) time.Duration
-	// Observer is told what happens; nil means that nobody is.
+	// Observer is notified of events; nil means no notifications.
 	Observer Observer
 	// Limits bound sizes and times. Zero fields take their defaults.
 	Limits Limits
 	// Budget bounds the share of retries to each service.
 	Budget retry.BudgetOptions
-	// NoRetryBudget switches the bounds on retries off, for comparisons: every
-	// call starts with the largest allowance at every level, and Budget is not
-	// asked. Never set it where it matters.
+	// NoRetryBudget disables the bounds on retries, for comparative tests: every
+	// call starts with the largest allowance at every level, and Budget is
+	// ignored. Never set it in production.
 	NoRetryBudget bool
 	// Backoff spreads retries; zero means retry.DefaultBackoff.
 	Backoff retry.Backoff
-	// Balance sets up the choice of worker; Region and Zone are filled in.
+	// Balance configures the choice of worker; Region and Zone are filled in.
 	Balance balance.Options
 }
 
@@ -57,15 +57,15 @@
 	// HeaderBytes bounds the head of a request and of an answer. Default 64 KB.
 	HeaderBytes int
 	// BufferedBody is the size up to which a body of declared length is read
-	// whole before a worker is chosen. Longer ones are streamed. Default 16 KB.
+	// completely before a worker is chosen. Longer ones are streamed. Default 16 KB.
 	BufferedBody int
-	// Grace is how long a caller may in total keep the node waiting for its
-	// body, or in taking its answer, beyond what MinimumRate allows. Default 20 s.
+	// Grace is how long in total a caller may keep the node waiting while it sends
+	// its body, or receives its answer, beyond what MinimumRate allows. Default 20 s.
 	Grace time.Duration
-	// MinimumRate is the slowest lasting transfer to or from a caller, in bytes
-	// a second. Default 1024.
+	// MinimumRate is the slowest sustained transfer to or from a caller, in bytes
+	// per second. Default 1024.
 	MinimumRate int64
-	// Stall bounds the silence of a worker within its answer. Default 60 s.
+	// Stall bounds how long a worker may send nothing within its answer. Default 60 s.
 	Stall time.Duration
 	// Connect bounds the opening of a connection. Default 1 s.
 	Connect time.Duration
@@ -73,7 +73,7 @@
 	// be shorter than the other node's PeerServerIdle. Default 60 s.
 	PeerIdle time.Duration
 	// WorkerIdle is how long an unused connection to the worker is kept. It must
-	// be shorter than the worker's own bound. Default 4 s.
+	// be shorter than the worker's own idle timeout. Default 4 s.
 	WorkerIdle time.Duration
 	// PeerIdleConnections bounds the unused connections to one node. Default 64.
 	PeerIdleConnections int
@@ -82,15 +82,15 @@
 	// PeerServerIdle is how long an unused connection of another node is kept.
 	// Default 300 s.
 	PeerServerIdle time.Duration
-	// DrainNotice is how long a draining node still takes calls from callers,
-	// so that they can turn elsewhere. Default 2 s.
+	// DrainNotice is how long a draining node still accepts calls from callers,
+	// so that they can switch to another node. Default 2 s.
 	DrainNotice time.Duration
 	// DrainConnections bounds how long a draining node waits, after its last
 	// call, for other nodes and callers to close their connections to it.
 	// Default 5 s.
 	DrainConnections time.Duration
-	// DrainQuiet is how long no other node may have opened a connection before
-	// the wait for connections ends. Default 250 ms.
+	// DrainQuiet is for how long no other node must have opened a connection
+	// before the wait for connections ends. Default 250 ms.
 	DrainQuiet time.Duration
 }
 
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestAllSlotsAreUsedWhereEachNeedsAConnection guards against a bound on connections that takes
-// room from requests.
+// TestAllSlotsAreUsedWhereEachNeedsAConnection guards against a bound on connections that leaves
+// some of the slots without one.
 func TestAllSlotsAreUsedWhereEachNeedsAConnection(t *testing.T) {
 	const slots = 3
 	m := newMesh(t)
--- a/internal/dataplane/destination.go
+++ b/internal/dataplane/destination.go
@@ -9,7 +9,7 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// destination is what is known of the workers of one service.
+// destination holds the balancer and the retry budget for the workers of one service.
 type destination struct {
 	name     string
 	balancer *balance.Balancer
@@ -19,7 +19,7 @@
 	view     atomic.Pointer[membership.View]
 }
 
-// destinations keeps one destination for each service ever called.
+// destinations holds one destination for each service ever called.
 type destinations struct {
 	make  func(name string) *destination
 	mutex sync.Mutex
@@ -55,7 +55,7 @@
 	p.peers.retireUnlisted(p.config.Directory())
 }
 
-// refresh hands the members to the balancer when they have changed.
+// refresh updates the members in the balancer when the directory has changed.
 func (d *destination) refresh(directory func() *membership.View) {
 	view := directory()
 	if view == nil || view == d.view.Load() {
--- a/internal/dataplane/drain.go
+++ b/internal/dataplane/drain.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// inFlight counts calls and can be waited on to fall to zero.
+// inFlight counts the calls or connections in progress. One goroutine can wait for
+// the count to reach zero.
 type inFlight struct {
 	calls atomic.Int64
 	total atomic.Int64
@@ -20,7 +21,7 @@
 	f.calls.Add(1)
 }
 
-// count returns how many are in flight, entered how many ever were.
+// count returns how many are in flight, entered how many there have been in total.
 func (f *inFlight) count() int     { return int(f.calls.Load()) }
 func (f *inFlight) entered() int64 { return f.total.Load() }
 
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// DrainReport is how a drain ended.
+// DrainReport describes how a drain ended.
 type DrainReport struct {
 	// Duration is how long the drain took.
 	Duration time.Duration
@@ -59,14 +60,15 @@
 // Clean reports whether every call ended by itself.
 func (r DrainReport) Clean() bool { return r.CallerCalls == 0 && r.PeerCalls == 0 }
 
-// Drain takes the node out of service. At once it refuses calls from other
-// nodes as not-run, and closes the connections that its answers go out on.
-// Callers are still served, since the worker may need to call others to finish
-// what it has: until Limits.DrainNotice has passed and nothing is left at the
-// worker. Then they are refused too. Drain returns when no call is in flight and
-// the connections are closed: by other nodes when they see the node leave, by
-// callers after their next request. Idle ones are waited for no longer than
-// Limits.DrainConnections, calls that never end no longer than the context. The servers may be shut down after it. It must be called once.
+// Drain takes the node out of service. It immediately refuses calls from other
+// nodes as not-run, and closes each connection after the next answer on it.
+// Callers are still served until Limits.DrainNotice has passed and the worker has
+// no request left, since the worker may need to call others to finish those. Then
+// callers are refused too. Drain returns when no call is in flight and the
+// connections are closed: by other nodes when they see that the node is leaving,
+// by callers after their next request. It waits for idle connections no longer
+// than Limits.DrainConnections, and for calls that never end no longer than the
+// context. The servers may be shut down afterwards. Drain must be called once.
 func (p *Plane) Drain(ctx context.Context) DrainReport {
 	began := time.Now()
 	p.draining.Store(true)
@@ -89,7 +91,7 @@
 	return report
 }
 
-// drainWorker waits for the notice to pass and the worker to be idle.
+// drainWorker waits until DrainNotice has passed and the worker is idle.
 func (p *Plane) drainWorker(ctx context.Context) error {
 	noticeEnd := time.Now().Add(p.limits.DrainNotice)
 	if err := p.peerCalls.wait(ctx); err != nil {
@@ -105,8 +107,9 @@
 }
 
 // drainConnections waits for other nodes and for callers to close their
-// connections. Closing them here instead could meet a request on its way. Each
-// answer of a draining node ends its connection, so what stays open is idle.
+// connections. If this node closed them, a request could be on its way on one of
+// them. Each answer of a draining node ends its connection, so what stays open is
+// idle.
 func (p *Plane) drainConnections(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, p.limits.DrainConnections)
 	defer cancel()
@@ -115,7 +118,7 @@
 }
 
 // drainPeerConnections waits until other nodes have closed their connections
-// and opened no further ones for a while.
+// and opened no further ones for DrainQuiet.
 func (p *Plane) drainPeerConnections(ctx context.Context) {
 	for p.peerConnections.wait(ctx) == nil {
 		seen := p.peerConnections.entered()
@@ -125,7 +128,8 @@
 	}
 }
 
-// pause waits and reports whether the context was not done before.
+// pause waits for a duration and reports whether it passed before the context was
+// done.
 func pause(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/dataplane/drain_test.go
+++ b/internal/dataplane/drain_test.go
@@ -96,13 +96,13 @@
 	leaving := m.addHandler("a", handler)
 	m.addHandler("b", handler)
 	leaving.plane.draining.Store(true)
-	// The choice between the two nodes is drawn: go on until the leaving one was
-	// asked. That 200 draws all miss it does not happen.
+	// The choice between the two nodes is random: continue until the leaving one was
+	// chosen. In practice 200 choices do not all miss it.
 	const size, fewest, most = 1 << 20, 8, 200
 	calls := int64(0)
 	for ; calls < fewest || calls < most && leaving.watch.peerReports() == 0; calls++ {
 		m.call("POST", "/never", strings.Repeat("x", size)).expect(t, http.StatusOK, "")
-		// Forget that the node is leaving, so that it is asked again.
+		// Discard the knowledge that the node is leaving, so that it can be chosen again.
 		m.entry.plane.destinations = destinations{make: m.entry.plane.newDestination}
 		m.entry.plane.active.Store(nil)
 	}
@@ -110,7 +110,7 @@
 		t.Errorf("%d bytes were stored, want %d", stored.Load(), size*calls)
 	}
 	if refused := leaving.watch.peerReports(); refused == 0 {
-		t.Error("the leaving node was never asked: the test shows nothing")
+		t.Error("the leaving node was never chosen: the test proves nothing")
 	}
 }
 
--- a/internal/dataplane/errors.go
+++ b/internal/dataplane/errors.go
@@ -9,8 +9,8 @@
 	ErrInvalidConfig = namespace.NewType("invalid_config")
 
 	// The causes for which the context of a call is canceled.
-	errDeadline   = namespace.NewType("deadline").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("the time for the call is over")
-	errCallEnded  = namespace.NewType("call_ended").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("the call has ended")
-	errBodyClosed = namespace.NewType("body_closed").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("the body is closed")
-	errTooSlow    = namespace.NewType("too_slow").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("the caller is too slow")
+	errDeadline   = namespace.NewType("deadline").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("call deadline exceeded")
+	errCallEnded  = namespace.NewType("call_ended").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("call has ended")
+	errBodyClosed = namespace.NewType("body_closed").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("read from a closed request body")
+	errTooSlow    = namespace.NewType("too_slow").ApplyModifiers(errorx.TypeModifierOmitStackTrace).New("caller sends or receives too slowly")
 )
--- a/internal/dataplane/failure.go
+++ b/internal/dataplane/failure.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// failureWriteTimeout bounds the writing of a failure.
+// failureWriteTimeout bounds the writing of a failure response.
 const failureWriteTimeout = 5 * time.Second
 
 // writeFailure answers a request that got no answer from a worker. It returns
--- a/internal/dataplane/faults_test.go
+++ b/internal/dataplane/faults_test.go
@@ -26,9 +26,9 @@
 	return request, err
 }
 
-// breaking reads each request and answers it, but for those at which breaks says
-// so: then it closes the connection instead. Breaks gets the number of the
-// request on its connection and among all that the worker got, both from one.
+// breaking reads each request and answers it, except when breaks returns true:
+// then it closes the connection instead. The arguments of breaks are the number of
+// the request on its connection and among all that the worker got, both from one.
 func breaking(answer string, breaks func(onConnection int, inAll int64) bool) func(*rawWorker, net.Conn) {
 	return func(worker *rawWorker, conn net.Conn) {
 		lines := bufio.NewReader(conn)
@@ -45,7 +45,7 @@
 }
 
 // onUsedConnection breaks at the second request of each connection: the case in
-// which http.Transport likes to send again.
+// which http.Transport tends to resend a request.
 func onUsedConnection(onConnection int, _ int64) bool { return onConnection > 1 }
 
 // answerOnce answers the first request of a connection and closes it.
@@ -56,7 +56,7 @@
 	}
 }
 
-// refuse answers as a worker that did not run the request.
+// refuse answers like a worker that did not run the request.
 func refuse(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Levertide-Outcome", "not-run")
 	w.WriteHeader(http.StatusServiceUnavailable)
@@ -101,7 +101,7 @@
 				t.Errorf("%d calls ran %d times", calls, got)
 			}
 			if broken == 0 {
-				t.Error("no connection was broken: the test shows nothing")
+				t.Error("no connection was broken: the test proves nothing")
 			}
 		})
 	}
@@ -240,7 +240,7 @@
 			m := newMesh(t)
 			m.addRaw(answerOnce(head), "a")
 			if got := m.call("GET", "/", ""); got.err == nil {
-				t.Errorf("the caller took %q for a whole answer", got.body)
+				t.Errorf("the caller accepted %q as a complete answer", got.body)
 			}
 			eventually(t, "report", func() bool {
 				m.entry.watch.mutex.Lock()
@@ -248,7 +248,7 @@
 				return len(m.entry.watch.reports) == 1
 			})
 			if !m.entry.watch.last().Truncated {
-				t.Error("the report does not say so")
+				t.Error("the report does not mark the answer as truncated")
 			}
 		})
 	}
@@ -285,7 +285,7 @@
 		t.Errorf("deadline %q", header.Get("Levertide-Deadline-Ms"))
 	}
 	if header.Get("Levertide-Attempts-Left") != "0" {
-		t.Errorf("allowance %q, want 0: one of 1 is kept back", header.Get("Levertide-Attempts-Left"))
+		t.Errorf("allowance %q, want 0: of 1 the node retains 1", header.Get("Levertide-Attempts-Left"))
 	}
 	m.call("GET", "/", "").expect(t, http.StatusOK, "")
 	header = <-seen
--- a/internal/dataplane/fixture_test.go
+++ b/internal/dataplane/fixture_test.go
@@ -60,7 +60,7 @@
 	watch   *recordingObserver
 }
 
-// recordingObserver keeps what a plane reports.
+// recordingObserver records what a plane reports.
 type recordingObserver struct {
 	noObserver
 	mutex   sync.Mutex
@@ -113,7 +113,7 @@
 	return model.Resource{Key: model.Key{Kind: model.KindRoute, Name: name}, Route: route}
 }
 
-// newMesh starts a node without a worker, which calls enter by.
+// newMesh starts a node without a worker, through which calls enter.
 func newMesh(t testing.TB, change ...func(*Config)) *mesh {
 	m := &mesh{t: t, table: membership.NewTable()}
 	m.publish(1, map[string]*model.Route{
@@ -237,7 +237,7 @@
 	return request
 }
 
-// reply is a whole answer.
+// reply is a complete answer.
 type reply struct {
 	status  int
 	header  http.Header
@@ -281,14 +281,14 @@
 }
 
 // expect checks status, outcome and, when one is given, the reason.
-func (r reply) expect(t testing.TB, status int, told string, reason ...outcome.Reason) {
+func (r reply) expect(t testing.TB, status int, reported string, reason ...outcome.Reason) {
 	t.Helper()
 	if r.err != nil {
 		t.Fatalf("call failed: %v", r.err)
 	}
 	gotReason := outcome.Reason(r.header.Get("Levertide-Reason"))
-	if got := r.header.Get("Levertide-Outcome"); r.status != status || got != told {
-		t.Fatalf("got %d %q (%s), want %d %q", r.status, got, gotReason, status, told)
+	if got := r.header.Get("Levertide-Outcome"); r.status != status || got != reported {
+		t.Fatalf("got %d %q (%s), want %d %q", r.status, got, gotReason, status, reported)
 	}
 	if len(reason) > 0 && gotReason != reason[0] {
 		t.Errorf("reason %q, want %q", gotReason, reason[0])
@@ -330,7 +330,8 @@
 
 func (w *rawWorker) address() string { return w.listener.Addr().String() }
 
-func eventually(t testing.TB, what string, condition func() bool) {
+// eventually waits up to 30 s for a condition, which event describes.
+func eventually(t testing.TB, event string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -340,7 +341,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatalf("never: %s", what)
+			t.Fatalf("did not happen within 30 s: %s", event)
 		}
 	}
 }
--- a/internal/dataplane/header.go
+++ b/internal/dataplane/header.go
@@ -11,7 +11,7 @@
 
 // The headers between nodes.
 const (
-	// headerPrefix begins all headers of the system.
+	// headerPrefix is the prefix of all headers that levertide defines.
 	headerPrefix = "Levertide-"
 	// routeHeader names the route that the caller's node chose.
 	routeHeader = "Levertide-Route"
@@ -33,8 +33,8 @@
 	viaEntry       = "1.1 levertide"
 )
 
-// forwardable reports whether a header with this canonical name goes on to the
-// next leg: it does not when it belongs to one connection or to the system.
+// forwardable reports whether a header with this canonical name is forwarded:
+// hop-by-hop headers and those with headerPrefix are not.
 func forwardable(name string) bool {
 	if httpleg.IsHopByHop(name) {
 		return false
@@ -42,8 +42,8 @@
 	return !strings.HasPrefix(name, headerPrefix)
 }
 
-// copyForwardable copies the headers that go on to the next leg. The values are
-// shared, not copied.
+// copyForwardable copies the headers that are forwarded. The values are shared,
+// not copied.
 func copyForwardable(target, source http.Header) {
 	for name, values := range source {
 		if forwardable(name) {
@@ -53,8 +53,8 @@
 	httpleg.RemoveListed(target, source)
 }
 
-// outgoingHeader returns the headers of a request for the next leg, with room
-// for those that the leg adds.
+// outgoingHeader returns the headers for forwarding a request, with capacity for
+// those that are added to them.
 func outgoingHeader(r *http.Request) http.Header {
 	const added = 8
 	header := make(http.Header, len(r.Header)+added)
@@ -83,7 +83,8 @@
 	return false
 }
 
-// single returns the value of a header that may be there at most once.
+// single returns the value of a header that may occur at most once; ok is false
+// when it occurs more often.
 func single(header http.Header, name string) (value string, present, ok bool) {
 	values := header[name]
 	switch len(values) {
--- a/internal/dataplane/inbound.go
+++ b/internal/dataplane/inbound.go
@@ -7,22 +7,22 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// inboundCall is what requests from callers and from other nodes have in common.
+// inboundCall holds what requests from callers and from other nodes have in common.
 type inboundCall struct {
-	plane   *Plane
-	limits  *Limits
-	writer  http.ResponseWriter
-	request *http.Request
-	control *http.ResponseController
-	body    *requestBody
-	lifetime    *lifetime // nil until the route is known
-	relay   informationalRelay
-	began   time.Time
-	report  CallReport
-	// tenant is whose the call is; empty where there are no tenants, and for a call without
-	// a key on a public route.
+	plane    *Plane
+	limits   *Limits
+	writer   http.ResponseWriter
+	request  *http.Request
+	control  *http.ResponseController
+	body     *requestBody
+	lifetime *lifetime // nil until the route is known
+	relay    informationalRelay
+	began    time.Time
+	report   CallReport
+	// tenant is the name of the tenant that made the call; empty where there are no tenants,
+	// and for a call without a key on a public route.
 	tenant string
-	// counted tells that the call is among those in flight.
+	// counted is set when the call is counted among those in flight.
 	counted bool
 }
 
@@ -59,8 +59,8 @@
 	c.body.onProgress = c.lifetime.uploadProgressed
 }
 
-// deliver passes an answer on. After an error, which means that it did not
-// arrive whole, the handler must be aborted.
+// deliver forwards an answer. After an error, which means that it did not arrive
+// completely, the handler must be aborted.
 func (c *inboundCall) deliver(result *answer) error {
 	c.report.Outcome = outcome.Answered
 	c.report.Status = result.response.StatusCode
@@ -68,7 +68,7 @@
 		writer:   c.writer,
 		control:  c.control,
 		response: result.response,
-		lifetime:     c.lifetime,
+		lifetime: c.lifetime,
 		stall:    c.limits.Stall,
 		pace:     pace{grace: c.limits.Grace, rate: c.limits.MinimumRate},
 		closing:  c.closing(),
@@ -88,7 +88,7 @@
 	c.report.Status = writeFailure(c.writer, c.control, err, c.closing())
 }
 
-// closing reports whether the connection is not to be used again.
+// closing reports whether the connection must not be reused.
 func (c *inboundCall) closing() bool { return c.plane.draining.Load() || !c.body.reusable() }
 
 // finish releases what the call holds and completes its report.
--- a/internal/dataplane/informational.go
+++ b/internal/dataplane/informational.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// informationalRelay passes interim answers (1xx) on to the caller. They come
-// in on a goroutine of the transport, which may outlive the attempt.
+// informationalRelay forwards interim answers (1xx) to the caller. They arrive on
+// a goroutine of the transport, which may outlive the attempt.
 type informationalRelay struct {
 	writer http.ResponseWriter
 
--- a/internal/dataplane/network_test.go
+++ b/internal/dataplane/network_test.go
@@ -34,11 +34,11 @@
 }
 
 func TestConnectionResetAfterTheRequestWasWritten(t *testing.T) {
-	for _, leg := range []string{"peer", "worker"} {
-		t.Run(leg, func(t *testing.T) {
+	for _, connection := range []string{"peer", "worker"} {
+		t.Run(connection, func(t *testing.T) {
 			m := newMesh(t)
 			var runs atomic.Int64
-			proxy := m.addBehindToxic(t, leg, listen(t, func(w http.ResponseWriter, r *http.Request) {
+			proxy := m.addBehindToxic(t, connection, listen(t, func(w http.ResponseWriter, r *http.Request) {
 				runs.Add(1)
 				_, _ = io.Copy(io.Discard, r.Body)
 				_, _ = io.WriteString(w, "done")
@@ -58,7 +58,8 @@
 	}
 }
 
-// addBehindToxic starts a worker's node with a proxy on one of its legs.
+// addBehindToxic starts a worker's node with a proxy on the connection to its worker
+// or on the connections from other nodes.
 func (m *mesh) addBehindToxic(t *testing.T, connection, worker string) *toxiproxy.Proxy {
 	if connection == "worker" {
 		proxy := newToxic(t, worker)
@@ -78,7 +79,7 @@
 	}))
 	addToxic(t, proxy, `{"name":"cut","type":"limit_data","stream":"downstream","attributes":{"bytes":100000}}`)
 	if got := m.call("GET", "/", ""); got.err == nil && got.status == http.StatusOK {
-		t.Errorf("the caller took %d bytes for a whole answer", len(got.body))
+		t.Errorf("the caller accepted %d bytes as a complete answer", len(got.body))
 	}
 }
 
@@ -93,7 +94,7 @@
 		<-stop
 	}, quick)
 	if got := m.call("GET", "/", ""); got.err == nil {
-		t.Errorf("the caller took %q for a whole answer", got.body)
+		t.Errorf("the caller accepted %q as a complete answer", got.body)
 	}
 }
 
--- a/internal/dataplane/observer.go
+++ b/internal/dataplane/observer.go
@@ -6,45 +6,45 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// Observer is told what happens to calls. Its methods are called from many
-// goroutines, on the path of calls: they must be quick and must not block.
+// Observer is notified of what happens to calls. Its methods are called from many
+// goroutines, while calls are served: they must be quick and must not block.
 type Observer interface {
-	// CallFinished tells how a call from a caller ended.
+	// CallFinished reports how a call from a caller ended.
 	CallFinished(report CallReport)
-	// PeerCallFinished tells how a call from another node ended.
+	// PeerCallFinished reports how a call from another node ended.
 	PeerCallFinished(report CallReport)
-	// RuntimeInForce tells that calls use the given version from now on.
+	// RuntimeInForce reports that calls use the given version from now on.
 	RuntimeInForce(version uint64, routes int)
-	// RuntimeRejected tells that a snapshot in force could not be compiled, so
-	// that calls still use the one before.
+	// RuntimeRejected reports that a snapshot in force could not be compiled, so
+	// that calls still use the previous one.
 	RuntimeRejected(version uint64, err error)
-	// DrainStarted tells that the node takes no new calls from other nodes.
+	// DrainStarted reports that the node accepts no new calls from other nodes.
 	DrainStarted(inFlight int)
-	// DrainFinished tells that the drain is over.
+	// DrainFinished reports how the drain ended.
 	DrainFinished(report DrainReport)
 }
 
-// CallReport is how one call ended.
+// CallReport describes how one call ended.
 type CallReport struct {
 	// Route and Service are empty when no route was found.
 	Route, Service string
-	// Outcome is Answered also when the answer was cut short; see Truncated.
+	// Outcome is Answered also when the answer was truncated; see Truncated.
 	Outcome outcome.Outcome
 	// Reason is empty when Outcome is Answered.
 	Reason outcome.Reason
 	// Status is the HTTP status that was answered.
 	Status int
-	// Attempts is how many nodes were asked.
+	// Attempts is the number of attempts, each at one node.
 	Attempts int
-	// Truncated tells that the answer did not reach the caller whole.
+	// Truncated is set when the answer did not reach the caller completely.
 	Truncated bool
 	// Duration is the time from the head of the request to the end of the answer.
 	Duration time.Duration
-	// Cause is what lay behind Reason, for logs; nil when there is nothing more to tell.
+	// Cause is the error behind Reason, for logs; nil when there is no more detail.
 	Cause error
 }
 
-// noObserver is told everything and does nothing.
+// noObserver ignores all notifications.
 type noObserver struct{}
 
 func (noObserver) CallFinished(CallReport)       {}
--- a/internal/dataplane/pace.go
+++ b/internal/dataplane/pace.go
@@ -4,13 +4,13 @@
 
 // pace bounds how long one side may keep a transfer waiting. Only the time spent
 // waiting for that side counts: it may add up to a grace, plus the time that the
-// bytes moved so far take at the slowest rate allowed. A transfer that moves on
-// at that rate is never cut, however long it is.
+// bytes transferred so far take at the slowest allowed rate. A transfer that keeps
+// up that rate is never cut off, however long it takes.
 type pace struct {
-	grace  time.Duration
-	rate   int64 // bytes a second
-	waited time.Duration
-	transferred  int64
+	grace       time.Duration
+	rate        int64 // bytes a second
+	waited      time.Duration
+	transferred int64
 }
 
 // remaining returns how long the next step may take; zero or less when the
@@ -20,7 +20,7 @@
 	return p.grace + earned - p.waited
 }
 
-// step counts a step that moved bytes and took some time.
+// step records a step that transferred bytes and took some time.
 func (p *pace) step(bytes int, took time.Duration) {
 	p.transferred += int64(bytes)
 	p.waited += took
--- a/internal/dataplane/peer.go
+++ b/internal/dataplane/peer.go
@@ -11,8 +11,8 @@
 	"github.com/levertide/levertide/pkg/routing"
 )
 
-// PeerHandler takes the requests of other nodes for the worker of this one. Its
-// listener must be reachable for nodes only: what they say is trusted.
+// PeerHandler returns the handler for requests of other nodes to the worker of
+// this one. Its listener must be reachable by nodes only: their headers are trusted.
 func (p *Plane) PeerHandler() http.Handler { return http.HandlerFunc(p.servePeer) }
 
 // peerCall is one request from another node.
@@ -40,7 +40,7 @@
 	c.recordAnswer()
 }
 
-// callWorker has the worker answer, unless the node drains.
+// callWorker sends the request to the worker, unless the node is draining.
 func (c *peerCall) callWorker() (*answer, error) {
 	if !c.enter(&c.plane.peerCalls, c.plane.draining.Load) {
 		return nil, outcome.New(outcome.Draining)
@@ -67,7 +67,7 @@
 		inbound:   c.request,
 		route:     route,
 		body:      c.body,
-		lifetime:      c.lifetime,
+		lifetime:  c.lifetime,
 		relay:     &c.relay,
 		allowance: allowance,
 		level:     level,
@@ -80,7 +80,7 @@
 	return result, err
 }
 
-// route returns the route that the other node chose, as this node knows it.
+// route returns the route that the other node chose, from this node's own table.
 func (c *peerCall) route() (*routing.Route, error) {
 	active := c.plane.current()
 	if active == nil {
@@ -94,8 +94,8 @@
 	return route, nil
 }
 
-// boundTime bounds the call by the time that the other node gives it, else by
-// that of the route.
+// boundTime bounds the call by the deadline that the other node sent, or else by
+// the timeout of the route.
 func (c *peerCall) boundTime(route *routing.Route, bounds callBounds) {
 	options := lifetimeOptions{Step: route.Timeout}
 	switch {
@@ -110,7 +110,8 @@
 	c.startLifetime(options)
 }
 
-// setStatusHeaders tells the other node the load and whether this node is leaving.
+// setStatusHeaders reports the load, and whether this node is draining, to the
+// other node.
 func (c *peerCall) setStatusHeaders() {
 	header := c.writer.Header()
 	header[loadHeader] = []string{strconv.Itoa(c.plane.load())}
@@ -135,7 +136,7 @@
 	}
 }
 
-// callBounds is the time that a caller gives a call.
+// callBounds is the time limit that a caller sets for a call.
 type callBounds struct {
 	left  time.Duration
 	given bool
--- a/internal/dataplane/plane.go
+++ b/internal/dataplane/plane.go
@@ -12,12 +12,12 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// Plane carries the calls of one node. Use New.
+// Plane forwards the calls of one node. Use New.
 type Plane struct {
 	config Config
 	limits Limits
-	// peerLimits are those for callers with twice the grace, so that a slow
-	// caller is cut by the node that it talks to.
+	// peerLimits are limits with twice the grace and half the minimum rate, so
+	// that a slow caller is cut off by the node that it is connected to.
 	peerLimits Limits
 
 	active       atomic.Pointer[activeVersion]
@@ -25,9 +25,9 @@
 	staged       atomic.Pointer[stagedTable]
 	destinations destinations
 
-	peers  *peerPool
-	evidenceSent   evidenceSendTimes
-	worker *workerClient
+	peers        *peerPool
+	evidenceSent evidenceSendTimes
+	worker       *workerClient
 
 	callerCalls inFlight
 	peerCalls   inFlight
@@ -67,11 +67,11 @@
 func checkConfig(config *Config) error {
 	switch {
 	case config.Node == "":
-		return ErrInvalidConfig.New("no node identifier")
+		return ErrInvalidConfig.New("Node is empty")
 	case config.Current == nil || config.Directory == nil:
-		return ErrInvalidConfig.New("no source of snapshots or members")
+		return ErrInvalidConfig.New("Current and Directory must both be set")
 	case (config.Service == "") != (config.WorkerAddress == ""):
-		return ErrInvalidConfig.New("a service needs a worker address and the other way round")
+		return ErrInvalidConfig.New("Service and WorkerAddress must be set together")
 	}
 	config.Limits = config.Limits.withDefaults()
 	config.Balance.Region = config.Region
@@ -94,14 +94,14 @@
 	return nil
 }
 
-// Validate reports whether calls could use a snapshot. What it compiles is kept
-// for when the snapshot comes in force.
+// Validate checks whether calls could use a snapshot. The compiled table is kept
+// for when the snapshot comes into force.
 func (p *Plane) Validate(candidate *snapshot.Snapshot) error {
 	_, err := p.compile(candidate)
 	return err
 }
 
-// WorkerStarted tells that the worker has just started: slow start begins.
+// WorkerStarted begins slow start; it is called when the worker has just started.
 func (p *Plane) WorkerStarted() {
 	if p.worker != nil {
 		p.worker.workerStarted()
@@ -115,10 +115,10 @@
 	// CallerCalls and PeerCalls are the calls in flight.
 	CallerCalls, PeerCalls int
 	Draining               bool
-	// HasWorker tells whether Worker and WorkerLoad mean anything.
+	// HasWorker is set when Worker and WorkerLoad are valid.
 	HasWorker bool
 	Worker    admission.Stats
-	// WorkerLoad is the load of the worker as told to other nodes, from 0 to 1.
+	// WorkerLoad is the load of the worker as reported to other nodes, from 0 to 1.
 	WorkerLoad float64
 }
 
@@ -141,8 +141,8 @@
 	return status
 }
 
-// Close ends the unused connections to other nodes and to the worker. Calls in
-// flight are not touched.
+// Close closes the idle connections to other nodes and to the worker. Calls in
+// flight are not affected.
 func (p *Plane) Close() {
 	p.peers.close()
 	if p.worker != nil {
--- a/internal/dataplane/pool.go
+++ b/internal/dataplane/pool.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// peerPool keeps one transport for each address, so that the unused connections
-// to a node that leaves can be closed from this side. A node must not have to
-// close them itself: a request could be on its way on one, and its outcome
-// would be unknown.
+// peerPool holds one transport for each address, so that the idle connections to
+// a leaving node can be closed from this side. The leaving node must not have to
+// close them itself: a request could be on its way on one, and its outcome would
+// be unknown.
 type peerPool struct {
 	make func() *http.Transport
 
@@ -66,8 +66,8 @@
 	return transport
 }
 
-// retire closes the unused connections to an address. Those in use are closed
-// at the end of their calls.
+// retire closes the idle connections to an address. Those in use are closed at
+// the end of their calls.
 func (p *peerPool) retire(address string) {
 	p.mutex.Lock()
 	transport := p.transports[address]
@@ -83,11 +83,11 @@
 	t.CloseIdleConnections()
 }
 
-// retireUnlisted retires the addresses of nodes that a new directory does not list as
-// live there.
+// retireUnlisted retires the addresses at which a new directory no longer lists the
+// node as live.
 func (p *peerPool) retireUnlisted(view *membership.View) {
-	former := p.view.Load()
-	if view == nil || view == former || !p.view.CompareAndSwap(former, view) {
+	previous := p.view.Load()
+	if view == nil || view == previous || !p.view.CompareAndSwap(previous, view) {
 		return
 	}
 	for _, address := range p.unlisted(view) {
--- a/internal/dataplane/rules.go
+++ b/internal/dataplane/rules.go
@@ -7,12 +7,13 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// checkRequest refuses requests that different programs may understand
-// differently, and those that ask for what is not offered.
+// checkRequest refuses requests that different programs may interpret
+// differently, and those that ask for unsupported features.
 func checkRequest(r *http.Request) error {
 	switch {
 	case !r.ProtoAtLeast(1, 1):
-		// The end of an answer cannot always be told in HTTP/1.0.
+		// In HTTP/1.0 the end of an answer cannot always be distinguished from a
+		// broken connection.
 		return outcome.New(outcome.Unsupported)
 	case r.Method == http.MethodConnect || asksForUpgrade(r.Header):
 		return outcome.New(outcome.Unsupported)
@@ -36,10 +37,10 @@
 	return false
 }
 
-// plainPath reports whether a path means the same to everyone. It refuses empty
+// plainPath reports whether all programs interpret a path alike. It refuses empty
 // segments, "." and ".." segments (also with parameters), backslashes, control
-// characters, and slashes that are hidden by percent encoding. Nothing is
-// rewritten: what is accepted reaches the worker as it came.
+// characters, and percent-encoded slashes and backslashes. Nothing is rewritten:
+// an accepted path reaches the worker unchanged.
 func plainPath(path, rawPath string) bool {
 	if path == "" || path[0] != '/' || hidesSlash(rawPath) {
 		return false
--- a/internal/dataplane/rules_test.go
+++ b/internal/dataplane/rules_test.go
@@ -59,7 +59,7 @@
 			t.Fatalf("accepted %q", parsed.Path)
 		}
 		if joined := parsed.JoinPath("."); strings.TrimSuffix(joined.Path, "/") != strings.TrimSuffix(parsed.Path, "/") {
-			t.Fatalf("%q means %q to some", parsed.Path, joined.Path)
+			t.Fatalf("%q was accepted, but some programs interpret it as %q", parsed.Path, joined.Path)
 		}
 	})
 }
@@ -75,7 +75,7 @@
 		out := outgoingHeader(r)
 		for name := range out {
 			if strings.HasPrefix(name, headerPrefix) || name == connectionName || name == "Upgrade" || name == "Transfer-Encoding" {
-				t.Fatalf("%s went on", name)
+				t.Fatalf("%s was forwarded", name)
 			}
 		}
 		if bounds, allowance, err := readBounds(r.Header); err == nil && (bounds.left < 0 || allowance > 10) {
--- a/internal/dataplane/scope_test.go
+++ b/internal/dataplane/scope_test.go
@@ -10,18 +10,18 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// A node that holds only its scope refuses a request of a route that it does not
-// hold; it does not send it to the service of a less specific route.
+// A node that holds only its scope must refuse a request of a route that it does
+// not hold, instead of sending it to the service of a less specific route.
 func TestRequestOfARouteOutOfScopeReachesNoWorker(t *testing.T) {
 	m := newMesh(t)
 	own, filings := serviceNamed(testService), testRoute("/filings", model.RepeatNever)
 	own.Service.Calls = []string{}
 	filings.Service = "filings"
-	whole := m.snapshot(2, []model.Resource{
+	complete := m.snapshot(2, []model.Resource{
 		own, serviceNamed("filings"),
 		routeNamed("default", testRoute("/", model.RepeatNever)), routeNamed("filings", filings),
 	})
-	m.current.Store(whole.Restrict(snapshot.Scope{Service: testService}))
+	m.current.Store(complete.Restrict(snapshot.Scope{Service: testService}))
 	var requests atomic.Int64
 	m.addHandler("a", func(http.ResponseWriter, *http.Request) { requests.Add(1) })
 
--- a/internal/dataplane/send.go
+++ b/internal/dataplane/send.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// roundTrip is one request on its way over one leg.
+// roundTrip sends one request to another node or to the worker.
 type roundTrip struct {
 	transport *http.Transport
 	request   *http.Request
@@ -23,21 +23,21 @@
 
 // do sends the request and returns the head of the answer. Errors are those of
 // package outcome: not-run when nothing was written on any connection.
-func (s *roundTrip) do(ctx context.Context) (*http.Response, error) {
-	response, err := s.sendOnce(ctx)
-	if err != nil && s.metStaleConnection(ctx, err) {
-		response, err = s.sendOnce(ctx)
+func (r *roundTrip) do(ctx context.Context) (*http.Response, error) {
+	response, err := r.sendOnce(ctx)
+	if err != nil && r.metStaleConnection(ctx, err) {
+		response, err = r.sendOnce(ctx)
 	}
 	return response, err
 }
 
-func (s *roundTrip) sendOnce(ctx context.Context) (*http.Response, error) {
-	s.conn, s.reused = nil, false
-	s.body.attach(s.request)
-	trace := &httptrace.ClientTrace{GotConn: s.gotConn, Got1xxResponse: s.relay.relay}
-	response, err := s.transport.RoundTrip(s.request.WithContext(httptrace.WithClientTrace(ctx, trace)))
+func (r *roundTrip) sendOnce(ctx context.Context) (*http.Response, error) {
+	r.conn, r.reused = nil, false
+	r.body.attach(r.request)
+	trace := &httptrace.ClientTrace{GotConn: r.gotConn, Got1xxResponse: r.relay.relay}
+	response, err := r.transport.RoundTrip(r.request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		return nil, s.classify(ctx, err)
+		return nil, r.classify(ctx, err)
 	}
 	if response.StatusCode == http.StatusSwitchingProtocols {
 		_ = response.Body.Close()
@@ -46,35 +46,35 @@
 	return response, nil
 }
 
-func (s *roundTrip) gotConn(info httptrace.GotConnInfo) {
+func (r *roundTrip) gotConn(info httptrace.GotConnInfo) {
 	tracked, ok := info.Conn.(*httpleg.Conn)
 	if !ok {
 		return
 	}
 	tracked.Begin()
-	s.conn, s.reused = tracked, info.Reused
+	r.conn, r.reused = tracked, info.Reused
 }
 
-// metStaleConnection reports whether a kept connection turned out to be closed
+// metStaleConnection reports whether a reused connection turned out to be closed
 // before anything was written on it.
-func (s *roundTrip) metStaleConnection(ctx context.Context, err error) bool {
-	return s.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && s.body.repeatable()
+func (r *roundTrip) metStaleConnection(ctx context.Context, err error) bool {
+	return r.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && r.body.repeatable()
 }
 
-// classify tells what became of a request that got no answer.
-func (s *roundTrip) classify(ctx context.Context, err error) error {
-	nothingWritten := s.conn == nil || s.conn.Seal()
+// classify returns the failure of a request that got no answer.
+func (r *roundTrip) classify(ctx context.Context, err error) error {
+	nothingWritten := r.conn == nil || r.conn.Seal()
 	if nothingWritten {
-		return outcome.Wrap(s.reasonBeforeStart(ctx), err)
+		return outcome.Wrap(r.reasonBeforeStart(ctx), err)
 	}
-	return outcome.Wrap(s.reasonAfterStart(ctx), err)
+	return outcome.Wrap(r.reasonAfterStart(ctx), err)
 }
 
-func (s *roundTrip) reasonBeforeStart(ctx context.Context) outcome.Reason {
+func (r *roundTrip) reasonBeforeStart(ctx context.Context) outcome.Reason {
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
 		return outcome.DeadlineBeforeStart
-	case s.body.failed.Load():
+	case r.body.failed.Load():
 		return outcome.BodyNotReceived
 	case ctx.Err() != nil:
 		return outcome.CanceledBeforeStart
@@ -83,11 +83,11 @@
 	}
 }
 
-func (s *roundTrip) reasonAfterStart(ctx context.Context) outcome.Reason {
+func (r *roundTrip) reasonAfterStart(ctx context.Context) outcome.Reason {
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
 		return outcome.Timeout
-	case s.body.failed.Load():
+	case r.body.failed.Load():
 		// The server cancels the context, too, when it cannot read the body.
 		return outcome.UploadFailed
 	case ctx.Err() != nil:
--- a/internal/dataplane/server.go
+++ b/internal/dataplane/server.go
@@ -9,7 +9,8 @@
 const (
 	// readHeaderTimeout bounds the arrival of a request's head.
 	readHeaderTimeout = 10 * time.Second
-	// addedHeaderBytes is room for what a node adds to the head of a request.
+	// addedHeaderBytes is the extra size allowed for what a node adds to the head
+	// of a request.
 	addedHeaderBytes = 8 << 10
 )
 
@@ -39,7 +40,7 @@
 	}
 }
 
-// trackConnState counts the connections that are open. It is a ConnState of http.Server.
+// trackConnState counts the open connections. It is used as ConnState of http.Server.
 func (f *inFlight) trackConnState(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
--- a/internal/dataplane/smuggling_test.go
+++ b/internal/dataplane/smuggling_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// ambiguousRequests are heads and bodies in which a second request hides from
-// a server that reads the length in another way.
+// ambiguousRequests are heads and bodies in which a server that determines the
+// length in another way finds a second request.
 var ambiguousRequests = map[string]string{
 	"both lengths":       "Content-Length: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: books.example\r\n\r\n",
 	"two lengths":        "Content-Length: 0\r\nContent-Length: 52\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: books.example\r\n\r\n",
@@ -23,7 +23,7 @@
 	"bad chunk size":     "Transfer-Encoding: chunked\r\n\r\n0x0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: books.example\r\n\r\n",
 }
 
-// headRecorder is a worker that keeps the heads it was sent, byte for byte.
+// headRecorder is a worker that records the heads it was sent, byte for byte.
 type headRecorder struct {
 	mutex sync.Mutex
 	heads []string
@@ -42,8 +42,9 @@
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 }
 
-// Whatever the caller's framing, a worker is sent requests of one length only:
-// net/http refuses a shape or reads it in one way, and the node writes it anew.
+// Whatever the caller's framing, a worker must receive requests with one length
+// only: net/http refuses a framing or reads it in one way, and the node frames the
+// request anew.
 func TestAmbiguousFramingDoesNotReachTheWorker(t *testing.T) {
 	for name, rest := range ambiguousRequests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -11,27 +11,28 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// A request that crashes each worker which runs it must not be offered to one after the
-// other (package quarantine). What a node knows travels with calls: with a failure to the
-// node where the call began, and from there with its next calls to the nodes beside other
-// workers, through which each run of the request must go.
+// A request that crashes each worker that runs it must not be sent to one worker after the
+// other (see package quarantine). Evidence about such requests is carried in the headers of
+// calls: a failure carries it to the node where the call began, and the next calls of that
+// node carry it to the nodes beside other workers, through which each run of the request
+// must go.
 
 const (
-	// evidenceHeader carries what a node knows of such requests.
+	// evidenceHeader carries the evidence of a node about such requests.
 	evidenceHeader = "Levertide-Evidence"
-	// evidenceResendInterval is how long what another node was told is not told it again. It may
-	// have been restarted since, and its workers must hear within seconds.
+	// evidenceResendInterval is how long evidence is not sent to the same node again. The
+	// node may have restarted since, and must receive it within seconds.
 	evidenceResendInterval = time.Second
 )
 
-// evidenceSendTimes is when other nodes were evidenceSendTimes what this one knows, by address. The zero value is
-// ready.
+// evidenceSendTimes records when evidence was last sent to other nodes, by address. The
+// zero value is ready to use.
 type evidenceSendTimes struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 }
 
-// due reports whether an address is to be told again, and counts it as told.
+// due reports whether evidence is to be sent to an address again; if so, it counts as sent.
 func (t *evidenceSendTimes) due(address string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,7 +47,8 @@
 }
 
 // fingerprint returns the fingerprint of a request; false for one whose body is streamed,
-// of which nothing is held that would tell it from others. Such a request is sent once.
+// of which nothing is buffered that would distinguish it from others. Such a request is
+// sent once.
 func (c *inboundCall) fingerprint() (quarantine.Fingerprint, bool) {
 	if c.body.streamed {
 		return quarantine.Fingerprint{}, false
@@ -62,14 +64,14 @@
 		request.Credentials = append(request.Credentials, c.request.Header.Get(name))
 	}
 	if c.tenant != "" {
-		// It stands for the key, which the node beside the worker does not see.
+		// The tenant stands in for the key, which the node beside the worker does not see.
 		request.Credentials = append(request.Credentials, c.tenant)
 	}
 	return request.Fingerprint(), true
 }
 
-// quarantineLevel returns how many crashes speak against the request of a call, and whether it is
-// quarantined.
+// quarantineLevel returns how many crashes are attributed to the request of a call, and whether
+// it is quarantined.
 func (c *inboundCall) quarantineLevel() (level int, quarantined bool) {
 	table := c.plane.config.Quarantine
 	if table.Empty() {
@@ -82,7 +84,7 @@
 	return table.Level(f, time.Now())
 }
 
-// checkQuarantine returns the failure of a request that is run no more; nil for any other.
+// checkQuarantine returns the failure of a quarantined request; nil for any other.
 func (c *inboundCall) checkQuarantine() error {
 	if _, found := c.quarantineLevel(); found {
 		return outcome.New(outcome.Quarantined)
@@ -90,26 +92,26 @@
 	return nil
 }
 
-// recordCrash takes that a worker has ended with the call in hand. The life of the worker is
-// told from others by the time: a node does not know more of it.
+// recordCrash records that the worker ended while it ran the call. The incarnation of the worker
+// is distinguished from others by the time: a node knows nothing more of it.
 func (c *inboundCall) recordCrash(level int) {
 	if f, ok := c.fingerprint(); ok {
 		c.plane.config.Quarantine.Crashed(f, c.plane.config.Node+" "+time.Now().UTC().Format(time.RFC3339), level, time.Now())
 	}
 }
 
-// recordAnswer takes that the worker has answered the call.
+// recordAnswer records that the worker has answered the call.
 func (c *inboundCall) recordAnswer() {
 	if c.plane.config.Quarantine.Empty() {
 		return
 	}
 	if f, ok := c.fingerprint(); ok {
-		// The others hear with the next calls.
+		// Other nodes receive this with the next calls.
 		_, _ = c.plane.config.Quarantine.Answered(f, time.Now())
 	}
 }
 
-// addEvidence puts what this node knows into the header of a call to another node.
+// addEvidence adds the evidence of this node, when due, to the header of a call to another node.
 func (p *Plane) addEvidence(header http.Header, address string) {
 	now := time.Now()
 	if p.config.Quarantine.Empty() || !p.evidenceSent.due(address, now) {
@@ -118,7 +120,8 @@
 	header[evidenceHeader] = []string{evidencewire.Header(p.config.Quarantine, now)}
 }
 
-// receiveEvidence takes what another node tells in the header of a call or of an answer.
+// receiveEvidence adopts the evidence that another node sent in the header of a call or of an
+// answer.
 func (p *Plane) receiveEvidence(header http.Header) {
 	evidencewire.TakeHeader(p.config.Quarantine, header.Get(evidenceHeader), time.Now())
 }
--- a/internal/dataplane/suspects_test.go
+++ b/internal/dataplane/suspects_test.go
@@ -13,13 +13,13 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// crashingWorker ends when it runs a request whose path has "guilty".
+// crashingWorker crashes when it runs a request whose path contains "guilty".
 type crashingWorker struct {
 	beside *testNode
 	ended  atomic.Bool
 }
 
-// crashingWorkers starts workers with a node beside each, and counts the runs that end one.
+// crashingWorkers starts workers with a node beside each, and counts the runs that crash one.
 func crashingWorkers(t *testing.T, m *mesh, ids ...string) (all []*crashingWorker, runs *atomic.Int64) {
 	t.Helper()
 	runs = new(atomic.Int64)
@@ -43,8 +43,8 @@
 	return all, runs
 }
 
-// TestCrashingRequestIsStoppedAtAllNodes sends a request that ends each worker, by way of
-// one node and then of another, which hears of it with calls only.
+// TestCrashingRequestIsStoppedAtAllNodes sends a request that crashes each worker, through
+// one node and then through another, which gets the evidence from calls only.
 func TestCrashingRequestIsStoppedAtAllNodes(t *testing.T) {
 	m := newMesh(t)
 	all, runs := crashingWorkers(t, m, "a", "b", "c", "d", "e", "f")
@@ -60,10 +60,10 @@
 	if !stopped || runs.Load() != quarantine.DefaultLimit {
 		t.Fatalf("stopped: %v, after %d workers", stopped, runs.Load())
 	}
-	// The nodes beside the workers that are left hear with the next calls, some of which
-	// meet the ones that have ended.
+	// The nodes beside the remaining workers get the evidence with the next calls, some of
+	// which reach the nodes of workers that have ended.
 	guilty := quarantine.Request{Method: http.MethodGet, Host: testHost, Target: "/always/guilty", Credentials: []string{"", ""}}.Fingerprint()
-	eventually(t, "all nodes beside workers that are left know", func() bool {
+	eventually(t, "all nodes beside remaining workers know the request", func() bool {
 		m.call(http.MethodGet, "/always/innocent", "")
 		for _, worker := range all {
 			if _, known := worker.beside.plane.config.Quarantine.Level(guilty, time.Now()); !known && !worker.ended.Load() {
@@ -86,7 +86,7 @@
 	})
 }
 
-// TestLostAnswerIsNoCrash has a worker break off answers and run on.
+// TestLostAnswerIsNoCrash uses a worker that aborts its answers and keeps running.
 func TestLostAnswerIsNoCrash(t *testing.T) {
 	m := newMesh(t)
 	node := m.addHandler("a", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
@@ -94,12 +94,12 @@
 		m.call(http.MethodPost, "/never/one", "body").expect(t, http.StatusBadGateway, "unknown", outcome.ConnectionLost)
 	}
 	if !node.plane.config.Quarantine.Empty() || !m.entry.plane.config.Quarantine.Empty() {
-		t.Error("a lost answer is taken for the end of the worker")
+		t.Error("a lost answer was recorded as a crash of the worker")
 	}
 }
 
-// TestAnswerClearsASuspectOfTheMesh has a worker answer a request that was in hand where
-// two others ended.
+// TestAnswerClearsASuspectOfTheMesh has a worker answer a request that two others were
+// running when they crashed.
 func TestAnswerClearsASuspectOfTheMesh(t *testing.T) {
 	m := newMesh(t)
 	node := m.addHandler("a", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") })
@@ -115,7 +115,7 @@
 }
 
 // TestSuspendedNodeGivesNoTimeThatCallersLack suspends the machine of the node where a call
-// begins.
+// begins: the deadline for the worker must not include that time.
 func TestSuspendedNodeGivesNoTimeThatCallersLack(t *testing.T) {
 	const suspension = 3 * time.Second
 	var given atomic.Value
--- a/internal/dataplane/transport.go
+++ b/internal/dataplane/transport.go
@@ -14,8 +14,8 @@
 	schemePlain     = "http"
 	schemeEncrypted = "https"
 
-	// continueWait is how long a long body is held back for the other node or
-	// the worker to ask for it.
+	// continueWait is how long a long body is held back while waiting for the
+	// other node or the worker to answer 100 Continue.
 	continueWait = 2 * time.Second
 )
 
@@ -30,9 +30,9 @@
 	return transport
 }
 
-// newWorkerTransport returns a transport that opens the given number of connections at most. The
-// bound on requests alone does not see to that: a connection that was opened for one request stays
-// when an older one became free first.
+// newWorkerTransport returns a transport that opens at most the given number of connections. The
+// bound on requests alone does not ensure that: a connection that was opened for one request stays
+// open when an older one became free first and served the request.
 func newWorkerTransport(config *Config, connections int) *http.Transport {
 	transport := newTransport(config)
 	transport.MaxConnsPerHost = connections
@@ -50,7 +50,7 @@
 	}
 }
 
-// encrypt has connections shake hands once they are open.
+// encrypt returns a dial function that completes the TLS handshake of each connection.
 func encrypt(dial httpleg.DialFunc, config *tls.Config) httpleg.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -66,7 +66,7 @@
 	}
 }
 
-// configFor fills in the server name that a plain verification needs.
+// configFor fills in the server name that the standard verification needs.
 func configFor(config *tls.Config, address string) *tls.Config {
 	if config.ServerName != "" || config.InsecureSkipVerify {
 		return config
--- a/internal/dataplane/unknownoutcome_test.go
+++ b/internal/dataplane/unknownoutcome_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A repeatable request whose first attempt may have run is not reported as
-// not-run because a later attempt was refused.
+// A repeatable request whose first attempt may have run must not be reported as
+// not-run when a later attempt is refused.
 func TestNotRunIsNotReportedAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nLevertide-Outcome: not-run\r\nContent-Length: 0\r\n\r\n"
 	m := newMesh(t)
--- a/internal/dataplane/worker.go
+++ b/internal/dataplane/worker.go
@@ -14,62 +14,62 @@
 	"github.com/levertide/levertide/pkg/routing"
 )
 
-// refusedRetryAfter is what a caller is told to wait after the worker itself
+// refusedRetryAfter is the Retry-After of the answer after the worker itself
 // refused a request.
 const refusedRetryAfter = time.Second
 
-// longestIsolation bounds how long a suspect waits for another one at the worker: longer
-// than most runs last, and short enough to turn elsewhere.
+// longestIsolation bounds how long a suspect waits for another suspect at the worker: longer
+// than most runs last, and short enough to try another worker.
 const longestIsolation = 500 * time.Millisecond
 
-// workerClient is the way from this node to its worker.
+// workerClient sends requests from this node to its worker.
 type workerClient struct {
 	address string
-	// makeTransport returns a transport that opens the given number of connections at most.
+	// makeTransport returns a transport that opens at most the given number of connections.
 	makeTransport func(connections int) *http.Transport
-	gate    *admission.Gate
-	// crashes tells the end of the worker from the loss of one connection.
+	gate          *admission.Gate
+	// crashes distinguishes the end of the worker from the loss of one connection.
 	crashes *crashwatch.Watch
 
 	mutex      sync.Mutex
 	started    bool // the worker was reported as just started
 	configured bool // the gate has the options of a service
 	transport  *http.Transport
-	// connections is how many the transport opens at most.
+	// connections is the most that the transport opens.
 	connections int
 }
 
 func newWorkerClient(config *Config) *workerClient {
-	l := &workerClient{
-		address: config.WorkerAddress,
+	w := &workerClient{
+		address:       config.WorkerAddress,
 		makeTransport: func(connections int) *http.Transport { return newWorkerTransport(config, connections) },
-		gate:    admission.New(admission.Options{}),
-		crashes: crashwatch.New(config.Dial),
+		gate:          admission.New(admission.Options{}),
+		crashes:       crashwatch.New(config.Dial),
 	}
-	l.limitConnections(admission.Options{})
-	return l
+	w.limitConnections(admission.Options{})
+	return w
 }
 
-// applyLimits gives the gate the limits of a service. A start that was reported
-// before the first of them is reported again, since the gate did not know then
-// how long slow start takes.
-func (l *workerClient) applyLimits(service *model.Service) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+// applyLimits sets the limits of a service in the gate. A worker start that was
+// reported before the first limits is reported again, since the gate did not know
+// then how long slow start takes.
+func (w *workerClient) applyLimits(service *model.Service) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	options := gateOptions(service)
-	l.gate.Reconfigure(options)
-	l.limitConnections(options)
-	if l.started && !l.configured {
-		l.gate.WorkerStarted()
+	w.gate.Reconfigure(options)
+	w.limitConnections(options)
+	if w.started && !w.configured {
+		w.gate.WorkerStarted()
 	}
-	l.configured = true
+	w.configured = true
 }
 
-// probeConnections is how many connections are left for probes of a worker that accepts more
-// than it has slots.
+// probeConnections is how many connections are reserved for probes of a worker that accepts
+// more connections than it has slots.
 const probeConnections = 1
 
-// connectionsFor returns how many connections requests may have at a worker.
+// connectionsFor returns how many connections requests may open to a worker.
 func connectionsFor(options admission.Options) int {
 	slots, accepted := options.Slots, options.Connections
 	if slots <= 0 {
@@ -84,49 +84,49 @@
 	return accepted
 }
 
-// limitConnections has further requests use a transport that keeps to the connections that the
-// worker accepts. Requests under way keep theirs. The mutex is held, or nobody else has the leg
-// yet.
-func (l *workerClient) limitConnections(options admission.Options) {
+// limitConnections makes further requests use a transport that opens no more connections than
+// the worker accepts. Requests in flight keep theirs. The mutex is held, or the client is not
+// shared yet.
+func (w *workerClient) limitConnections(options admission.Options) {
 	connections := connectionsFor(options)
-	if connections == l.connections {
+	if connections == w.connections {
 		return
 	}
-	former := l.transport
-	l.transport, l.connections = l.makeTransport(connections), connections
-	if former != nil {
-		former.CloseIdleConnections()
+	previous := w.transport
+	w.transport, w.connections = w.makeTransport(connections), connections
+	if previous != nil {
+		previous.CloseIdleConnections()
 	}
 }
 
 // currentTransport returns the transport for further requests.
-func (l *workerClient) currentTransport() *http.Transport {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.transport
+func (w *workerClient) currentTransport() *http.Transport {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.transport
 }
 
 // workerStarted begins slow start.
-func (l *workerClient) workerStarted() {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.started = true
-	l.gate.WorkerStarted()
+func (w *workerClient) workerStarted() {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.started = true
+	w.gate.WorkerStarted()
 }
 
 // workerCall is one request for the worker.
 type workerCall struct {
-	// tenant is whose the call is; empty when it is nobody's.
+	// tenant is the name of the tenant that made the call; empty when there is none.
 	tenant    string
 	inbound   *http.Request
 	route     *routing.Route
 	body      *requestBody
-	lifetime      *lifetime
+	lifetime  *lifetime
 	relay     *informationalRelay
 	allowance retry.Allowance
-	// level is how many crashes of workers speak against the request.
+	// level is how many crashes of workers are attributed to the request.
 	level int
-	// expect tells that the caller itself asked for 100-continue.
+	// expect is set when the caller itself asked for 100-continue.
 	expect bool
 }
 
@@ -135,12 +135,12 @@
 	response *http.Response
 	latency  time.Duration
 	permit   admission.Permit
-	measured time.Duration // for the gate; zero when it means nothing
+	measured time.Duration // latency for the gate; zero when it does not reflect the worker
 	// transport is that of the other node; nil for this node's own worker.
 	transport *peerTransport
 }
 
-// close ends the exchange and gives the slot back.
+// close closes the body and releases the slot.
 func (a *answer) close() {
 	_ = a.response.Body.Close()
 	if a.transport != nil {
@@ -149,41 +149,42 @@
 	a.permit.Release(admission.Result{Latency: a.measured})
 }
 
-// send admits a request and sends it to the worker. A suspect waits until the worker has no
-// other one in hand.
-func (l *workerClient) send(call workerCall) (*answer, error) {
+// send admits a request and sends it to the worker. A suspect waits until the worker runs no
+// other suspect.
+func (w *workerClient) send(call workerCall) (*answer, error) {
 	if call.level > 0 {
-		if !l.crashes.Isolate(call.lifetime.ctx, time.Now().Add(longestIsolation)) {
+		if !w.crashes.Isolate(call.lifetime.ctx, time.Now().Add(longestIsolation)) {
 			return nil, outcome.WithRetryAfter(outcome.Overloaded, refusedRetryAfter)
 		}
-		defer l.crashes.EndIsolation()
+		defer w.crashes.EndIsolation()
 	}
-	permit, err := l.gate.Admit(call.lifetime.admissionContext(), priorityOf(call.route))
+	permit, err := w.gate.Admit(call.lifetime.admissionContext(), priorityOf(call.route))
 	if err != nil {
 		return nil, shedError(err)
 	}
 	began := time.Now()
-	sending := roundTrip{
-		transport: l.currentTransport(),
-		request:   l.request(call),
+	trip := roundTrip{
+		transport: w.currentTransport(),
+		request:   w.request(call),
 		body:      call.body,
 		relay:     call.relay,
 	}
-	l.crashes.Begin()
-	response, err := sending.do(call.lifetime.ctx)
-	l.crashes.End()
+	w.crashes.Begin()
+	response, err := trip.do(call.lifetime.ctx)
+	w.crashes.End()
 	if err != nil {
 		permit.Release(admission.Result{})
-		if outcome.ReasonOf(err) == outcome.ConnectionLost && l.crashes.Ended(call.lifetime.ctx, l.address) {
+		if outcome.ReasonOf(err) == outcome.ConnectionLost && w.crashes.Ended(call.lifetime.ctx, w.address) {
 			return nil, outcome.Wrap(outcome.WorkerCrashed, err)
 		}
 		return nil, err
 	}
-	return l.acceptResponse(call, response, permit, time.Since(began))
+	return w.acceptResponse(call, response, permit, time.Since(began))
 }
 
-// acceptResponse sorts out answers that are none.
-func (l *workerClient) acceptResponse(call workerCall, response *http.Response, permit admission.Permit, latency time.Duration) (*answer, error) {
+// acceptResponse turns a response into an answer; a refusal, and a response whose end cannot be
+// detected, become errors.
+func (w *workerClient) acceptResponse(call workerCall, response *http.Response, permit admission.Permit, latency time.Duration) (*answer, error) {
 	if outcome.RefusedByWorker(response.StatusCode, response.Header) {
 		discard(response)
 		permit.Release(admission.Result{Refused: true})
@@ -201,7 +202,7 @@
 	return result, nil
 }
 
-func (l *workerClient) request(call workerCall) *http.Request {
+func (w *workerClient) request(call workerCall) *http.Request {
 	header := outgoingHeader(call.inbound)
 	if left, ok := call.lifetime.left(); ok {
 		header[retry.DeadlineHeader] = []string{retry.FormatDeadline(left)}
@@ -212,7 +213,7 @@
 	}
 	setTenant(header, call.tenant)
 	setCredential(header, call.route)
-	return outgoingRequest(call.inbound, schemePlain, l.address, header)
+	return outgoingRequest(call.inbound, schemePlain, w.address, header)
 }
 
 // setCredential replaces whatever the caller sent in the route's credential header.
@@ -222,8 +223,8 @@
 	}
 }
 
-// outgoingRequest returns the request for the next leg, without its body. Target
-// and host are passed on as they came.
+// outgoingRequest returns the request to forward, without its body. Target and
+// host are forwarded unchanged.
 func outgoingRequest(r *http.Request, scheme, address string, header http.Header) *http.Request {
 	return &http.Request{
 		Method: r.Method,
--- a/internal/httpleg/body.go
+++ b/internal/httpleg/body.go
@@ -10,7 +10,7 @@
 var IdentityEncoding = []string{"identity"}
 
 // EmptyBody is a body without content that is neither nil nor http.NoBody, so
-// that the transport takes the request for one that it cannot repeat.
+// that the transport considers the request one that it cannot repeat.
 type EmptyBody struct{}
 
 // Read implements io.Reader.
@@ -19,14 +19,15 @@
 // Close implements io.Closer.
 func (EmptyBody) Close() error { return nil }
 
-// NeedsContentLength lists the methods that say "Content-Length: 0".
+// NeedsContentLength reports whether requests with the method carry
+// "Content-Length: 0" when they have no body.
 func NeedsContentLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// HideIdempotencyKey writes the names of the keys in lower case, which means the
-// same to every receiver. The transport repeats a request without a body only if
-// it finds such a key under its canonical name.
+// HideIdempotencyKey changes the names of idempotency keys to lower case, which
+// is equivalent for every receiver. The transport repeats a request without a
+// body only if it finds such a key under its canonical name.
 func HideIdempotencyKey(header http.Header) {
 	renameHeader(header, "Idempotency-Key", "idempotency-key")
 	renameHeader(header, "X-Idempotency-Key", "x-idempotency-key")
--- a/internal/httpleg/conn.go
+++ b/internal/httpleg/conn.go
@@ -29,8 +29,8 @@
 	return c.state.CompareAndSwap(connUntouched, connSealed) || c.state.Load() == connSealed
 }
 
-// Write implements net.Conn. It counts as written before it is tried; a first
-// write of which the network took nothing is taken back.
+// Write implements net.Conn. The connection counts as written to before the write
+// is attempted; this is undone when the network accepted nothing of a first write.
 func (c *Conn) Write(p []byte) (int, error) {
 	first := c.state.CompareAndSwap(connUntouched, connWritten)
 	if !first && c.state.Load() != connWritten {
@@ -43,8 +43,8 @@
 	return n, err
 }
 
-// ReadFrom implements io.ReaderFrom with a shared buffer, so that an upload
-// takes no buffer of its own in the transport.
+// ReadFrom implements io.ReaderFrom with a pooled buffer, so that the transport
+// allocates no buffer for each upload.
 func (c *Conn) ReadFrom(source io.Reader) (int64, error) {
 	buffer := GetBuffer()
 	defer PutBuffer(buffer)
@@ -59,8 +59,8 @@
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// GetBuffer returns a buffer for copying a body; give it back with PutBuffer.
+// GetBuffer returns a pooled buffer for copying a body; return it with PutBuffer.
 func GetBuffer() *[copyBufferSize]byte { return copyBuffers.Get().(*[copyBufferSize]byte) }
 
-// PutBuffer gives a buffer back.
+// PutBuffer returns a buffer to the pool.
 func PutBuffer(buffer *[copyBufferSize]byte) { copyBuffers.Put(buffer) }
--- a/internal/httpleg/conn_test.go
+++ b/internal/httpleg/conn_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// stubConn takes a number of bytes and then fails.
+// stubConn accepts a number of bytes and then fails.
 type stubConn struct {
 	net.Conn
 	takes int
--- a/internal/httpleg/dial.go
+++ b/internal/httpleg/dial.go
@@ -9,7 +9,8 @@
 // DialFunc opens a connection.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Track bounds the time that opening a connection takes, and has it tracked.
+// Track returns a dial function that bounds the time for opening a connection and
+// returns each connection as a Conn.
 func Track(dial DialFunc, bound time.Duration) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, bound)
--- a/internal/httpleg/header.go
+++ b/internal/httpleg/header.go
@@ -8,12 +8,12 @@
 
 const closeValue = "close"
 
-// CredentialHeaders are the headers by which callers say who they are: requests that differ
-// in these are not the same one.
+// CredentialHeaders are the headers by which callers identify themselves: requests that
+// differ in these are different requests.
 var CredentialHeaders = []string{"Authorization", "Cookie"}
 
-// IsHopByHop reports whether a header with this canonical name belongs to
-// one connection and does not go on to the next leg.
+// IsHopByHop reports whether a header with this canonical name concerns one
+// connection only and must not be forwarded.
 func IsHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
@@ -23,7 +23,8 @@
 	return false
 }
 
-// RemoveListed removes the headers that the Connection headers of source name.
+// RemoveListed removes from target the headers that are listed in the Connection
+// headers of source.
 func RemoveListed(target, source http.Header) {
 	for _, list := range source["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/httpleg/key.go
+++ b/internal/httpleg/key.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// KeyScheme says how callers give their keys: in a header, behind the name of a scheme of
-// HTTP authentication. A key is a secret: it never leaves the node, and nothing shows it.
-// The zero value knows no keys.
+// KeyScheme defines how callers send their keys: in a header, after the name of an HTTP
+// authentication scheme. A key is a secret: it must never leave the node or be shown
+// anywhere. The zero value finds no keys.
 type KeyScheme struct {
 	// Header is canonical.
 	Header string
@@ -16,8 +16,8 @@
 	Scheme string
 }
 
-// Read returns the key of a request; false when it gives none. Of several values none is
-// taken, for programs might understand them differently.
+// Read returns the key of a request; false when there is none. When the header has several
+// values, none is used, since programs might interpret them differently.
 func (s KeyScheme) Read(header http.Header) (string, bool) {
 	values := header[s.Header]
 	if len(values) != 1 {
@@ -35,8 +35,8 @@
 	return key, true
 }
 
-// Strip removes what is given as a key. The values that stay are not changed, since
-// requests share them.
+// Strip removes the values that may hold a key. The slice of values is not changed in
+// place, since requests share it.
 func (s KeyScheme) Strip(header http.Header) {
 	values := header[s.Header]
 	if !slices.ContainsFunc(values, s.holdsKey) {
@@ -55,8 +55,8 @@
 	header[s.Header] = rest
 }
 
-// holdsKey reports whether a value may show a key to who reads it: at its beginning, or behind
-// that of another scheme where a proxy has joined values to a list.
+// holdsKey reports whether a reader of a value may find a key in it: at its beginning, or
+// after the value of another scheme where a proxy has joined values to a list.
 func (s KeyScheme) holdsKey(value string) bool {
 	first := strings.TrimLeft(value, " \t,")
 	if s.hasSchemePrefix(first) {
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// bufferSize is the size of the buffers of one connection, each way. What is
-	// read ahead of the requests in hand stays within it.
+	// bufferSize is the size of the read buffer and of the write buffer of one
+	// connection. It bounds what is read ahead of the requests in flight.
 	bufferSize = 4 << 10
-	// lingerTime and lingerBytes bound how long a connection that was told to end
-	// is still read from: closing with unread bytes would reset it, and the caller
-	// could lose the answer on its way.
+	// lingerTime and lingerBytes bound how long a connection is still read from
+	// after its last answer: closing with unread bytes would reset it, and the
+	// caller could lose the answer on its way.
 	lingerTime  = 500 * time.Millisecond
 	lingerBytes = 1 << 20
 )
 
-// expiredDeadline is a deadline that ends a read that is under way.
+// expiredDeadline is a deadline that ends a read in progress.
 var expiredDeadline = time.Unix(1, 0)
 
 // conn is one connection of a caller. One goroutine reads the requests; each
-// request has one that handles it and writes the answer when its turn has come.
+// request has a goroutine that handles it and writes the answer when its turn
+// has come.
 type conn struct {
 	server *Server
 	rwc    net.Conn
@@ -36,19 +37,19 @@
 	bw     *bufio.Writer // belongs to the exchange whose turn it is
 	ctx    context.Context
 	cancel context.CancelFunc
-	// slots bounds the requests in hand.
+	// slots bounds the requests in flight.
 	slots chan struct{}
 
 	mu sync.Mutex
 	// newest is the last request that was handed to the handler.
-	newest *exchange
+	newest   *exchange
 	inFlight int
-	// awaitingRequest tells that the reader waits for a request to begin.
+	// awaitingRequest is set while the reader waits for a request to begin.
 	awaitingRequest bool
-	// hasDeadline tells that reads have an end.
+	// hasDeadline is set while reads have a deadline.
 	hasDeadline bool
-	// stopping has the next answer end the connection; sealed tells that no
-	// further request is taken.
+	// stopping makes the next answer end the connection; sealed is set when no
+	// further request is accepted.
 	stopping, sealed bool
 }
 
@@ -67,8 +68,8 @@
 	return c
 }
 
-// serve reads requests until the connection is to end, waits until those in hand
-// are answered, and closes it.
+// serve reads requests until the connection is to end, waits until those in
+// flight are answered, and closes it.
 func (c *conn) serve() {
 	defer func() { _ = c.rwc.Close() }()
 	defer c.cancel()
@@ -86,7 +87,7 @@
 }
 
 // readRequests hands requests to the handler. It returns nil when no further one
-// is to be taken, and an error when the connection is broken or idle.
+// is accepted, and an error when the connection is broken or idle.
 func (c *conn) readRequests() error {
 	for {
 		if err := c.awaitRequest(); err != nil {
@@ -112,7 +113,7 @@
 }
 
 // errStopped ends the wait for a request on a connection that is to end.
-var errStopped = errors.New("the connection is to end")
+var errStopped = errors.New("connection is stopping")
 
 func ignoreStop(err error) error {
 	if errors.Is(err, errStopped) {
@@ -144,7 +145,7 @@
 	c.updateReadDeadline()
 }
 
-// updateReadDeadline sets the end of the wait for a request. The mutex is held.
+// updateReadDeadline sets the deadline of the wait for a request. The mutex is held.
 func (c *conn) updateReadDeadline() {
 	switch {
 	case !c.awaitingRequest:
@@ -157,8 +158,8 @@
 	}
 }
 
-// setDeadline sets the end of reads of requests, unless it is none already. The
-// mutex is held.
+// setDeadline sets the deadline of reads of requests; it does nothing when a
+// deadline is cleared that is not set. The mutex is held.
 func (c *conn) setDeadline(t time.Time) {
 	if t.IsZero() && !c.hasDeadline {
 		return
@@ -167,7 +168,7 @@
 	_ = c.rwc.SetReadDeadline(t)
 }
 
-// setReadDeadline sets the end of the reads that are under way.
+// setReadDeadline sets the deadline of the reads in progress.
 func (c *conn) setReadDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,13 +193,14 @@
 	return c.watch(taken)
 }
 
-// watch reads ahead, so that a caller who leaves is noticed, until the channel is
-// closed. It returns the error of a connection that has ended.
+// watch reads ahead until the channel is closed, so that a disconnect of the caller
+// is noticed. It returns the error of a connection that has ended.
 func (c *conn) watch(until <-chan struct{}) error {
 	watched := make(chan struct{})
 	interrupted := make(chan struct{})
-	// Set later, it would undo the interruption by a channel that is closed already, and the
-	// connection would be read on until the caller sends more.
+	// The deadline is cleared before the goroutine starts: cleared later, it would undo the
+	// interruption by a channel that is already closed, and the connection would be read on
+	// until the caller sends more.
 	c.setReadDeadline(time.Time{})
 	go func() {
 		defer close(interrupted)
@@ -234,7 +236,7 @@
 	return nil
 }
 
-// admit takes a request in hand; false when no further one is to be taken.
+// admit counts a request as in flight; false when no further one is accepted.
 func (c *conn) admit(x *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,8 +252,8 @@
 	return true
 }
 
-// beginAnswer tells whether the answer that begins now is the last one, and seals the
-// connection when its handler wants it to end.
+// beginAnswer reports whether the answer that begins now is the last one, and seals the
+// connection when the handler or a shutdown ends it.
 func (c *conn) beginAnswer(x *exchange, closing bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -259,14 +261,14 @@
 	return c.sealed && c.newest == x
 }
 
-// seal keeps further requests from being taken.
+// seal prevents further requests from being accepted.
 func (c *conn) seal() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
 }
 
-// release takes an answered request out of hand.
+// release frees the slot of an answered request.
 func (c *conn) release() {
 	<-c.slots
 	c.mu.Lock()
@@ -275,7 +277,7 @@
 	c.updateReadDeadline()
 }
 
-// lastEnded is closed when all requests in hand are answered.
+// lastEnded returns a channel that is closed when all requests in flight are answered.
 func (c *conn) lastEnded() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -291,7 +293,7 @@
 	return c
 }()
 
-// stop has the connection end after the requests that were read are answered.
+// stop makes the connection end after the requests that were read are answered.
 func (c *conn) stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -305,7 +307,8 @@
 	_ = c.rwc.Close()
 }
 
-// linger ends the own side and reads on for a while.
+// linger closes the sending side and discards what still arrives, up to lingerTime and
+// lingerBytes.
 func (c *conn) linger() {
 	half, ok := c.rwc.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
@@ -317,7 +320,7 @@
 
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// limitedReader bounds the bytes of a head, bodies apart.
+// limitedReader bounds the bytes read for a head; it does not limit bodies.
 type limitedReader struct {
 	source  io.Reader
 	limited bool
@@ -325,7 +328,7 @@
 }
 
 // errTooLong ends the reading of a head that is too long.
-var errTooLong = errors.New("the head of the request is too long")
+var errTooLong = errors.New("request head is too long")
 
 // Read implements io.Reader.
 func (l *limitedReader) Read(p []byte) (int, error) {
--- a/internal/pipeline/doc.go
+++ b/internal/pipeline/doc.go
@@ -1,19 +1,19 @@
 // Package pipeline is an HTTP/1.1 server for callers that may send further
 // requests on a connection before the first is answered. The server of net/http
 // reads the next request only after it has answered the one before; this one
-// hands up to a bounded number of requests of one connection to the handler side
-// by side, and sends their answers in the order of the requests.
+// hands up to a bounded number of requests of one connection to the handler
+// concurrently, and sends their answers in the order of the requests.
 //
 // Requests are parsed by http.ReadRequest and handled by an http.Handler. What a
 // handler can rely on:
 //
 //   - The context of a request is canceled as soon as the caller has closed its
 //     connection, also while further requests wait behind it.
-//   - A request with a body is followed by no other one until the body has been
+//   - After a request with a body, no other one is handled until the body has been
 //     read or the request was answered.
-//   - A handler that sets "Connection: close" has the connection end. Requests
-//     that were handed to the handler before are still answered, and the last of
-//     them carries the header; those that were not are never run.
-//   - A handler that panics with http.ErrAbortHandler ends the connection where it
-//     is: an answer that is cut short cannot look whole, and nothing follows it.
+//   - A handler that sets "Connection: close" ends the connection. Requests that
+//     were handed to the handler before are still answered, and the last of them
+//     carries the header; the others are never run.
+//   - A handler that panics with http.ErrAbortHandler ends the connection at that
+//     point: a truncated answer cannot look complete, and nothing follows it.
 package pipeline
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -16,7 +16,7 @@
 	response response
 	// fault is the status of a request that is not handed to the handler.
 	fault int
-	// last tells that no further request follows on the connection.
+	// last is set when no further request follows on the connection.
 	last bool
 	// turn is closed when the answer before this one is complete; nil for the first.
 	turn <-chan struct{}
@@ -53,7 +53,7 @@
 	return x
 }
 
-// handle has the handler answer, and gives the turn to the next answer.
+// handle runs the handler and lets the next answer be written.
 func (x *exchange) handle() {
 	x.request = x.request.WithContext(x.conn.ctx)
 	defer x.end()
@@ -97,21 +97,21 @@
 	return x.conn.ctx.Err()
 }
 
-// body is the body of a request. It tells the connection when it has ended.
+// body is the body of a request. It signals its end to the connection.
 type body struct {
 	exchange *exchange
 
 	mu     sync.Mutex
 	source io.ReadCloser
-	// continuePending tells that the caller waits for a word before it sends the body.
+	// continuePending is set while the caller waits for 100 Continue before it sends the body.
 	continuePending bool
-	closed   bool
-	// complete tells that the end was read.
+	closed          bool
+	// complete is set when the end was read.
 	complete bool
 }
 
 // errBodyClosed is returned for a body that is read after the handler has ended.
-var errBodyClosed = errors.New("the request is over")
+var errBodyClosed = errors.New("read from a request body after the handler has ended")
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
@@ -137,8 +137,8 @@
 	return n, err
 }
 
-// callerDisconnected reports whether an error of a body means that the caller has gone away:
-// not one that it was too slow, nor one that what it sent cannot be read.
+// callerDisconnected reports whether an error of a body means that the caller has
+// disconnected, as opposed to being too slow or sending an invalid body.
 func callerDisconnected(err error) bool {
 	var failed *net.OpError
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &failed) && !failed.Timeout()
@@ -157,7 +157,7 @@
 	return b.complete
 }
 
-// close keeps others that still hold the body from reading what follows it.
+// close prevents code that still holds the body from reading what follows it.
 func (b *body) close() {
 	if b == nil {
 		return
@@ -165,7 +165,7 @@
 	if b.mu.TryLock() {
 		defer b.mu.Unlock()
 	} else {
-		// Somebody is reading.
+		// A read is in progress: interrupt it.
 		b.exchange.conn.setReadDeadline(expiredDeadline)
 		b.mu.Lock()
 		defer b.mu.Unlock()
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// testTimeout bounds waits for what comes much sooner.
+// testTimeout bounds waits for events that are expected much sooner.
 const testTimeout = 20 * time.Second
 
-// testServer is a server on a port of its own, whose handler a test holds and lets go.
+// testServer is a server on a port of its own, whose handler a test can block and release.
 type testServer struct {
 	server  *Server
 	address string
 
 	mu    sync.Mutex
 	gates map[string]chan struct{}
-	// began gets the path of each request that is handed to the handler, and canceled
-	// that of each whose context was canceled.
+	// began receives the path of each request that is handed to the handler, and
+	// canceled that of each whose context was canceled.
 	began, canceled chan string
 }
 
 // startTestServer starts a server. Its handler answers with method, path and body. A
-// path that begins with /hold/ is answered once it is let go.
+// path that begins with /hold/ is answered once it is released.
 func startTestServer(t testing.TB, configure func(*Config)) *testServer {
 	t.Helper()
 	s := &testServer{gates: map[string]chan struct{}{}, began: make(chan string, 1000), canceled: make(chan string, 1000)}
@@ -111,7 +111,7 @@
 	case value := <-from:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received before the timeout")
 		return ""
 	}
 }
@@ -153,7 +153,7 @@
 	body    string
 }
 
-// next reads the next answer; an error says how the connection ended.
+// next reads the next answer; the error is the one that ended the connection.
 func (c *caller) next() (answer, error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -98,7 +98,7 @@
 	s.release("/hold/1")
 	c.expect(t, "GET /hold/1 ")
 	if got, err := c.next(); err == nil {
-		t.Fatalf("an answer that is cut short looks whole: %+v", got)
+		t.Fatalf("a truncated answer looks complete: %+v", got)
 	}
 	if path := receive(t, s.canceled); path != "/hold/3" {
 		t.Fatalf("%s was canceled", path)
@@ -169,8 +169,8 @@
 	c.expect(t, "GET /2 ")
 }
 
-// TestBadRequests sends requests that cannot be used behind a good one: that is
-// answered, the bad one is told its fault, and nothing behind it runs.
+// TestBadRequests sends invalid requests after a valid one: the valid one is
+// answered, the invalid one gets its status, and nothing after it runs.
 func TestBadRequests(t *testing.T) {
 	for name, item := range map[string]struct {
 		text   string
@@ -226,9 +226,9 @@
 	}
 }
 
-// TestWatchEndsWithWhatItWaitsFor guards against requests that are never handled: a slot that
-// became free just as the connection began to be read ahead went unnoticed until the caller sent
-// more, which it does not before it has its answers.
+// TestWatchEndsWithWhatItWaitsFor guards against requests that are never handled: when a slot
+// became free just as the connection began to be read ahead, this went unnoticed until the caller
+// sent more, which it does not do before it has its answers.
 func TestWatchEndsWithWhatItWaitsFor(t *testing.T) {
 	const times = 100_000
 	near, far := net.Pipe()
@@ -249,6 +249,6 @@
 			t.Fatal(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the connection is read on although nothing is waited for any more")
+		t.Fatal("watch keeps reading the connection although its channel is closed")
 	}
 }
--- a/internal/pipeline/rapid_test.go
+++ b/internal/pipeline/rapid_test.go
@@ -14,11 +14,11 @@
 	"pgregory.net/rapid"
 )
 
-// item is one request of a drawn connection, with the answer that is due.
+// item is one request of a randomly drawn connection, with the expected answer.
 type item struct {
 	text, body string
 	status     int
-	// ends tells that no answer beyond those in hand follows.
+	// ends is set when this answer is the last of the connection.
 	ends bool
 }
 
@@ -41,8 +41,8 @@
 	}
 }
 
-// handledCounts counts the requests that were handledCounts, by connection. A handler of a connection that
-// was broken off may begin while the next one is tested.
+// handledCounts counts the requests that were handled, by connection. A handler of a
+// connection that was broken off may begin while the next one is tested.
 type handledCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -87,8 +87,9 @@
 	return items
 }
 
-// TestAnyConnection sends drawn requests, cut anywhere, maybe broken off anywhere, and
-// compares the answers with those that are due: in order, whole, and nothing beyond.
+// TestAnyConnection sends randomly drawn requests, split at any point and possibly broken
+// off at any point, and compares the answers with the expected ones: they must be complete,
+// in order, and followed by nothing.
 func TestAnyConnection(t *testing.T) {
 	begun := &handledCounts{counts: map[string]int{}}
 	var connections int64
@@ -132,7 +133,7 @@
 			}
 		}
 		if ran := begun.of(connections); ran > len(expected) {
-			rt.Fatalf("%d requests were handled, %d are due", ran, len(expected))
+			rt.Fatalf("%d requests were handled, want at most %d", ran, len(expected))
 		}
 	})
 }
--- a/internal/pipeline/request.go
+++ b/internal/pipeline/request.go
@@ -40,8 +40,8 @@
 	return newExchange(c, r), nil
 }
 
-// peekHead waits until the head is there and returns it without consuming it. One
-// that does not fit into the buffer is returned as far as it does.
+// peekHead waits until the head has arrived and returns it without consuming it. Of
+// one that does not fit into the buffer it returns the part that does.
 func (c *conn) peekHead() ([]byte, error) {
 	timed := false
 	for {
@@ -79,7 +79,7 @@
 	case r.ProtoAtLeast(1, 1) && r.Host == "" && r.Method != http.MethodConnect:
 		return http.StatusBadRequest
 	case len(r.TransferEncoding) > 0 && hasContentLength(head):
-		// With both lengths given, others may see the end of the body elsewhere.
+		// With both lengths given, other programs may see the end of the body elsewhere.
 		return http.StatusBadRequest
 	case r.Header.Get("Expect") != "" && !expectsContinue(r):
 		return http.StatusExpectationFailed
@@ -87,8 +87,8 @@
 	return 0
 }
 
-// hasContentLength reports whether a head gives a Content-Length, or was too long to be
-// looked through.
+// hasContentLength reports whether a head has a Content-Length, or was too long to be
+// searched.
 func hasContentLength(head []byte) bool {
 	if !hasHeadEnd(head) {
 		return true
--- a/internal/pipeline/response.go
+++ b/internal/pipeline/response.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/internal/httpleg"
 )
 
-// errShort is the failure of an answer with less body than it has announced.
-var errShort = errors.New("the answer is shorter than announced")
+// errShort is returned for an answer whose body is shorter than its Content-Length.
+var errShort = errors.New("answer body is shorter than its Content-Length")
 
 // response is the http.ResponseWriter of one exchange. The head is written when
 // the answers before are complete.
@@ -21,15 +21,16 @@
 	exchange *exchange
 	header   http.Header
 
-	// mu keeps the word for a body that is waited for out of a head that is written.
+	// mu prevents 100 Continue from being written while the head is written.
 	mu    sync.Mutex
 	begun bool
-	// empty tells that the answer has no body, whatever its head says.
+	// empty is set when the answer has no body, whatever its head announces.
 	empty bool
-	// remaining is how much of an announced body is missing; -1 when none was announced.
-	remaining   int64
-	chunks io.WriteCloser // nil unless the length is not known
-	err    error
+	// remaining is how many bytes of the announced length are missing; -1 when none
+	// was announced.
+	remaining int64
+	chunks    io.WriteCloser // nil unless the length is not known
+	err       error
 }
 
 // Header implements http.ResponseWriter.
@@ -75,7 +76,8 @@
 	return err
 }
 
-// frame decides how the end of the body is told.
+// frame decides how the end of the body is marked: by its length, by chunks, or by
+// the end of the connection.
 func (w *response) frame(status int) {
 	w.remaining = -1
 	w.empty = w.exchange.request.Method == http.MethodHead || !httpleg.BodyAllowed(status)
@@ -127,15 +129,15 @@
 // SetReadDeadline bounds the reading of the request's body.
 func (w *response) SetReadDeadline(deadline time.Time) error {
 	if w.exchange.body.consumed() {
-		// The connection is read for what follows already.
+		// The connection is already read for the next request.
 		return nil
 	}
 	w.exchange.conn.setReadDeadline(deadline)
 	return nil
 }
 
-// EnableFullDuplex lets an answer begin before the request has been read, as is
-// always so here.
+// EnableFullDuplex does nothing: an answer may always begin before the request has
+// been read.
 func (w *response) EnableFullDuplex() error { return nil }
 
 // sendContinue tells the caller to send the body that it holds back.
--- a/internal/pipeline/server.go
+++ b/internal/pipeline/server.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Pauses after a connection could not be accepted, as when the process has no
-// descriptor left.
+// The shortest and the longest pause after a connection could not be accepted, as
+// when the process has no file descriptor left.
 const (
 	firstAcceptPause   = 5 * time.Millisecond
 	longestAcceptPause = time.Second
@@ -39,7 +39,7 @@
 	closed    bool
 	listeners map[net.Listener]struct{}
 	conns     map[*conn]struct{}
-	// cachedDate is the Date header of the present second.
+	// cachedDate is the Date header of the current second.
 	cachedDate atomic.Pointer[dateHeader]
 	// ended is closed and replaced whenever a connection has ended.
 	ended chan struct{}
@@ -54,12 +54,12 @@
 // date returns the Date header for an answer that begins now.
 func (s *Server) date() []string {
 	now := time.Now()
-	if held := s.cachedDate.Load(); held != nil && held.second == now.Unix() {
-		return held.value
+	if cached := s.cachedDate.Load(); cached != nil && cached.second == now.Unix() {
+		return cached.value
 	}
-	made := &dateHeader{second: now.Unix(), value: []string{now.UTC().Format(http.TimeFormat)}}
-	s.cachedDate.Store(made)
-	return made.value
+	created := &dateHeader{second: now.Unix(), value: []string{now.UTC().Format(http.TimeFormat)}}
+	s.cachedDate.Store(created)
+	return created.value
 }
 
 // New returns a Server. It listens on nothing by itself.
@@ -144,8 +144,8 @@
 	s.ended = make(chan struct{})
 }
 
-// Shutdown stops accepting, has each connection end after the requests that were
-// read from it are answered, and waits for that or for the context.
+// Shutdown stops accepting connections, ends each open one after the requests that
+// were read from it are answered, and waits for that or for the context.
 func (s *Server) Shutdown(ctx context.Context) error {
 	for _, c := range s.stop() {
 		c.stop()
@@ -163,7 +163,7 @@
 	}
 }
 
-// Close ends the listeners and all connections at once.
+// Close closes the listeners and all connections immediately.
 func (s *Server) Close() error {
 	for _, c := range s.stop() {
 		c.abort()
