--- a/internal/dataplane/bench_test.go
+++ b/internal/dataplane/bench_test.go
@@ -71,7 +71,7 @@
 }
 
 // BenchmarkUpload shows that memory does not grow with the length of an upload:
-// peak-B is the most heap in use seen while uploads run.
+// peak-B is the largest heap in use observed while uploads run.
 func BenchmarkUpload(b *testing.B) {
 	for _, megabytes := range []int64{1, 64, 1024} {
 		b.Run(fmt.Sprintf("megabytes=%d", megabytes), func(b *testing.B) {
--- a/internal/dataplane/chain_test.go
+++ b/internal/dataplane/chain_test.go
@@ -14,9 +14,9 @@
 // chainLevels is how many services call one another in a chain.
 const chainLevels = 6
 
-// passedOn are the headers that a worker copies to the calls that it makes on
-// behalf of a call.
-var passedOn = []string{retry.DeadlineHeader, retry.AttemptsLeftHeader}
+// forwardedHeaders are the headers that a worker copies to the calls that it makes
+// on behalf of a call.
+var forwardedHeaders = []string{retry.DeadlineHeader, retry.AttemptsLeftHeader}
 
 // newChain starts a chain of services, each with a node of its own and a worker
 // that calls the next service through its node. The last one aborts its answers.
@@ -69,7 +69,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		request.Host = fmt.Sprintf("level-%d", level+1)
-		for _, name := range passedOn {
+		for _, name := range forwardedHeaders {
 			request.Header.Set(name, r.Header.Get(name))
 		}
 		response, err := client.Do(request)
--- a/internal/dataplane/connections_test.go
+++ b/internal/dataplane/connections_test.go
@@ -11,7 +11,7 @@
 
 // TestWorkerIsGivenNoMoreConnectionsThanItAccepts guards against calls that are lost because
 // the worker closes connections beyond those that it accepts: two requests are in flight at a
-// time, and while a connection is opened for each, an older one serves it first.
+// time, and while a new connection is opened for each, an older one becomes free and serves it.
 func TestWorkerIsGivenNoMoreConnectionsThanItAccepts(t *testing.T) {
 	const accepted, calls = 5, 60
 	m := newMesh(t)
--- a/internal/dataplane/drain.go
+++ b/internal/dataplane/drain.go
@@ -121,8 +121,8 @@
 // and opened no further ones for DrainQuiet.
 func (p *Plane) drainPeerConnections(ctx context.Context) {
 	for p.peerConnections.wait(ctx) == nil {
-		seen := p.peerConnections.entered()
-		if !pause(ctx, p.limits.DrainQuiet) || p.peerConnections.entered() == seen {
+		before := p.peerConnections.entered()
+		if !pause(ctx, p.limits.DrainQuiet) || p.peerConnections.entered() == before {
 			return
 		}
 	}
--- a/internal/dataplane/drain_test.go
+++ b/internal/dataplane/drain_test.go
@@ -86,7 +86,7 @@
 	m.call("GET", "/", "").expect(t, http.StatusServiceUnavailable, "not-run", outcome.Draining)
 }
 
-func TestLongUploadMovesOnFromARefusingNode(t *testing.T) {
+func TestLongUploadIsRetriedAfterARefusal(t *testing.T) {
 	m := newMesh(t)
 	var stored atomic.Int64
 	handler := func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/dataplane/faults_test.go
+++ b/internal/dataplane/faults_test.go
@@ -340,7 +340,7 @@
 	(<-slow).expectBody(t, "whole")
 }
 
-func TestNodeWithAnotherServiceSaysMisdirected(t *testing.T) {
+func TestNodeWithAnotherServiceReportsMisdirected(t *testing.T) {
 	m := newMesh(t)
 	var runs atomic.Int64
 	other := m.addHandler("a", func(http.ResponseWriter, *http.Request) { runs.Add(1) },
--- a/internal/dataplane/network_test.go
+++ b/internal/dataplane/network_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestSilentWorkerInTheMiddleOfAnAnswer(t *testing.T) {
+func TestWorkerStallsWithinAnAnswer(t *testing.T) {
 	quick := func(c *Config) { c.Limits.Stall = 50 * time.Millisecond }
 	m := newMesh(t, quick)
 	stop := make(chan struct{})
--- a/internal/dataplane/passthrough_test.go
+++ b/internal/dataplane/passthrough_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestHeadersOfOneLegStayThere(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	m := newMesh(t)
 	seen := make(chan http.Header, 1)
 	m.addHandler("a", func(w http.ResponseWriter, r *http.Request) {
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestOwnWorkerIsAskedDirectly(t *testing.T) {
+func TestOwnWorkerIsCalledDirectly(t *testing.T) {
 	m := newMesh(t)
 	node := m.addHandler("a", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "here") })
 	m.entry = node
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -20,8 +20,9 @@
 const (
 	// evidenceHeader carries the evidence of a node about such requests.
 	evidenceHeader = "Levertide-Evidence"
-	// evidenceResendInterval is how long evidence is not sent to the same node again. The
-	// node may have restarted since, and must receive it within seconds.
+	// evidenceResendInterval is how long evidence is not sent to the same node again. It is
+	// short because the node may have restarted since, and the node and its workers must have
+	// the evidence within seconds.
 	evidenceResendInterval = time.Second
 )
 
--- a/internal/dataplane/suspects_test.go
+++ b/internal/dataplane/suspects_test.go
@@ -15,8 +15,8 @@
 
 // crashingWorker crashes when it runs a request whose path contains "guilty".
 type crashingWorker struct {
-	beside *testNode
-	ended  atomic.Bool
+	node  *testNode
+	ended atomic.Bool
 }
 
 // crashingWorkers starts workers with a node beside each, and counts the runs that crash one.
@@ -37,7 +37,7 @@
 			_, _ = io.WriteString(w, "answer")
 		}))
 		t.Cleanup(server.Close)
-		worker.beside = m.addWorker(id, server.Listener.Addr().String())
+		worker.node = m.addWorker(id, server.Listener.Addr().String())
 		all = append(all, worker)
 	}
 	return all, runs
@@ -66,7 +66,7 @@
 	eventually(t, "all nodes beside remaining workers know the request", func() bool {
 		m.call(http.MethodGet, "/always/innocent", "")
 		for _, worker := range all {
-			if _, known := worker.beside.plane.config.Quarantine.Level(guilty, time.Now()); !known && !worker.ended.Load() {
+			if _, known := worker.node.plane.config.Quarantine.Level(guilty, time.Now()); !known && !worker.ended.Load() {
 				return false
 			}
 		}
--- a/internal/httpleg/key.go
+++ b/internal/httpleg/key.go
@@ -74,7 +74,7 @@
 	return false
 }
 
-// hasSchemePrefix reports whether a text hasSchemePrefix with the name of the scheme.
+// hasSchemePrefix reports whether a text begins with the name of the scheme.
 func (s KeyScheme) hasSchemePrefix(text string) bool {
 	return len(text) >= len(s.Scheme) && strings.EqualFold(text[:len(s.Scheme)], s.Scheme)
 }
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAnswerThatClosesLeavesWhatIsBehindUnread(t *testing.T) {
+func TestNoRequestIsHandledAfterAClosingAnswer(t *testing.T) {
 	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/close/1"))
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestRequestsInHandAreAnsweredBeforeTheEnd(t *testing.T) {
+func TestRequestsInFlightAreAnsweredBeforeTheEnd(t *testing.T) {
 	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/hold/1")+get("/close/2")+get("/hold/3"))
@@ -136,7 +136,7 @@
 	c.expectEnd(t)
 }
 
-func TestCallerIsToldToSendItsBody(t *testing.T) {
+func TestContinueIsSentForAnExpectedBody(t *testing.T) {
 	s := startTestServer(t, nil)
 	c := dial(t, s.address)
 	c.send(t, get("/hold/1")+"POST /2 HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n")
@@ -207,7 +207,7 @@
 	}
 }
 
-func TestBodyThatBreaksOffIsNoRequest(t *testing.T) {
+func TestTruncatedBodyIsNotAccepted(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "POST /1 HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nabc",
 		"chunks": "POST /1 HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
