--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// Bounds of requests for administration.
+// Limits and fixed texts of the administration listener.
 const (
 	adminReadTimeout    = 5 * time.Second
 	adminWriteTimeout   = 30 * time.Second
@@ -27,7 +27,7 @@
 	unreadyRetrySeconds = "1"
 )
 
-// Status is the answer of /v1/status: what this node does, and what it knows of
+// Status is the response of /v1/status: the state of this node, and its view of
 // the system.
 type Status struct {
 	Node            string `json:"node"`
@@ -55,7 +55,8 @@
 	ControlBytesIn  uint64 `json:"controlBytesIn"`
 	ControlBytesOut uint64 `json:"controlBytesOut"`
 	StoreRequests   uint64 `json:"storeRequests"`
-	// System is the coordinator's view, or this node's when it cannot be reached.
+	// System is the coordinator's view of the system, or this node's own view when
+	// the coordinator cannot be reached.
 	System json.RawMessage `json:"system"`
 }
 
@@ -100,7 +101,7 @@
 	status := d.ownStatus()
 	system, err := protojson.Marshal(d.node.Status(bounded))
 	if err != nil {
-		http.Error(writer, "the status cannot be written", http.StatusInternalServerError)
+		http.Error(writer, "cannot encode the status of the system", http.StatusInternalServerError)
 		return
 	}
 	status.System = system
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,7 +21,7 @@
 // Version is the program's version, set by the linker.
 var Version = "unknown"
 
-// supervisorTimeout bounds the end of the parts once the calls have ended.
+// supervisorTimeout bounds the shutdown of the services once the calls have ended.
 const supervisorTimeout = 5 * time.Second
 
 // Daemon is one node of the mesh.
@@ -38,8 +38,8 @@
 	incarnation  uint64
 }
 
-// New opens the listeners and puts the parts together. Nothing runs before Run.
-// It fails with ErrStart, or with the error of the part that cannot work.
+// New opens the listeners and creates the components. Nothing runs before Run.
+// It fails with ErrStart, or with the error of the component that cannot be created.
 func New(s settings.Settings, log *telemetry.Log) (*Daemon, error) {
 	daemon := &Daemon{
 		settings:    s,
@@ -59,8 +59,9 @@
 	return daemon, nil
 }
 
-// Run runs the node until the context ends, and then stops it as planned:
-// calls in flight end first. The error is nil after a planned stop.
+// Run runs the node until the context ends, and then shuts it down gracefully:
+// calls in flight are completed first. The error is nil after a graceful shutdown.
+// Once the context has ended, signal returns the name of the signal that ended it.
 func (d *Daemon) Run(ctx context.Context, signal func() string) error {
 	tuneMemory()
 	d.log.Started(Version, d.settings.Region, d.settings.Zone, d.settings.Service, d.incarnation)
@@ -84,8 +85,9 @@
 	return nil
 }
 
-// supervisor starts a part again when it returns an error. A panic means that an
-// invariant is broken; it ends the process, since the part's state cannot be trusted.
+// supervisor returns a supervisor that restarts a service when it returns an error.
+// A panic means that an invariant is broken; it ends the process, since the state of
+// the service cannot be trusted.
 func (d *Daemon) supervisor() *suture.Supervisor {
 	supervisor := suture.New("levertided", suture.Spec{
 		EventHook:         d.logPartEvent,
@@ -183,7 +185,7 @@
 	return ""
 }
 
-// validate decides whether this node can run a version.
+// validate returns an error if this node cannot run a version.
 func (d *Daemon) validate(candidate *snapshot.Snapshot) error {
 	limits := validation.DefaultLimits()
 	limits.MaxResources = d.settings.MaxResources
@@ -193,7 +195,7 @@
 	return d.plane.Validate(candidate)
 }
 
-// reading is the state that a scrape of the metrics sees.
+// reading returns the state that a scrape of the metrics reports.
 func (d *Daemon) reading() telemetry.Reading {
 	ready, _ := d.node.Readiness()
 	reading := telemetry.Reading{Ready: ready, Counters: d.node.Counters()}
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,3 +1,4 @@
-// Package daemon puts the parts of levertided together: the control engine, the
-// data plane and four listeners under one supervisor, and the planned stop.
+// Package daemon assembles levertided in standalone mode: it runs the control
+// engine, the data plane and four listeners under one supervisor, and shuts them
+// down gracefully.
 package daemon
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -8,15 +8,16 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
+// unreadyRetryAfter is when callers that the gate refuses are asked to retry.
 const unreadyRetryAfter = time.Second
 
-// gate stands before the handlers of calls and answers not-run while the node
-// is not ready. The data plane itself refuses calls while it drains.
+// gate wraps the handlers of calls and answers with outcome not-run while the node
+// is not ready. While it drains, the data plane itself refuses calls.
 type gate struct {
 	state atomic.Pointer[gateState]
 }
 
-// gateState says whether calls pass and, if not, what callers are told.
+// gateState says whether calls pass and, if not, the reason given to callers.
 type gateState struct {
 	ready  bool
 	reason string
@@ -28,12 +29,12 @@
 	return closed
 }
 
-// set opens or shuts the gate. Calls that have passed are not touched.
+// set opens or closes the gate. Calls that have passed it already are not affected.
 func (g *gate) set(ready bool, reason string) {
 	g.state.Store(&gateState{ready: ready, reason: reason})
 }
 
-// wrap returns a handler that hands calls on while the gate is open.
+// wrap returns a handler that passes calls to next while the gate is open.
 func (g *gate) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		state := g.state.Load()
--- a/internal/daemon/gate_test.go
+++ b/internal/daemon/gate_test.go
@@ -31,6 +31,6 @@
 		}
 	}
 	if runs != 2 {
-		t.Errorf("the handler ran %d times, 2 were let in", runs)
+		t.Errorf("the handler ran %d times, want 2", runs)
 	}
 }
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -5,10 +5,11 @@
 	"runtime/debug"
 )
 
-// Collection of garbage. A node's live heap is a few tens of megabytes, so that
-// the default of collecting at twice the heap collects many times a second
-// under calls, which shows in their tail. A larger share is traded for fewer
-// collections, and the limit keeps the node within its 256 MB all the same.
+// Settings of the garbage collector. A node's live heap is a few tens of megabytes,
+// so that the default GOGC, which collects whenever the heap has doubled, runs many
+// collections a second under load, which raises the tail latency of calls. A higher
+// GOGC trades memory for fewer collections, and the memory limit keeps the node
+// within its 256 MB nevertheless.
 const (
 	garbagePercent   = 400
 	memoryLimitBytes = 192 << 20
@@ -16,7 +17,7 @@
 	limitVariable    = "GOMEMLIMIT"
 )
 
-// tuneMemory sets the collector, unless the environment does.
+// tuneMemory configures the garbage collector, except for what the environment sets.
 func tuneMemory() {
 	if os.Getenv(percentVariable) == "" {
 		debug.SetGCPercent(garbagePercent)
--- a/internal/daemon/network.go
+++ b/internal/daemon/network.go
@@ -15,8 +15,8 @@
 	"github.com/levertide/levertide/internal/platform/consul"
 )
 
-// Connections to other machines are given up soon, so that another peer is
-// tried while the caller still waits.
+// Time limits of connections to other machines. They are short, so that another
+// peer can be tried while the caller still waits.
 const (
 	dialTimeout       = time.Second
 	keepAliveIdle     = time.Second
@@ -26,7 +26,7 @@
 
 type dialFunction = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialer returns a dial function that uses the local address if it is valid.
+// dialer returns a dial function that connects from the source address if it is valid.
 func dialer(source netip.Addr) dialFunction {
 	configured := &net.Dialer{
 		Timeout: dialTimeout,
@@ -43,8 +43,8 @@
 	return configured.DialContext
 }
 
-// newStoreClient returns a client of the platform's store. When the server that
-// answered last takes no connection, the next one of the list is tried.
+// newStoreClient returns a client of the platform's store. When the server used
+// last accepts no connection, the next one of the list is tried.
 func (d *Daemon) newStoreClient() *consul.Client {
 	addresses := make([]string, 0, len(d.settings.StoreAddresses))
 	scheme := "http"
@@ -68,7 +68,7 @@
 type storeServers struct {
 	addresses []string
 	dial      dialFunction
-	// preferred is the index of the server that took the last connection.
+	// preferred is the index of the server that accepted the last connection.
 	preferred atomic.Uint32
 }
 
@@ -87,7 +87,7 @@
 	return nil, failure
 }
 
-// listeners are the four addresses that the node answers at.
+// listeners holds the four listeners of the node.
 type listeners struct {
 	caller  *server
 	call    *server
@@ -118,7 +118,7 @@
 		return err
 	}
 	if d.listeners.control, err = net.Listen("tcp", d.settings.ControlAddress); err != nil {
-		return ErrStart.Wrap(err, "listener for control")
+		return ErrStart.Wrap(err, "cannot open the control listener")
 	}
 	return nil
 }
@@ -141,12 +141,12 @@
 
 func requireNodeRole(holder identity.Identity) (identity.Identity, error) {
 	if holder.Role != identity.RoleNode {
-		return holder, identity.ErrWrongRole.New("%s is no certificate of a node", holder)
+		return holder, identity.ErrWrongRole.New("%s is not the certificate of a node", holder)
 	}
 	return holder, nil
 }
 
-// callerTLS is for callers: none on a loopback address.
+// callerTLS returns the TLS configuration for callers: none on a loopback address.
 func (d *Daemon) callerTLS(address string) *tls.Config {
 	if d.certificates == nil || isLoopback(address) {
 		return nil
@@ -173,8 +173,8 @@
 	return err == nil && parsed.Addr().IsLoopback()
 }
 
-// verifySender is asked by the control engine about each message of a peer.
-// Operators may send the status message only.
+// verifySender checks the certificate of the sender of a control message; the
+// control engine calls it for each message. Operators may send the status message only.
 func verifySender(sender control.Sender) error {
 	roles := []identity.Role{identity.RoleNode}
 	if sender.Message == control.MessageStatus {
--- a/internal/daemon/network_test.go
+++ b/internal/daemon/network_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// expectAnswer asks until the listener, which may not be open yet, takes the connection.
+// expectAnswer sends requests until the listener, which may not be open yet, accepts
+// a connection, and checks the answer.
 func expectAnswer(t *testing.T, address string) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -100,7 +101,7 @@
 	}
 }
 
-func TestWorkerProbeTellsOfReturn(t *testing.T) {
+func TestWorkerProbeReportsRestart(t *testing.T) {
 	healthy, starts := true, 0
 	worker := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		if !healthy {
@@ -114,6 +115,6 @@
 		probe.update(probe.probe(t.Context()))
 	}
 	if starts != 1 {
-		t.Errorf("%d starts were told, one happened", starts)
+		t.Errorf("%d restarts were reported, want 1", starts)
 	}
 }
--- a/internal/daemon/readiness.go
+++ b/internal/daemon/readiness.go
@@ -9,10 +9,11 @@
 
 const reasonStarting = "the node is starting"
 
-// readiness opens and shuts the gate as the control engine says, and writes
-// the changes to the event log. It is a suture service.
+// readiness opens and closes the gate as the control engine becomes ready or
+// unready, and writes the changes to the event log. It is a suture service.
 type readiness struct {
 	daemon *Daemon
+	// known is false until the first state has been read.
 	known  bool
 	ready  bool
 	reason string
@@ -44,7 +45,7 @@
 	r.daemon.log.Unready(reason)
 }
 
-// String names the part in events.
+// String returns the name used in log events.
 func (r *readiness) String() string { return "readiness" }
 
 func countMembers(view *membership.View) telemetry.MemberCounts {
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// closeTimeout bounds the end of a listener after the calls have ended.
+// closeTimeout bounds the shutdown of a listener after the calls have ended.
 const closeTimeout = time.Second
 
-// server is one HTTP listener as a suture service. It opens its address again
-// when it is started again.
+// server runs one HTTP listener as a suture service. When it is restarted, it
+// opens its address again.
 type server struct {
 	name    string
 	address string
 	tls     *tls.Config
-	// newHTTPServer returns the HTTP server of one run; the bounds of requests are its own.
+	// newHTTPServer returns the HTTP server of one run, with its time and size limits set.
 	newHTTPServer func() *http.Server
 
 	mutex sync.Mutex
@@ -29,11 +29,11 @@
 	first net.Listener
 }
 
-// newServer opens the address at once, so that a fault shows before anything runs.
+// newServer opens the address at once, so that an error is reported before anything runs.
 func newServer(name, address string, config *tls.Config) (*server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "listener for %s", name)
+		return nil, ErrStart.Wrap(err, "cannot open the %s listener", name)
 	}
 	return &server{name: name, address: listener.Addr().String(), tls: config, first: listener}, nil
 }
@@ -45,7 +45,7 @@
 		return err
 	}
 	web := s.newHTTPServer()
-	// Faults of single connections are no events of the node.
+	// Errors of single connections are not events of the node.
 	web.ErrorLog = log.New(io.Discard, "", 0)
 	ended := make(chan error, 1)
 	go func() { ended <- web.Serve(listener) }()
@@ -76,7 +76,7 @@
 	return net.Listen("tcp", s.address)
 }
 
-// closeUnserved closes the address of a server that never ran.
+// closeUnserved closes the listener of a server that never ran.
 func (s *server) closeUnserved() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -97,5 +97,5 @@
 	return context.Canceled
 }
 
-// String names the part in events.
+// String returns the name used in log events.
 func (s *server) String() string { return s.name + " listener" }
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// leavingNotice is how long a node that is about to leave goes on as before, so
-// that the mark has reached the nodes that may send it calls.
+// leavingNotice is how long a node that is marked as leaving still accepts calls, so
+// that the mark reaches the nodes that may send it calls before it refuses any.
 const leavingNotice = 2 * time.Second
 
-// stop ends the calls in an orderly way: the node is marked as leaving, serves
-// until the mark has spread, refuses new calls, and waits for those in flight.
+// stop drains the node: it marks the node as leaving, serves calls until the mark
+// has spread, then refuses new calls and waits for those in flight.
 func (d *Daemon) stop() {
 	d.node.SetLeaving()
 	bounded, cancel := context.WithTimeout(context.Background(), leavingNotice+d.settings.DrainBound)
--- a/internal/daemon/worker.go
+++ b/internal/daemon/worker.go
@@ -17,16 +17,18 @@
 	probeBodyBytes = 1 << 10
 )
 
-// workerProbe asks the worker's health endpoint at a steady pace. The answer is
-// a hint only: it is written to the event log, and a worker that comes back
-// begins its slow start. It is a suture service.
+// workerProbe polls the worker's health endpoint. The result is only a hint: changes
+// are written to the event log, and a worker that is healthy again begins its slow
+// start. It is a suture service.
 type workerProbe struct {
-	url       string
+	url string
+	// onRestart is called when the worker is healthy again.
 	onRestart func()
 	log       *telemetry.Log
 	client    *http.Client
-	known     bool
-	healthy   bool
+	// known is false until the first probe has ended.
+	known   bool
+	healthy bool
 }
 
 func newWorkerProbe(address string, started func(), log *telemetry.Log) *workerProbe {
@@ -78,5 +80,5 @@
 	}
 }
 
-// String names the part in events.
+// String returns the name used in log events.
 func (p *workerProbe) String() string { return "worker probe" }
--- a/internal/identity/files.go
+++ b/internal/identity/files.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// DefaultPollInterval is how often the files are looked at for changes.
+// DefaultPollInterval is how often the files are checked for changes.
 const DefaultPollInterval = 2 * time.Second
 
 // Files names the PEM files of one node.
@@ -19,14 +19,14 @@
 	Key         string
 }
 
-// Events is told about certificate files.
+// Events receives the results of loading certificate files.
 type Events interface {
 	CertificatesLoaded(identity string, expires time.Time)
 	CertificatesFailed(err error)
 }
 
-// Reloader holds the certificates of one node and reads them again when the
-// files change. It is a suture service.
+// Reloader holds the certificates of one node and reloads them when the files
+// change. It is a suture service.
 type Reloader struct {
 	files        Files
 	events       Events
@@ -35,20 +35,22 @@
 	stamp        fileStamps
 }
 
-// material is what one reading of the files gave.
+// material is the content of the files as loaded at one time.
 type material struct {
 	authorities *x509.CertPool
 	certificate tls.Certificate
 	identity    Identity
 }
 
-// fileStamps tells whether any of the files has changed.
+// fileStamps holds modification time and size of each file; it differs once any
+// of the files has changed.
 type fileStamps [3]struct {
 	modified time.Time
 	size     int64
 }
 
-// NewReloader reads the files for the first time. ErrFiles tells that they cannot be used.
+// NewReloader loads the files for the first time. It returns ErrFiles if they cannot
+// be used.
 func NewReloader(files Files, events Events, poll time.Duration) (*Reloader, error) {
 	reloader := &Reloader{files: files, events: events, pollInterval: poll, stamp: files.stamp()}
 	loaded, err := files.load()
@@ -59,43 +61,44 @@
 	return reloader, nil
 }
 
-// Identity returns what the node's own certificate says.
-func (k *Reloader) Identity() Identity { return k.current.Load().identity }
+// Identity returns the identity in the node's own certificate.
+func (r *Reloader) Identity() Identity { return r.current.Load().identity }
 
-// Serve looks at the files until the context ends.
-func (k *Reloader) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(k.pollInterval)
+// Serve checks the files for changes until the context ends.
+func (r *Reloader) Serve(ctx context.Context) error {
+	ticker := time.NewTicker(r.pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			k.refresh()
+			r.refresh()
 		}
 	}
 }
 
-// String names the part in events.
-func (k *Reloader) String() string { return "certificates" }
+// String returns the name used in log events.
+func (r *Reloader) String() string { return "certificates" }
 
-// refresh keeps the former certificates when the new ones cannot be used, as
-// while one of two files has been replaced.
-func (k *Reloader) refresh() {
-	latest := k.files.stamp()
-	if latest == k.stamp {
+// refresh reloads the files if they have changed. It keeps the previous certificates
+// when the new ones cannot be used, for example while only one of certificate and key
+// has been replaced.
+func (r *Reloader) refresh() {
+	latest := r.files.stamp()
+	if latest == r.stamp {
 		return
 	}
-	k.stamp = latest
-	loaded, err := k.files.load()
+	r.stamp = latest
+	loaded, err := r.files.load()
 	if err == nil {
-		err = checkSameHolder(loaded.identity, k.Identity())
+		err = checkSameHolder(loaded.identity, r.Identity())
 	}
 	if err != nil {
-		k.events.CertificatesFailed(err)
+		r.events.CertificatesFailed(err)
 		return
 	}
-	k.activate(loaded)
+	r.activate(loaded)
 }
 
 func checkSameHolder(offered, held Identity) error {
@@ -105,9 +108,9 @@
 	return ErrMismatch.New("the new certificate is for %s, not for %s", offered, held)
 }
 
-func (k *Reloader) activate(loaded *material) {
-	k.current.Store(loaded)
-	k.events.CertificatesLoaded(loaded.identity.String(), loaded.certificate.Leaf.NotAfter)
+func (r *Reloader) activate(loaded *material) {
+	r.current.Store(loaded)
+	r.events.CertificatesLoaded(loaded.identity.String(), loaded.certificate.Leaf.NotAfter)
 }
 
 func (f Files) stamp() fileStamps {
@@ -126,7 +129,7 @@
 func (f Files) load() (*material, error) {
 	pem, err := os.ReadFile(f.Authorities)
 	if err != nil {
-		return nil, ErrFiles.Wrap(err, "authorities")
+		return nil, ErrFiles.Wrap(err, "cannot read the certificates of the authorities")
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(pem) {
@@ -134,11 +137,11 @@
 	}
 	certificate, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		return nil, ErrFiles.Wrap(err, "certificate and key")
+		return nil, ErrFiles.Wrap(err, "cannot load the certificate and its key")
 	}
 	identity, err := FromCertificate(certificate.Leaf)
 	if err != nil {
-		return nil, ErrFiles.Wrap(err, "certificate %s", f.Certificate)
+		return nil, ErrFiles.Wrap(err, "invalid identity in certificate %s", f.Certificate)
 	}
 	return &material{authorities: authorities, certificate: certificate, identity: identity}, nil
 }
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -12,15 +12,16 @@
 var namespace = errorx.NewNamespace("identity")
 
 var (
-	// ErrNoIdentity tells that a certificate names no region, zone, role and node.
+	// ErrNoIdentity reports that a certificate does not name region, zone, role and node.
 	ErrNoIdentity = namespace.NewType("no_identity")
-	// ErrWrongRole tells that a certificate's role does not allow the request.
+	// ErrWrongRole reports that a certificate's role does not allow the request.
 	ErrWrongRole = namespace.NewType("wrong_role")
-	// ErrMismatch tells that a peer claims to be somebody else than its certificate says.
+	// ErrMismatch reports that a peer claims another identity than its certificate names.
 	ErrMismatch = namespace.NewType("mismatch")
-	// ErrUntrusted tells that no known authority vouches for a certificate.
+	// ErrUntrusted reports that a certificate cannot be verified against the known
+	// authorities.
 	ErrUntrusted = namespace.NewType("untrusted")
-	// ErrFiles tells that certificate files cannot be used.
+	// ErrFiles reports that certificate files cannot be read, written or used.
 	ErrFiles = namespace.NewType("files")
 )
 
@@ -31,13 +32,13 @@
 const (
 	// RoleNode may take part in the mesh.
 	RoleNode Role = "node"
-	// RoleOperator may ask for status.
+	// RoleOperator may request the status.
 	RoleOperator Role = "operator"
 )
 
 const uriScheme = "levertide"
 
-// Identity is what a certificate says of its holder.
+// Identity identifies the holder of a certificate.
 type Identity struct {
 	Region string
 	Zone   string
@@ -45,7 +46,7 @@
 	Node   string
 }
 
-// URI returns the identity as it stands in a certificate.
+// URI returns the identity in the form that certificates hold.
 func (i Identity) URI() *url.URL {
 	return &url.URL{Scheme: uriScheme, Host: i.Region, Path: "/" + i.Zone + "/" + string(i.Role) + "/" + i.Node}
 }
@@ -73,7 +74,7 @@
 		found = append(found, identity)
 	}
 	if len(found) != 1 {
-		return Identity{}, ErrNoIdentity.New("the certificate holds %d %s URIs, one is needed", len(found), uriScheme)
+		return Identity{}, ErrNoIdentity.New("the certificate holds %d %s URIs, want exactly one", len(found), uriScheme)
 	}
 	return found[0], nil
 }
@@ -85,7 +86,7 @@
 	}
 	role := Role(parts[1])
 	if role != RoleNode && role != RoleOperator {
-		return Identity{}, ErrNoIdentity.New("%q names no known role", uri)
+		return Identity{}, ErrNoIdentity.New("%q names an unknown role", uri)
 	}
 	return Identity{Region: uri.Host, Zone: parts[0], Role: role, Node: parts[2]}, nil
 }
@@ -93,12 +94,13 @@
 // FromConnection returns the identity of the peer of a TLS connection.
 func FromConnection(state *tls.ConnectionState) (Identity, error) {
 	if state == nil || len(state.PeerCertificates) == 0 {
-		return Identity{}, ErrNoIdentity.New("the peer showed no certificate")
+		return Identity{}, ErrNoIdentity.New("the peer presented no certificate")
 	}
 	return FromCertificate(state.PeerCertificates[0])
 }
 
-// RequireRole returns the identity of the peer if it has one of the roles, else ErrWrongRole.
+// RequireRole returns the identity of the peer. It returns ErrWrongRole unless the
+// peer has one of the roles.
 func RequireRole(state *tls.ConnectionState, roles ...Role) (Identity, error) {
 	peer, err := FromConnection(state)
 	if err != nil {
@@ -109,10 +111,10 @@
 			return peer, nil
 		}
 	}
-	return Identity{}, ErrWrongRole.New("%s is not allowed here", peer)
+	return Identity{}, ErrWrongRole.New("the role of %s does not allow this request", peer)
 }
 
-// CheckClaim returns ErrMismatch unless the identity is that of the node at the place claimed.
+// CheckClaim returns ErrMismatch unless the identity has the claimed region, zone and node.
 func (i Identity) CheckClaim(region, zone, node string) error {
 	if i.Region == region && i.Zone == zone && i.Node == node {
 		return nil
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -91,7 +91,7 @@
 	}{
 		{"node", trusted, nodeB, time.Hour, true},
 		{"operator", trusted, operator, time.Hour, false},
-		{"stranger", unknown, nodeB, time.Hour, false},
+		{"unknown authority", unknown, nodeB, time.Hour, false},
 		{"expired", trusted, nodeB, -time.Minute, false},
 	}
 	for _, test := range tests {
@@ -148,7 +148,7 @@
 	}
 }
 
-func TestFilesAreReadAgain(t *testing.T) {
+func TestFilesAreReloaded(t *testing.T) {
 	former, next := authority(t), authority(t)
 	server, events, directory := newReloader(t, former, nodeA, time.Hour)
 	client, _, _ := newReloader(t, next, nodeB, time.Hour)
@@ -156,7 +156,7 @@
 
 	server.refresh()
 	if events.loaded != 1 {
-		t.Fatal("unchanged files were read again")
+		t.Fatal("unchanged files were reloaded")
 	}
 	issue(t, next, nodeA, 2*time.Hour, directory)
 	server.refresh()
--- a/internal/identity/issue.go
+++ b/internal/identity/issue.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Names of the files that Write leaves in a directory.
+// Names of the files that Bundle.Write writes to a directory.
 const (
 	AuthorityFile   = "ca.pem"
 	CertificateFile = "cert.pem"
@@ -29,25 +29,25 @@
 	directoryMode     = 0o700
 )
 
-// Authority issues throw-away certificates for tests and the lab. It is held in
-// memory only.
+// Authority issues throw-away certificates for tests and the lab. Its key is held
+// in memory only.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// Bundle is what one node needs, as PEM.
+// Bundle holds the files of one node, in PEM.
 type Bundle struct {
 	Authorities []byte
 	Certificate []byte
 	Key         []byte
 }
 
-// GenerateAuthority makes a new authority.
+// GenerateAuthority creates an authority with a new key and a self-signed certificate.
 func GenerateAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, ErrFiles.Wrap(err, "key of the authority")
+		return nil, ErrFiles.Wrap(err, "cannot generate the key of the authority")
 	}
 	template, err := newTemplate("levertide throw-away authority", authorityValidity)
 	if err != nil {
@@ -58,16 +58,16 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	encoded, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, ErrFiles.Wrap(err, "certificate of the authority")
+		return nil, ErrFiles.Wrap(err, "cannot create the certificate of the authority")
 	}
 	certificate, err := x509.ParseCertificate(encoded)
 	if err != nil {
-		return nil, ErrFiles.Wrap(err, "certificate of the authority")
+		return nil, ErrFiles.Wrap(err, "cannot parse the certificate of the authority")
 	}
 	return &Authority{certificate: certificate, key: key}, nil
 }
 
-// Issue makes a key and a certificate for an identity.
+// Issue creates a key and a certificate for an identity.
 func (a *Authority) Issue(holder Identity, validity time.Duration) (Bundle, error) {
 	template, err := newTemplate(holder.Node, validity)
 	if err != nil {
@@ -80,17 +80,17 @@
 func (a *Authority) sign(template *x509.Certificate) (Bundle, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Bundle{}, ErrFiles.Wrap(err, "key")
+		return Bundle{}, ErrFiles.Wrap(err, "cannot generate the key")
 	}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	encoded, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &key.PublicKey, a.key)
 	if err != nil {
-		return Bundle{}, ErrFiles.Wrap(err, "certificate")
+		return Bundle{}, ErrFiles.Wrap(err, "cannot create the certificate")
 	}
 	encodedKey, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
-		return Bundle{}, ErrFiles.Wrap(err, "key")
+		return Bundle{}, ErrFiles.Wrap(err, "cannot encode the key")
 	}
 	return Bundle{
 		Authorities: encodePEM("CERTIFICATE", a.certificate.Raw),
@@ -99,11 +99,11 @@
 	}, nil
 }
 
-// Write leaves the bundle in a directory, which is made if needed, and returns
-// the names of the files. Each file is replaced as a whole.
+// Write writes the bundle to a directory, which is created if needed, and returns
+// the names of the files. Each file is replaced atomically.
 func (b Bundle) Write(directory string) (Files, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
-		return Files{}, ErrFiles.Wrap(err, "directory")
+		return Files{}, ErrFiles.Wrap(err, "cannot create the directory")
 	}
 	files := Files{
 		Authorities: filepath.Join(directory, AuthorityFile),
@@ -125,10 +125,10 @@
 func replaceFile(path string, content []byte) error {
 	temporary := path + ".new"
 	if err := os.WriteFile(temporary, content, privateFileMode); err != nil {
-		return ErrFiles.Wrap(err, "write")
+		return ErrFiles.Wrap(err, "cannot write the new file")
 	}
 	if err := os.Rename(temporary, path); err != nil {
-		return ErrFiles.Wrap(err, "replace")
+		return ErrFiles.Wrap(err, "cannot replace the file")
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberBits))
 	if err != nil {
-		return nil, ErrFiles.Wrap(err, "serial number")
+		return nil, ErrFiles.Wrap(err, "cannot generate a serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -9,14 +9,14 @@
 
 // Key describes one setting for help texts and documents.
 type Key struct {
-	// Name is the flag, the key in the settings file and, in upper case with
-	// the prefix LEVERTIDE_, the environment variable.
+	// Name is the name of the flag and of the key in the settings file. The
+	// environment variable is the name in upper case with the prefix LEVERTIDE_.
 	Name string
 	// Usage says what the setting does.
 	Usage string
 	// Allowed says which values are accepted.
 	Allowed string
-	// Default is the value used when none is given.
+	// Default is the value used when none is given; empty for no default.
 	Default string
 
 	bind func(*Settings) flag.Value
@@ -38,7 +38,7 @@
 	loopbackAnyPort   = "127.0.0.1:0"
 )
 
-// Keys returns every setting in the order of the documents.
+// Keys returns every setting in the order in which docs/SETTINGS.md lists them.
 func Keys() []Key {
 	return []Key{
 		{"node-id", "name of this node, shared with no other live node", allowedIdentifier, "", func(s *Settings) flag.Value { return (*textValue)(&s.NodeID) }},
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -16,30 +16,32 @@
 const (
 	environmentPrefix = "LEVERTIDE"
 	settingsFileFlag  = "settings"
-	// foreignVariablesFlag is for surroundings that use the same prefix.
+	// foreignVariablesFlag is for environments in which other programs use the
+	// same prefix for their variables.
 	foreignVariablesFlag = "foreign-variables"
 	programName          = "levertided"
-	// storeTokenVariable holds Settings.StoreToken.
+	// storeTokenVariable names the variable that Settings.StoreToken is read from.
 	storeTokenVariable = environmentPrefix + "_STORE_TOKEN"
-	// nodeAddressVariable belongs to the operators' command line.
+	// nodeAddressVariable is read by the operators' command line, levertide, and
+	// is accepted here so that both programs can share an environment.
 	nodeAddressVariable = environmentPrefix + "_NODE_ADDRESS"
 )
 
-// Invocation is what the command line asked for besides the settings.
+// Invocation holds the settings and what else the command line asked for.
 type Invocation struct {
 	Settings Settings
-	// Check asks to validate the settings and leave.
+	// Check asks to validate the settings and exit.
 	Check bool
-	// ForeignVariables takes variables with the prefix of the settings that are no
-	// settings for somebody else's.
+	// ForeignVariables ignores environment variables that have the prefix of the
+	// settings but are not settings, instead of reporting them as problems.
 	ForeignVariables bool
-	// Version asks to print the program's version and leave.
+	// Version asks to print the program's version and exit.
 	Version bool
 }
 
 // Load reads settings from the command-line arguments (without the program's
 // name), the environment and the settings file. Help is written to output and
-// reported as flag.ErrHelp; settings that cannot be used are ErrInvalid.
+// reported as flag.ErrHelp; settings that cannot be used as ErrInvalid.
 func Load(arguments []string, output io.Writer) (Invocation, error) {
 	reader := newReader(output)
 	if err := reader.read(arguments); err != nil {
@@ -55,7 +57,7 @@
 	return reader.invocation, nil
 }
 
-// reader gathers values and remembers where each came from.
+// reader collects values and records the source of each.
 type reader struct {
 	flags          *flag.FlagSet
 	invocation     Invocation
@@ -147,15 +149,15 @@
 	return Problem{Key: name, Value: value, Source: source, Message: "is not a known key", Allowed: "the keys of docs/SETTINGS.md"}
 }
 
-// tracedValue remembers the source of a value, drops the default of a list
-// when a source sets it, and turns a value that cannot be parsed into a Problem.
+// tracedValue records the source of a value and turns a value that cannot be
+// parsed into a Problem, for which the default is used instead.
 type tracedValue struct {
 	flag.Value
 	key    Key
 	reader *reader
 }
 
-// Set records the source and hands the text on.
+// Set records the source and sets the wrapped value.
 func (v *tracedValue) Set(text string) error {
 	v.reader.origins[v.key.Name] = v.reader.describeSource(v.key)
 	if err := v.Value.Set(text); err != nil {
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// String is called by package flag on zero values too.
+// String returns the wrapped value as text. Package flag calls it on zero values too.
 func (v *tracedValue) String() string {
 	if v.Value == nil {
 		return ""
@@ -176,7 +178,7 @@
 	return v.Value.String()
 }
 
-// IsBoolFlag lets a switch be given without a value.
+// IsBoolFlag tells package flag that a switch may be given without a value.
 func (v *tracedValue) IsBoolFlag() bool {
 	_, isSwitch := v.Value.(*switchValue)
 	return isSwitch
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -19,13 +19,13 @@
 type Problem struct {
 	// Key is the name of the setting.
 	Key string
-	// Value is what was given.
+	// Value is the value that was given.
 	Value string
 	// Source says where the value came from.
 	Source string
-	// Message says what is wrong.
+	// Message says what is wrong with the value.
 	Message string
-	// Allowed says what would be accepted.
+	// Allowed says which values are accepted.
 	Allowed string
 }
 
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -11,6 +11,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
+// defaultSource is the Problem.Source of a key that no source has set.
 const defaultSource = "default"
 
 var identifierPattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
@@ -76,8 +77,8 @@
 	}
 }
 
-// exposedListeners refuses listeners that other machines could reach while no
-// certificate tells who is there.
+// exposedListeners refuses listeners that other machines can reach. It applies when
+// neither certificates nor a private network authenticate the clients.
 func exposedListeners(s Settings, origins map[string]string) []Problem {
 	listeners := []struct{ name, address string }{
 		{"caller-address", s.CallerAddress},
@@ -97,8 +98,9 @@
 	return problems
 }
 
-// unreachableListeners refuses listeners on every address of the machine when
-// other nodes are not told at which of them they answer.
+// unreachableListeners refuses listeners on the unspecified address (all addresses
+// of the machine) without an advertised address, since other nodes would not know
+// which address to connect to.
 func unreachableListeners(s Settings, origins map[string]string) []Problem {
 	listeners := []struct{ name, address, advertised string }{
 		{"call-address", s.CallAddress, s.AdvertiseCallAddress},
