--- a/internal/daemon/network_test.go
+++ b/internal/daemon/network_test.go
@@ -23,10 +23,10 @@
 }
 
 func TestStoreServersFailOver(t *testing.T) {
-	gone, alive := listen(t), listen(t)
-	_ = gone.Close()
+	stopped, running := listen(t), listen(t)
+	_ = stopped.Close()
 	servers := &storeServers{
-		addresses: []string{gone.Addr().String(), alive.Addr().String()},
+		addresses: []string{stopped.Addr().String(), running.Addr().String()},
 		dial:      dialer(netip.Addr{}),
 	}
 	for range 2 {
@@ -34,7 +34,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if connection.RemoteAddr().String() != alive.Addr().String() {
+		if connection.RemoteAddr().String() != running.Addr().String() {
 			t.Errorf("connected to %s", connection.RemoteAddr())
 		}
 		_ = connection.Close()
@@ -42,7 +42,7 @@
 	if servers.preferred.Load() != 1 {
 		t.Error("the server that answered is not preferred")
 	}
-	_ = alive.Close()
+	_ = running.Close()
 	if _, err := servers.connect(t.Context(), "tcp", "ignored:1"); err == nil {
 		t.Error("connected although no server listens")
 	}
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -149,8 +149,8 @@
 }
 
 func TestFilesAreReloaded(t *testing.T) {
-	former, next := authority(t), authority(t)
-	server, events, directory := newReloader(t, former, nodeA, time.Hour)
+	previous, next := authority(t), authority(t)
+	server, events, directory := newReloader(t, previous, nodeA, time.Hour)
 	client, _, _ := newReloader(t, next, nodeB, time.Hour)
 	config := server.Mutual(RoleNode)
 
@@ -164,7 +164,7 @@
 		t.Errorf("after the change: %v, %v", serverErr, clientErr)
 	}
 
-	issue(t, former, nodeB, 3*time.Hour, directory)
+	issue(t, previous, nodeB, 3*time.Hour, directory)
 	server.refresh()
 	if err := replaceFile(filepath.Join(directory, KeyFile), []byte("not a key")); err != nil {
 		t.Fatal(err)
