--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -15,16 +15,16 @@
 
 // Defaults of the times in Config.
 const (
-	DefaultHold             = 3 * time.Second
-	DefaultSilentBound      = 2 * time.Second
-	DefaultLossBound        = 2 * time.Second
-	DefaultSubtreeLossBound = 5 * time.Second
-	DefaultSuspectBound     = 5 * time.Second
-	DefaultCallTimeout      = 2 * time.Second
-	DefaultDialTimeout      = time.Second
-	DefaultReaderLeaseTTL   = 10 * time.Second
-	DefaultTreeSettle       = 10 * time.Second
-	DefaultFanOut           = 6
+	DefaultHold              = 3 * time.Second
+	DefaultUnresponsiveBound = 2 * time.Second
+	DefaultLossBound         = 2 * time.Second
+	DefaultSubtreeLossBound  = 5 * time.Second
+	DefaultSuspectBound      = 5 * time.Second
+	DefaultCallTimeout       = 2 * time.Second
+	DefaultDialTimeout       = time.Second
+	DefaultReaderLeaseTTL    = 10 * time.Second
+	DefaultTreeSettle        = 10 * time.Second
+	DefaultFanOut            = 6
 )
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
@@ -51,8 +51,8 @@
 	FanOut int
 	// Hold is how long a parent may hold back the answer to a poll.
 	Hold time.Duration
-	// SilentBound is how long a silent node holds up a commit.
-	SilentBound time.Duration
+	// UnresponsiveBound is how long a node that does not report may delay a commit.
+	UnresponsiveBound time.Duration
 	// LossBound is how long a child may be unheard of before its parent calls it lost.
 	LossBound time.Duration
 	// SubtreeLossBound is the same for nodes that were learned through a lost child.
@@ -102,7 +102,7 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.FanOut, DefaultFanOut)
 	setDefault(&c.Hold, DefaultHold)
-	setDefault(&c.SilentBound, DefaultSilentBound)
+	setDefault(&c.UnresponsiveBound, DefaultUnresponsiveBound)
 	setDefault(&c.LossBound, DefaultLossBound)
 	setDefault(&c.SubtreeLossBound, DefaultSubtreeLossBound)
 	setDefault(&c.SuspectBound, DefaultSuspectBound)
--- a/internal/control/coordinator_loop.go
+++ b/internal/control/coordinator_loop.go
@@ -76,7 +76,7 @@
 func (n *Node) observeForDecision(at time.Time) {
 	state := &n.coordinator
 	if state.machine == nil {
-		state.machine = rollout.NewCoordinator(rollout.CoordinatorOptions{UnresponsiveBound: n.config.SilentBound})
+		state.machine = rollout.NewCoordinator(rollout.CoordinatorOptions{UnresponsiveBound: n.config.UnresponsiveBound})
 		state.pauses = backoff{base: storeBackoffBase, ceiling: storeBackoffCeiling}
 	}
 	if known := n.participant.State(); known.HeadKnown {
@@ -119,7 +119,7 @@
 	if view.Lost() <= view.Len() {
 		return time.Time{}
 	}
-	return state.proposedSince.Add(minorityFactor * n.config.SilentBound)
+	return state.proposedSince.Add(minorityFactor * n.config.UnresponsiveBound)
 }
 
 func (n *Node) abortBroken(head rollout.Head, at time.Time) rollout.Decision {
--- a/internal/control/floor_test.go
+++ b/internal/control/floor_test.go
@@ -87,7 +87,7 @@
 	t.Parallel()
 	m := newMesh(t)
 	sides := &partition{mesh: m, sides: map[string]int{}}
-	quick := func(c *Config) { c.TreeSettle, c.SilentBound = time.Second, 200*time.Millisecond }
+	quick := func(c *Config) { c.TreeSettle, c.UnresponsiveBound = time.Second, 200*time.Millisecond }
 	silent := []string{"a0", "a1", "a2", "a3", "a4", "b1", "b2"}
 	informed := []string{"b0", "c0", "c1", "d0", "d1"}
 	for _, id := range append(slices.Clone(informed), silent...) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -118,19 +118,19 @@
 func (d *Daemon) makeControl() error {
 	d.store = d.newStoreClient()
 	config := control.Config{
-		Self:        d.self(),
-		Mesh:        d.settings.Mesh,
-		Gateway:     d.settings.Gateway,
-		Seeds:       d.settings.Seeds,
-		FanOut:      d.settings.FanOut,
-		Hold:        d.settings.Hold,
-		SilentBound: d.settings.SilentBound,
-		Listener:    d.listeners.control,
-		Dial:        dialer(d.settings.Source()),
-		Store:       d.store,
-		Machines:    d.store,
-		Validate:    d.validate,
-		Events:      d.log,
+		Self:              d.self(),
+		Mesh:              d.settings.Mesh,
+		Gateway:           d.settings.Gateway,
+		Seeds:             d.settings.Seeds,
+		FanOut:            d.settings.FanOut,
+		Hold:              d.settings.Hold,
+		UnresponsiveBound: d.settings.SilentBound,
+		Listener:          d.listeners.control,
+		Dial:              dialer(d.settings.Source()),
+		Store:             d.store,
+		Machines:          d.store,
+		Validate:          d.validate,
+		Events:            d.log,
 	}
 	if d.keeper != nil {
 		config.TLS = d.keeper.Mutual(identity.RoleNode, identity.RoleOperator)
