--- a/internal/control/alarm_test.go
+++ b/internal/control/alarm_test.go
@@ -11,7 +11,7 @@
 func (a *alarmCounter) Alarm(string) { a.count++ }
 
 // A node whose name two processes used wrote the same alarm many times a second.
-func TestAlarmIsToldOnce(t *testing.T) {
+func TestAlarmIsRaisedOnce(t *testing.T) {
 	t.Parallel()
 	counter := &alarmCounter{}
 	node := newMesh(t).start("a0", "a", "ledger", func(config *Config) { config.Events = counter })
--- a/internal/control/vouch_test.go
+++ b/internal/control/authoritative_test.go
@@ -11,7 +11,7 @@
 
 // A node speaks for the system only in the larger part of it, and only once its
 // tree has had the same root for a while.
-func TestNodeVouchesInTheLargerPartOnly(t *testing.T) {
+func TestNodeIsAuthoritativeInTheLargerPartOnly(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
 	node := m.start("a0", "a", "ledger", func(c *Config) { c.TreeSettle = time.Hour })
@@ -25,7 +25,7 @@
 		t.Fatal("a node vouches although its tree is new")
 	}
 	node.mutex.Lock()
-	node.upstream.topSince = time.Now().Add(-2 * time.Hour)
+	node.upstream.treeRootSince = time.Now().Add(-2 * time.Hour)
 	node.mutex.Unlock()
 	if !node.localFloor("", zoneKey{}).GetKnown() {
 		t.Fatal("a node does not vouch in a settled tree")
--- a/internal/control/below_test.go
+++ b/internal/control/below_test.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/membership"
 )
 
-func furtherBelow(id string) membership.Record {
+func descendantRecord(id string) membership.Record {
 	return membership.Record{ID: id, Incarnation: 1, Attachment: 1, Region: "nl", Zone: "a", ControlAddress: "127.0.0.1:1"}
 }
 
@@ -34,7 +34,7 @@
 			t.Fatalf("answer %v, error %v", answer, err)
 		}
 	}
-	report(1, child, furtherBelow("x"), furtherBelow("y"))
+	report(1, child, descendantRecord("x"), descendantRecord("y"))
 	report(2)
 	if !isBelow(node, "x") || !isBelow(node, "y") {
 		t.Fatal("a later report that names nobody dropped those below")
@@ -45,7 +45,7 @@
 	if _, err := (rpc{node}).Watch(context.Background(), request); err != nil {
 		t.Fatal(err)
 	}
-	report(1, child, furtherBelow("y"))
+	report(1, child, descendantRecord("y"))
 	if isBelow(node, "x") {
 		t.Error("a node that the first report leaves out is still held as below")
 	}
@@ -54,17 +54,17 @@
 	}
 }
 
-// TestReportTellsWhoIsBelowNow lets a node below come and go before the parent
+// TestReportNamesNodesBelowNow lets a node below come and go before the parent
 // heard of it, and one go and come back.
-func TestReportTellsWhoIsBelowNow(t *testing.T) {
+func TestReportNamesNodesBelowNow(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
 	node := m.start("a0", "a", "ledger")
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	gone, back := furtherBelow("gone"), furtherBelow("back")
+	gone, back := descendantRecord("gone"), descendantRecord("back")
 	node.reports.addMember(reportedMember{record: gone, below: true}, now())
-	_, _ = node.children.learn("child", []membership.Record{back})
+	_, _ = node.children.addDescendants("child", []membership.Record{back})
 	if node.stillBelow(gone) {
 		t.Error("a node that has gone again is told of as below")
 	}
@@ -102,9 +102,9 @@
 			t.Fatalf("answer %v, error %v", answer, err)
 		}
 	}
-	report(child, child, furtherBelow("named"), furtherBelow("unnamed"))
+	report(child, child, descendantRecord("named"), descendantRecord("unnamed"))
 	child.Attachment++
-	report(other, other, child, furtherBelow("named"))
+	report(other, other, child, descendantRecord("named"))
 	if !isBelow(node, child.ID) || !isBelow(node, "named") {
 		t.Error("nodes that were reported below the other child are not held as below")
 	}
--- a/internal/control/bootstrap.go
+++ b/internal/control/bootstrap.go
@@ -20,11 +20,11 @@
 	// nodes start at once; it doubles with each attempt.
 	machineListJitter  = time.Second
 	machineListTimeout = 3 * time.Second
-	// machineListEvery is how many rounds of a root pass between two reads.
-	machineListEvery = 8
-	// rootAsksStrangers and rootAsksLost bound whom a root asks in one round.
-	rootAsksStrangers = 3
-	rootAsksLost      = 2
+	// machineListRounds is how many rounds of a root pass between two reads.
+	machineListRounds = 8
+	// rootQueriesOutside and rootAsksLost bound whom a root asks in one round.
+	rootQueriesOutside = 3
+	rootQueriesLost    = 2
 )
 
 // bootstrap finds other nodes before the first plan is made. It returns when
@@ -76,17 +76,17 @@
 		n.events.PeerRefused(address, err.Error())
 		return false
 	}
-	n.takeMembers(answer.GetNode(), records)
+	n.mergeMembers(answer.GetNode(), records)
 	return true
 }
 
-// takeMembers takes in what another node knows.
-func (n *Node) takeMembers(from string, records []membership.Record) {
+// mergeMembers takes in what another node knows.
+func (n *Node) mergeMembers(from string, records []membership.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.plan.trust(from)
 	if n.upstream.root && !n.children.below(from) {
-		n.takeBackLosses(records)
+		n.revokeLosses(records)
 	}
 	if changed := n.table.Merge(records...); len(changed) > 0 {
 		n.membersChanged(changed, now())
@@ -114,19 +114,19 @@
 	ctx, cancel := context.WithTimeout(ctx, machineListTimeout)
 	defer cancel()
 	machines, err := n.config.Machines.Machines(ctx)
-	n.noteStore(err)
+	n.recordStoreResult(err)
 	if err != nil {
 		return false
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.takeHints(machines)
+	n.addHints(machines)
 	return true
 }
 
-// takeHints plans with machines that no node has told of yet. The list lags, so
+// addHints plans with machines that no node has told of yet. The list lags, so
 // that hints are dropped as soon as they do not answer.
-func (n *Node) takeHints(machines []store.Machine) {
+func (n *Node) addHints(machines []store.Machine) {
 	for _, machine := range machines {
 		if machine.Leaving || machine.Node == n.self.ID || !isAddress(machine.ControlAddress) {
 			continue
@@ -157,7 +157,7 @@
 	for _, address := range n.discoveryTargets() {
 		n.askMembers(ctx, address)
 	}
-	if round%machineListEvery == machineListEvery-1 && n.alone() {
+	if round%machineListRounds == machineListRounds-1 && n.alone() {
 		n.readMachines(ctx)
 	}
 }
@@ -174,25 +174,25 @@
 func (n *Node) discoveryTargets() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	var strangers, lost []string
+	var outside, lost []string
 	for record := range n.table.View().All() {
 		switch {
 		case record.ID == n.self.ID || n.children.below(record.ID):
 		case record.State == membership.StateLost:
 			lost = append(lost, record.ControlAddress)
 		default:
-			strangers = append(strangers, record.ControlAddress)
+			outside = append(outside, record.ControlAddress)
 		}
 	}
-	shuffle(strangers)
+	shuffle(outside)
 	shuffle(lost)
-	targets := strangers[:min(len(strangers), rootAsksStrangers)]
-	targets = append(targets, lost[:min(len(lost), rootAsksLost)]...)
-	return append(targets, n.seedOutside()...)
+	targets := outside[:min(len(outside), rootQueriesOutside)]
+	targets = append(targets, lost[:min(len(lost), rootQueriesLost)]...)
+	return append(targets, n.seedOutsideTree()...)
 }
 
-// seedOutside returns one seed at random, unless it is in this node's own tree.
-func (n *Node) seedOutside() []string {
+// seedOutsideTree returns one seed at random, unless it is in this node's own tree.
+func (n *Node) seedOutsideTree() []string {
 	if len(n.config.Seeds) == 0 {
 		return nil
 	}
--- a/internal/control/catch_up.go
+++ b/internal/control/catch_up.go
@@ -25,12 +25,12 @@
 		if err == nil {
 			err = checkAnswer(answer)
 		}
-		n.caughtUp(current, answer, err)
+		n.applyCatchUp(current, answer, err)
 	})
 }
 
-// caughtUp takes in the head and the versions that a child answered with.
-func (n *Node) caughtUp(asked feed, answer *controlpb.WatchResponse, err error) {
+// applyCatchUp takes in the head and the versions that a child answered with.
+func (n *Node) applyCatchUp(asked feed, answer *controlpb.WatchResponse, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.catchingUp = false
@@ -42,6 +42,6 @@
 		n.events.PeerRefused("", err.Error())
 		return
 	}
-	n.takeHead(answer.GetHead())
-	n.takeSnapshots(asked.scope, delivered)
+	n.observeHeadMessage(answer.GetHead())
+	n.receiveAll(asked.scope, delivered)
 }
--- a/internal/control/children.go
+++ b/internal/control/children.go
@@ -14,11 +14,11 @@
 	record membership.Record
 	// polls counts the polls that are held at the moment.
 	polls int
-	// seenAt is when the last poll ended.
-	seenAt time.Time
-	// away tells that the last poll broke off, and omitted that the child was
+	// lastPollAt is when the last poll ended.
+	lastPollAt time.Time
+	// disconnected tells that the last poll broke off, and omitted that the child was
 	// left out of a report for that.
-	away, omitted bool
+	disconnected, omitted bool
 	// sequence is that of the newest report taken in.
 	sequence  uint64
 	readiness rollout.Readiness
@@ -74,11 +74,11 @@
 	return held, attachedNow
 }
 
-// learn notes through which child nodes further below were reported. It returns
+// addDescendants notes through which child nodes further below were reported. It returns
 // the records that were not known to be below before, and the identifiers of nodes
 // that were below a child which has moved: unless they are reported again, nothing
 // else would ever end their entries.
-func (c *children) learn(through string, records []membership.Record) (added []membership.Record, dropped []string) {
+func (c *children) addDescendants(through string, records []membership.Record) (added []membership.Record, dropped []string) {
 	var moved []string
 	for _, record := range records {
 		if held, isChild := c.byID[record.ID]; isChild {
@@ -99,14 +99,14 @@
 		c.via[record.ID] = through
 	}
 	for _, id := range moved {
-		dropped = append(dropped, c.dropBelow(id)...)
+		dropped = append(dropped, c.removeAllDescendants(id)...)
 	}
 	return added, dropped
 }
 
-// unlearn drops nodes that a child no longer has below it, and returns those
+// removeDescendants drops nodes that a child no longer has below it, and returns those
 // that were known through that child.
-func (c *children) unlearn(through string, ids []string) []string {
+func (c *children) removeDescendants(through string, ids []string) []string {
 	var dropped []string
 	for _, id := range ids {
 		if c.via[id] == through {
@@ -117,10 +117,10 @@
 	return dropped
 }
 
-// retain drops all nodes learned through a child that its first report under a
+// retainDescendants drops all nodes learned through a child that its first report under a
 // new attachment, which names everybody below it, leaves out. What a child lost
 // between two attachments to the same parent is not told in any other way.
-func (c *children) retain(through string, named []membership.Record) []string {
+func (c *children) retainDescendants(through string, named []membership.Record) []string {
 	kept := make(map[string]struct{}, len(named))
 	for _, record := range named {
 		kept[record.ID] = struct{}{}
@@ -131,12 +131,12 @@
 			gone = append(gone, id)
 		}
 	}
-	return c.unlearn(through, gone)
+	return c.removeDescendants(through, gone)
 }
 
-// seenElsewhere drops a node further below that took a parent elsewhere, and
+// removeMoved drops a node further below that took a parent elsewhere, and
 // reports whether there was one.
-func (c *children) seenElsewhere(record membership.Record) bool {
+func (c *children) removeMoved(record membership.Record) bool {
 	_, known := c.via[record.ID]
 	delete(c.via, record.ID)
 	return known
@@ -145,11 +145,11 @@
 // remove forgets a child and returns the nodes that were known through it.
 func (c *children) remove(id string) []string {
 	delete(c.byID, id)
-	return c.dropBelow(id)
+	return c.removeAllDescendants(id)
 }
 
-// dropBelow forgets the nodes that were known through one child and returns them.
-func (c *children) dropBelow(id string) []string {
+// removeAllDescendants forgets the nodes that were known through one child and returns them.
+func (c *children) removeAllDescendants(id string) []string {
 	var dropped []string
 	for below, through := range c.via {
 		if through == id {
@@ -164,7 +164,7 @@
 func (c *children) readiness() rollout.Readiness {
 	var sum rollout.Readiness
 	for _, held := range c.byID {
-		if held.reported && !held.away {
+		if held.reported && !held.disconnected {
 			sum = rollout.MergeReadiness(sum, held.readiness)
 		}
 	}
@@ -175,7 +175,7 @@
 // and has nothing left to report about them.
 func (c *children) allReported(head rollout.Head) bool {
 	for _, held := range c.byID {
-		if held.away {
+		if held.disconnected {
 			continue
 		}
 		if !held.reported || held.readiness.Proposed != head.Proposed || held.readiness.Committed != head.Committed {
@@ -192,14 +192,14 @@
 // the child's readiness out of the sum, because the child may report elsewhere.
 func (c *child) pollBegan() {
 	c.polls++
-	c.away = false
+	c.disconnected = false
 }
 
 func (c *child) pollEnded(at time.Time, brokeOff bool) {
 	c.polls--
-	c.seenAt = at
+	c.lastPollAt = at
 	if brokeOff && c.polls == 0 {
-		c.away = true
+		c.disconnected = true
 	}
 }
 
@@ -209,19 +209,19 @@
 		if held.polls > 0 {
 			continue
 		}
-		deadline := held.seenAt.Add(n.config.LossBound)
+		deadline := held.lastPollAt.Add(n.config.LossBound)
 		if at.Before(deadline) {
 			next = sooner(next, deadline)
 			continue
 		}
-		n.detached(n.children.remove(id), at)
-		n.loseChild(held.record, at)
+		n.reportDetached(n.children.remove(id), at)
+		n.expireChild(held.record, at)
 	}
 	return next
 }
 
-// loseChild marks a child as lost, unless it has announced another parent.
-func (n *Node) loseChild(record membership.Record, at time.Time) {
+// expireChild marks a child as lost, unless it has announced another parent.
+func (n *Node) expireChild(record membership.Record, at time.Time) {
 	newest, found := n.table.Get(record.ID)
 	moved := found && newest.Supersedes(record) && newest.State != membership.StateLost
 	if !moved {
@@ -229,18 +229,18 @@
 		return
 	}
 	if !n.children.below(record.ID) {
-		n.detached([]string{record.ID}, at)
+		n.reportDetached([]string{record.ID}, at)
 	}
 }
 
-// detached passes on that nodes are no longer below this one. The root, which
+// reportDetached passes on that nodes are no longer below this one. The root, which
 // everybody who is alive is below of, waits for them to turn up elsewhere.
-func (n *Node) detached(ids []string, at time.Time) {
+func (n *Node) reportDetached(ids []string, at time.Time) {
 	if len(ids) == 0 {
 		return
 	}
 	if n.upstream.root {
-		n.strangers.expect(ids, at.Add(n.config.SubtreeLossBound))
+		n.outsideTree.expect(ids, at.Add(n.config.SubtreeLossBound))
 		return
 	}
 	n.reports.addDetached(ids, at)
--- a/internal/control/clients.go
+++ b/internal/control/clients.go
@@ -64,7 +64,7 @@
 		scheme:    scheme,
 		prefix:    config.pathPrefix(),
 		transport: transport,
-		client:    &http.Client{Transport: boundedAnswers{transport}},
+		client:    &http.Client{Transport: limitedAnswers{transport}},
 	}
 }
 
@@ -88,53 +88,53 @@
 	}
 }
 
-// at returns the client of a peer's address.
-func (p *peerClients) at(address string) controlpb.Control {
+// recentClient returns the client of a peer's address.
+func (p *peerClients) recentClient(address string) controlpb.Control {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.recent == nil || p.recentAddress != address {
-		p.recent = p.other(address)
+		p.recent = p.newClient(address)
 		p.recentAddress = address
 	}
 	return p.recent
 }
 
-// forget drops connections that nothing waits on, so that the next call to a
+// closeIdle drops connections that nothing waits on, so that the next call to a
 // peer that failed opens a new one.
-func (p *peerClients) forget(string) { p.transport.CloseIdleConnections() }
+func (p *peerClients) closeIdle(string) { p.transport.CloseIdleConnections() }
 
 func (p *peerClients) close() { p.transport.CloseIdleConnections() }
 
 func (p *peerClients) watch(ctx context.Context, peer topology.Peer, request *controlpb.WatchRequest) (*controlpb.WatchResponse, error) {
-	return p.at(peer.ControlAddress).Watch(ctx, request)
+	return p.recentClient(peer.ControlAddress).Watch(ctx, request)
 }
 
 func (p *peerClients) report(ctx context.Context, peer topology.Peer, request *controlpb.ReportRequest) (*controlpb.ReportResponse, error) {
-	return p.at(peer.ControlAddress).Report(ctx, request)
+	return p.recentClient(peer.ControlAddress).Report(ctx, request)
 }
 
 func (p *peerClients) floor(ctx context.Context, peer topology.Peer, request *controlpb.FloorRequest) (*controlpb.FloorResponse, error) {
-	return p.other(peer.ControlAddress).Floor(ctx, request)
+	return p.newClient(peer.ControlAddress).Floor(ctx, request)
 }
 
 func (p *peerClients) status(ctx context.Context, peer topology.Peer, request *controlpb.StatusRequest) (*controlpb.StatusResponse, error) {
-	return p.other(peer.ControlAddress).Status(ctx, request)
+	return p.newClient(peer.ControlAddress).Status(ctx, request)
 }
 
 func (p *peerClients) members(ctx context.Context, address string, request *controlpb.MembersRequest) (*controlpb.MembersResponse, error) {
-	return p.other(address).Members(ctx, request)
+	return p.newClient(address).Members(ctx, request)
 }
 
-// other returns a client without taking the place of the parent's.
-func (p *peerClients) other(address string) controlpb.Control {
+// newClient returns a client without taking the place of the parent's.
+func (p *peerClients) newClient(address string) controlpb.Control {
 	return controlpb.NewControlProtobufClient(p.scheme+"://"+address, p.client, twirp.WithClientPathPrefix(p.prefix))
 }
 
-// boundedAnswers refuses answers that are larger than any node sends.
-type boundedAnswers struct{ next http.RoundTripper }
+// limitedAnswers refuses answers that are larger than any node sends.
+type limitedAnswers struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
-func (b boundedAnswers) RoundTrip(request *http.Request) (*http.Response, error) {
+func (b limitedAnswers) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := b.next.RoundTrip(request)
 	if err != nil {
 		return nil, err
--- a/internal/control/coordinator_loop.go
+++ b/internal/control/coordinator_loop.go
@@ -36,8 +36,8 @@
 	proposedSince time.Time
 }
 
-// noteUnloadable counts a version that the store holds in a broken form.
-func (c *coordinatorState) noteUnloadable(version rollout.Version, err error) {
+// countUnloadable counts a version that the store holds in a broken form.
+func (c *coordinatorState) countUnloadable(version rollout.Version, err error) {
 	if !unloadable(err) {
 		return
 	}
@@ -161,12 +161,12 @@
 		ctx, cancel := context.WithTimeout(ctx, decideTimeout)
 		defer cancel()
 		head, err := write(ctx)
-		n.noteStore(err)
-		n.decided(head, err, done)
+		n.recordStoreResult(err)
+		n.finishDecision(head, err, done)
 	})
 }
 
-func (n *Node) decided(head rollout.Head, err error, done func()) {
+func (n *Node) finishDecision(head rollout.Head, err error, done func()) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	defer n.kick()
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -11,13 +11,13 @@
 
 // directoryAnswer is what a child is to be told of the members.
 type directoryAnswer struct {
-	cursor  *controlpb.DirectoryCursor
-	whole   bool
-	records []membership.Record
+	cursor   *controlpb.DirectoryCursor
+	complete bool
+	records  []membership.Record
 }
 
-// directoryNews reports whether a child has to be woken for changed members.
-func (n *Node) directoryNews(request *controlpb.WatchRequest) bool {
+// hasDirectoryUpdate reports whether a child has to be woken for changed members.
+func (n *Node) hasDirectoryUpdate(request *controlpb.WatchRequest) bool {
 	cursor := request.GetCursor()
 	if !n.ownCursor(cursor) {
 		return true
@@ -37,19 +37,19 @@
 // directoryAnswer gives a child what it lacks.
 func (n *Node) directoryAnswer(request *controlpb.WatchRequest) directoryAnswer {
 	if request.GetScope().GetAll() {
-		return n.wholeDirectoryAnswer(request.GetCursor())
+		return n.completeDirectoryAnswer(request.GetCursor())
 	}
 	return n.scopedDirectoryAnswer(request)
 }
 
-func (n *Node) wholeDirectoryAnswer(cursor *controlpb.DirectoryCursor) directoryAnswer {
+func (n *Node) completeDirectoryAnswer(cursor *controlpb.DirectoryCursor) directoryAnswer {
 	answer := directoryAnswer{cursor: n.cursorAt(n.table.Sequence())}
 	switch {
 	case n.ownCursor(cursor):
 		answer.records, _ = n.table.Since(cursor.GetSequence())
 	case sumOf(cursor.GetSum()) == n.table.presentSum(nil):
 	default:
-		answer.whole = true
+		answer.complete = true
 		answer.records = n.table.records()
 	}
 	return answer
@@ -64,7 +64,7 @@
 		answer.records = directory.since(cursor.GetSequence())
 	case sumOf(cursor.GetSum()) == directory.presentSum():
 	default:
-		answer.whole = true
+		answer.complete = true
 		answer.records = directory.since(0)
 	}
 	return answer
@@ -82,7 +82,7 @@
 		directory = newScopedDirectory(scope)
 		n.table.scoped[scope] = directory
 	}
-	directory.update(n.table, n.latestWhole(), n.zoneLeaders())
+	directory.update(n.table, n.latestComplete(), n.zoneLeaders())
 	if !found {
 		directory.published = directory.sequence
 	}
@@ -106,14 +106,14 @@
 	n.directory.Store(n.table.View())
 	n.observers.wake()
 	for _, directory := range n.table.scoped {
-		directory.update(n.table, n.latestWhole(), n.zoneLeaders())
+		directory.update(n.table, n.latestComplete(), n.zoneLeaders())
 		directory.published = directory.sequence
 	}
 	n.waiters.wake()
 }
 
-// latestWhole returns the newest snapshot that holds everything, or nil.
-func (n *Node) latestWhole() *snapshot.Snapshot {
+// latestComplete returns the newest snapshot that holds everything, or nil.
+func (n *Node) latestComplete() *snapshot.Snapshot {
 	if !n.feed.scope.All {
 		return nil
 	}
@@ -138,7 +138,7 @@
 	}
 	return &controlpb.DirectoryUpdate{
 		Cursor:  answer.cursor,
-		Whole:   answer.whole,
+		Whole:   answer.complete,
 		Members: plain,
 		Packed:  packed,
 	}, nil
@@ -147,15 +147,15 @@
 // mergeBelow takes in records of this node and of nodes below it: they go on to
 // the parent and to the other children.
 func (n *Node) mergeBelow(at time.Time, records ...membership.Record) []membership.Record {
-	return n.mergeFor(at, true, records)
+	return n.mergeAndReport(at, true, records)
 }
 
-// mergeNews takes in records of nodes elsewhere that the parent may not know.
-func (n *Node) mergeNews(at time.Time, records ...membership.Record) []membership.Record {
-	return n.mergeFor(at, false, records)
+// mergeOutside takes in records of nodes elsewhere that the parent may not know.
+func (n *Node) mergeOutside(at time.Time, records ...membership.Record) []membership.Record {
+	return n.mergeAndReport(at, false, records)
 }
 
-func (n *Node) mergeFor(at time.Time, below bool, records []membership.Record) []membership.Record {
+func (n *Node) mergeAndReport(at time.Time, below bool, records []membership.Record) []membership.Record {
 	changed := n.table.Merge(records...)
 	if len(changed) == 0 {
 		return nil
@@ -167,10 +167,10 @@
 	return changed
 }
 
-// mergeAbove takes in records that came from the parent.
-func (n *Node) mergeAbove(at time.Time, update *controlpb.DirectoryUpdate, records []membership.Record) {
+// mergeFromParent takes in records that came from the parent.
+func (n *Node) mergeFromParent(at time.Time, update *controlpb.DirectoryUpdate, records []membership.Record) {
 	if update.GetWhole() {
-		n.adoptWhole(records, at)
+		n.adoptComplete(records, at)
 	}
 	changed := n.table.Merge(records...)
 	if len(changed) == 0 {
@@ -178,19 +178,19 @@
 	}
 	var moved []string
 	for _, record := range changed {
-		if n.children.seenElsewhere(record) {
+		if n.children.removeMoved(record) {
 			moved = append(moved, record.ID)
 		}
 	}
-	n.detached(moved, at)
+	n.reportDetached(moved, at)
 	n.membersChanged(changed, at)
 }
 
-// adoptWhole prepares the table for a whole directory from the parent. Records
+// adoptComplete prepares the table for a whole directory from the parent. Records
 // that it does not hold are dropped, and losses that only this node noted are
 // taken back, unless they are of the node itself or of nodes below it. The
 // parent is told of attachments that it does not know.
-func (n *Node) adoptWhole(records []membership.Record, at time.Time) {
+func (n *Node) adoptComplete(records []membership.Record, at time.Time) {
 	named := make(map[string]membership.Record, len(records))
 	for _, record := range records {
 		named[record.ID] = record
@@ -212,9 +212,9 @@
 	n.keepOnly(kept)
 }
 
-// takeBackLosses drops losses that this node noted while another tree, which it
+// revokeLosses drops losses that this node noted while another tree, which it
 // has just found, knows better.
-func (n *Node) takeBackLosses(records []membership.Record) {
+func (n *Node) revokeLosses(records []membership.Record) {
 	named := make(map[string]membership.Record, len(records))
 	for _, record := range records {
 		named[record.ID] = record
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -15,9 +15,9 @@
 	VersionRefused(version uint64, reason string)
 	// VersionInForce tells that the node runs a version from now on.
 	VersionInForce(version uint64, digest model.Digest)
-	// VersionCommitted tells that this node, as coordinator, committed a
+	// unresponsive tells that this node, as coordinator, committed a
 	// version, and how many live nodes had not reported that they hold it.
-	VersionCommitted(version uint64, silent uint32)
+	VersionCommitted(version uint64, unresponsive uint32)
 	// VersionAborted tells that this node, as coordinator, aborted a version.
 	VersionAborted(version uint64, node, reason string)
 	// ParentChanged tells that the node pulls from another parent; empty means none.
@@ -61,7 +61,7 @@
 // VersionInForce does nothing.
 func (NoEvents) VersionInForce(uint64, model.Digest) {}
 
-// VersionCommitted does nothing.
+// unresponsive does nothing.
 func (NoEvents) VersionCommitted(uint64, uint32) {}
 
 // VersionAborted does nothing.
--- a/internal/control/fabric_test.go
+++ b/internal/control/fabric_test.go
@@ -242,25 +242,25 @@
 		}
 		m.t.Logf("%s: version %d, ready %v (%s), %s under %q path %v children %v, knows %v, root %v, role %s",
 			id, version, isReady, reason, tree.Role, tree.Parent, tree.Path, tree.Children, known, tree.Root, run.node.Role())
-		m.t.Logf("%s: %s", id, beliefs(run.node))
+		m.t.Logf("%s: %s", id, describeChildren(run.node))
 	}
 }
 
-// beliefs tells what a node holds of those below it, and until when it waits for others.
-func beliefs(n *Node) string {
+// describeChildren tells what a node holds of those below it, and until when it waits for others.
+func describeChildren(n *Node) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	var text strings.Builder
 	for id, held := range n.children.byID {
 		newest, _ := n.table.Get(id)
 		fmt.Fprintf(&text, "child %s attachment %d (newest %d) polls %d, seen %v ago, away %v; ",
-			id, held.record.Attachment, newest.Attachment, held.polls, now().Sub(held.seenAt), held.away)
+			id, held.record.Attachment, newest.Attachment, held.polls, now().Sub(held.lastPollAt), held.disconnected)
 	}
 	for id, through := range n.children.via {
 		newest, _ := n.table.Get(id)
 		fmt.Fprintf(&text, "%s (attachment %d) by %s; ", id, newest.Attachment, through)
 	}
-	for id, deadline := range n.strangers.deadlines {
+	for id, deadline := range n.outsideTree.deadlines {
 		fmt.Fprintf(&text, "stranger %s for %v; ", id, deadline.Sub(now()))
 	}
 	return text.String()
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -103,7 +103,7 @@
 	m.eventually("the dead root is lost", m.all(knows(7)))
 }
 
-func TestSilentNodeDoesNotHoldUpTheOthers(t *testing.T) {
+func TestUnresponsiveNodeDoesNotBlockTheOthers(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
 	m.startZones(3)
--- a/internal/control/floor.go
+++ b/internal/control/floor.go
@@ -23,12 +23,12 @@
 	// floorPeersOfReader is how many nodes of its zone a restarted reader asks
 	// beside the store, and floorPatience how long it waits for them.
 	floorPeersOfReader = 8
-	floorPatience      = 600 * time.Millisecond
+	floorWaitLimit     = 600 * time.Millisecond
 	// floorSample is how many nodes of a zone of more than floorWholeZone others
 	// are asked first, of which floorSampleVouched have to vouch.
-	floorSample        = 8
-	floorWholeZone     = 16
-	floorSampleVouched = 2
+	floorSample              = 8
+	floorCompleteZone        = 16
+	floorSampleAuthoritative = 2
 	// floorSpread bounds the random pause before peers are asked, which rises
 	// by floorSpreadPerPeer with their number.
 	floorSpread        = time.Second
@@ -117,7 +117,7 @@
 		n.setFloor(answer.committed, floorFromPeers)
 		return true
 	}
-	n.missFloor(fmt.Sprintf("the lowest version that may be run is not known: %s; %s", plain(err), plain(peersErr)))
+	n.recordFloorMissing(fmt.Sprintf("the lowest version that may be run is not known: %s; %s", errorText(err), errorText(peersErr)))
 	return false
 }
 
@@ -128,7 +128,7 @@
 	n.carryOut(n.participant.LearnFloor(version))
 }
 
-func (n *Node) missFloor(reason string) {
+func (n *Node) recordFloorMissing(reason string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.floor.reason == reason {
@@ -149,7 +149,7 @@
 	n.mutex.Lock()
 	parent, attached := n.upstream.parent, n.upstream.attached
 	direct := n.versions != nil && (n.self.Reader || n.upstream.root)
-	down := n.storeState.asked && !n.storeState.reachable
+	down := n.storeState.contacted && !n.storeState.reachable
 	n.mutex.Unlock()
 	switch {
 	case direct && !(down && attached):
@@ -165,7 +165,7 @@
 	ctx, cancel := context.WithTimeout(n.serving, floorStoreTimeout)
 	defer cancel()
 	head, _, err := n.versions.ReadHead(ctx, true)
-	n.noteStore(err)
+	n.recordStoreResult(err)
 	if err != nil {
 		return floorAnswer{}, err
 	}
@@ -182,7 +182,7 @@
 	if n.floorKnown() {
 		return known
 	}
-	for _, answer := range n.askFloors(n.serving, n.floorPeers().some(), floorPatience) {
+	for _, answer := range n.askFloors(n.serving, n.floorPeers().limited(), floorWaitLimit) {
 		known = max(known, answer.Committed)
 	}
 	return known
@@ -217,10 +217,10 @@
 func (n *Node) floorOfPeers(ctx context.Context) (floorAnswer, error) {
 	peers := n.floorPeers()
 	sample, others := peers.split()
-	n.spreadAsking(ctx, len(sample))
+	n.pauseBeforeAsking(ctx, len(sample))
 	answers := n.askFloors(ctx, sample, n.config.CallTimeout)
-	if len(others) > 0 && vouched(answers) >= floorSampleVouched {
-		n.spreadAsking(ctx, len(others))
+	if len(others) > 0 && countKnown(answers) >= floorSampleAuthoritative {
+		n.pauseBeforeAsking(ctx, len(others))
 		answers = append(answers, n.askFloors(ctx, others, n.config.CallTimeout)...)
 	}
 	decision := rollout.DecideFloor(peers.quorum, answers)
@@ -230,13 +230,13 @@
 	return floorAnswer{committed: decision.Floor}, nil
 }
 
-// spreadAsking waits a random time that rises with the number to be asked.
-func (n *Node) spreadAsking(ctx context.Context, asked int) {
-	sleep(ctx, upTo(min(time.Duration(asked)*floorSpreadPerPeer, floorSpread)))
+// pauseBeforeAsking waits a random time that rises with the number to be asked.
+func (n *Node) pauseBeforeAsking(ctx context.Context, asked int) {
+	sleep(ctx, randomBelow(min(time.Duration(asked)*floorSpreadPerPeer, floorSpread)))
 }
 
-// vouched counts the answers that tell something.
-func vouched(answers []rollout.FloorAnswer) int {
+// countKnown counts the answers that tell something.
+func countKnown(answers []rollout.FloorAnswer) int {
 	count := 0
 	for _, answer := range answers {
 		if answer.Known {
--- a/internal/control/floor_server.go
+++ b/internal/control/floor_server.go
@@ -18,7 +18,7 @@
 	}
 	answer, err := r.node.confirmedFloor(ctx)
 	if err != nil {
-		return nil, twirp.NewError(twirp.Unavailable, plain(err))
+		return nil, twirp.NewError(twirp.Unavailable, errorText(err))
 	}
 	return &controlpb.FloorResponse{
 		Confirmed:  true,
@@ -38,12 +38,12 @@
 	defer n.mutex.Unlock()
 	state := n.participant.State()
 	return &controlpb.FloorResponse{
-		Known:       state.FloorKnown && state.HeadKnown && n.vouches(now()),
+		Known:       state.FloorKnown && state.HeadKnown && n.authoritative(now()),
 		Generation:  state.Head.Generation,
 		Committed:   n.highestCommitted(state),
 		Staged:      n.highestProposed(state),
-		ZoneMembers: uint32(n.membersBeside(zone, node)),
-		Zones:       uint32(n.zonesBeside(zone)),
+		ZoneMembers: uint32(n.countOtherMembers(zone, node)),
+		Zones:       uint32(n.countOtherZones(zone)),
 		Node:        n.ID(),
 	}
 }
@@ -78,10 +78,10 @@
 	return highest
 }
 
-// vouches reports whether this node may speak for the system: a version could
+// authoritative reports whether this node may speak for the system: a version could
 // have been committed without it while it was cut off with the smaller part.
-func (n *Node) vouches(at time.Time) bool {
+func (n *Node) authoritative(at time.Time) bool {
 	view := n.table.View()
-	settled := at.Sub(n.upstream.topSince) >= n.config.TreeSettle
+	settled := at.Sub(n.upstream.treeRootSince) >= n.config.TreeSettle
 	return settled && view.Lost() < view.Len()
 }
--- a/internal/control/floor_test.go
+++ b/internal/control/floor_test.go
@@ -108,7 +108,7 @@
 	m.eventually("the others run the second version", m.each(informed, runs(second)))
 	m.down.Store(true)
 	m.kill("b0")
-	m.eventually("the silent ones vouch for what they know", m.each(silent, vouching))
+	m.eventually("the silent ones vouch for what they know", m.each(silent, authoritative))
 
 	m.start("b0", "b", "ledger", sides.configure("b0", quick, withoutStore, func(config *Config) {
 		sides.put(1, config.Self.ControlAddress)
@@ -127,7 +127,7 @@
 	m.eventually("every node is ready", m.all(ready))
 }
 
-func vouching(node *Node) bool { return node.localFloor("", zoneKey{}).GetKnown() }
+func authoritative(node *Node) bool { return node.localFloor("", zoneKey{}).GetKnown() }
 
 // TestRestartedReaderOfRestoredStore restarts the only reader of a store that
 // was put back to an earlier state, while others know a later version.
@@ -241,13 +241,13 @@
 func TestFloorSampleOfLargeZone(t *testing.T) {
 	t.Parallel()
 	peers := floorPeers{relays: make([]topology.Peer, 21)}
-	for _, members := range []int{3, floorWholeZone, floorWholeZone + 1, 85} {
+	for _, members := range []int{3, floorCompleteZone, floorCompleteZone + 1, 85} {
 		peers.own = make([]topology.Peer, members)
 		sample, others := peers.split()
 		if len(sample)+len(others) != members+21 {
 			t.Fatalf("of %d members %d and %d are asked", members, len(sample), len(others))
 		}
-		if members > floorWholeZone && len(sample) != floorSample {
+		if members > floorCompleteZone && len(sample) != floorSample {
 			t.Fatalf("the sample of %d members has %d", members, len(sample))
 		}
 	}
--- a/internal/control/floor_zones.go
+++ b/internal/control/floor_zones.go
@@ -56,14 +56,14 @@
 // split returns whom to ask first, and whom then. In a small zone all are asked
 // at once.
 func (p floorPeers) split() (sample, others []topology.Peer) {
-	if len(p.own) <= floorWholeZone {
+	if len(p.own) <= floorCompleteZone {
 		return append(slices.Clone(p.relays), p.own...), nil
 	}
 	return p.own[:floorSample], append(slices.Clone(p.relays), p.own[floorSample:]...)
 }
 
-// some lists the relays and a bounded number of nodes of the zone.
-func (p floorPeers) some() []topology.Peer {
+// limited lists the relays and a bounded number of nodes of the zone.
+func (p floorPeers) limited() []topology.Peer {
 	return append(slices.Clone(p.relays), p.own[:min(len(p.own), floorPeersOfReader)]...)
 }
 
@@ -94,7 +94,7 @@
 	for _, choice := range relays {
 		found.relays = append(found.relays, choice.peer)
 	}
-	found.quorum = rollout.FloorQuorum{ZoneMembers: len(found.own), Zones: n.zonesBeside(home)}
+	found.quorum = rollout.FloorQuorum{ZoneMembers: len(found.own), Zones: n.countOtherZones(home)}
 	return found
 }
 
@@ -109,8 +109,8 @@
 	return peers
 }
 
-// zonesBeside counts the zones, but one, in which there are members, or were.
-func (n *Node) zonesBeside(home zoneKey) int {
+// countOtherZones counts the zones, but one, in which there are members, or were.
+func (n *Node) countOtherZones(home zoneKey) int {
 	zones := make(map[zoneKey]struct{}, len(n.table.pastZones)+1)
 	for zone := range n.table.pastZones {
 		zones[zone] = struct{}{}
@@ -122,8 +122,8 @@
 	return len(zones)
 }
 
-// membersBeside counts the members of a zone but one, lost ones included.
-func (n *Node) membersBeside(zone zoneKey, node string) int {
+// countOtherMembers counts the members of a zone but one, lost ones included.
+func (n *Node) countOtherMembers(zone zoneKey, node string) int {
 	count := 0
 	for record := range n.table.View().All() {
 		if zoneOfRecord(record) == zone && record.ID != node {
--- a/internal/control/jitter.go
+++ b/internal/control/jitter.go
@@ -20,7 +20,7 @@
 		limit = min(b.base<<b.attempts, b.ceiling)
 	}
 	b.attempts++
-	return upTo(limit)
+	return randomBelow(limit)
 }
 
 // reset starts again from the shortest pause.
@@ -28,8 +28,8 @@
 
 const maximumDoublings = 20
 
-// upTo returns a random duration below the limit.
-func upTo(limit time.Duration) time.Duration {
+// randomBelow returns a random duration below the limit.
+func randomBelow(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
 	}
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -78,11 +78,11 @@
 	if !n.bootstrapped {
 		return time.Time{}
 	}
-	next := n.plan.forgive(at)
+	next := n.plan.expireSuspicions(at)
 	n.replan(at)
 	next = sooner(next, n.plan.dueAt)
 	next = sooner(next, n.expireChildren(at))
-	next = sooner(next, n.expireStrangers(at))
+	next = sooner(next, n.expireOutsideTree(at))
 	n.table.purge(at)
 	n.publishDirectory(at)
 	next = sooner(next, n.table.flushAt)
@@ -90,7 +90,7 @@
 	next = sooner(next, n.report(ctx, at))
 	next = sooner(next, n.switchParent(at))
 	if n.upstream.root {
-		n.noteInForce()
+		n.updateInForceSince()
 	}
 	n.updateRole()
 	return next
@@ -120,8 +120,8 @@
 	n.stopped = true
 }
 
-// plain returns the text of an error without its type.
-func plain(err error) string {
+// errorText returns the text of an error without its type.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/control/members_server.go
+++ b/internal/control/members_server.go
@@ -18,7 +18,7 @@
 		if err := r.node.verifyClaim(ctx, MessageMembers, memberRecord(self)); err != nil {
 			return nil, err
 		}
-		r.node.takeStranger(memberRecord(self))
+		r.node.mergeOtherRoot(memberRecord(self))
 	}
 	plain, packed, err := packMembers(r.node.membersFor(request))
 	if err != nil {
@@ -27,12 +27,12 @@
 	return &controlpb.MembersResponse{Members: plain, Packed: packed, Node: r.node.ID()}, nil
 }
 
-// takeStranger takes in a root of another tree.
-func (n *Node) takeStranger(record membership.Record) {
+// mergeOtherRoot takes in a root of another tree.
+func (n *Node) mergeOtherRoot(record membership.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.plan.trust(record.ID)
-	n.mergeNews(now(), record)
+	n.mergeOutside(now(), record)
 }
 
 // membersFor lists the members of the asker's zone, the first ones of every
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -58,7 +58,7 @@
 	storeState  storeState
 	floor       floorState
 	reported    reportedVersions
-	strangers   strangers
+	outsideTree outsideTree
 	discovery   backoff
 	alarms      []string
 	// bootstrapped tells that other nodes were looked for before the first plan.
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -45,8 +45,8 @@
 	suspects map[string]suspicion
 	// hints are peers that the platform's list named and no node has confirmed.
 	hints map[string]topology.Peer
-	// wholeUntil is when a node that is no longer a relay narrows its scope.
-	wholeUntil time.Time
+	// fullScopeUntil is when a node that is no longer a relay narrows its scope.
+	fullScopeUntil time.Time
 
 	// unreadSince is since when no other node is known to read the store; zero
 	// when one is.
@@ -97,9 +97,9 @@
 	return found && at.Before(held.until)
 }
 
-// forgive returns when the next suspicion ends, and asks for a new plan when
+// expireSuspicions returns when the next suspicion ends, and asks for a new plan when
 // one has ended.
-func (p *plan) forgive(at time.Time) (next time.Time) {
+func (p *plan) expireSuspicions(at time.Time) (next time.Time) {
 	for id, held := range p.suspects {
 		if at.Before(held.until) {
 			next = sooner(next, held.until)
@@ -166,7 +166,7 @@
 	n.updateScope(at)
 	n.updateRole()
 	n.scheduleSwitch(at)
-	n.reader.candidate(n.plan.assignment.ReaderCandidate || n.standsIn(at))
+	n.reader.setWanted(n.plan.assignment.ReaderCandidate || n.standsIn(at))
 }
 
 // standsIn reports whether this zone relay, though it is no candidate, is to
@@ -216,11 +216,11 @@
 // updateScope widens the scope of a relay at once, and narrows that of a
 // former relay after a while.
 func (n *Node) updateScope(at time.Time) {
-	if n.needsWhole() {
-		n.plan.wholeUntil = at.Add(scopeRetention)
+	if n.needsFullScope() {
+		n.plan.fullScopeUntil = at.Add(scopeRetention)
 	}
 	wanted := n.ownScope()
-	if at.Before(n.plan.wholeUntil) {
+	if at.Before(n.plan.fullScopeUntil) {
 		wanted = snapshot.Scope{All: true}
 	}
 	if n.feed.scope == wanted {
@@ -231,8 +231,8 @@
 	n.upstream.interrupt()
 }
 
-// needsWhole reports whether others may pull from this node.
-func (n *Node) needsWhole() bool {
+// needsFullScope reports whether others may pull from this node.
+func (n *Node) needsFullScope() bool {
 	assignment := n.plan.assignment
 	return assignment.FullScope || assignment.ReaderCandidate || n.self.Reader || len(n.children.byID) > 0
 }
@@ -262,7 +262,7 @@
 	case !planned(parents, current):
 		n.plan.switchAt = at
 	case n.plan.switchAt.IsZero():
-		n.plan.switchAt = at.Add(switchPause/4 + upTo(switchPause))
+		n.plan.switchAt = at.Add(switchPause/4 + randomBelow(switchPause))
 	}
 }
 
--- a/internal/control/reader.go
+++ b/internal/control/reader.go
@@ -21,9 +21,9 @@
 	headWait = 8 * time.Second
 	// headGrace is how much longer its answer may take.
 	headGrace = 5 * time.Second
-	// parentPatience is how long a reader waits for its parent to send a
+	// parentWaitLimit is how long a reader waits for its parent to send a
 	// version before it loads the version from the store itself.
-	parentPatience = 300 * time.Millisecond
+	parentWaitLimit = 300 * time.Millisecond
 	// loadTimeout bounds loading one version.
 	loadTimeout = 15 * time.Second
 	// candidateSettle is how long a node waits before its first attempt at a
@@ -46,8 +46,8 @@
 	changed broadcast
 }
 
-// candidate says whether the node is to try for a lease.
-func (r *readerState) candidate(wanted bool) {
+// setWanted says whether the node is to try for a lease.
+func (r *readerState) setWanted(wanted bool) {
 	if r.wanted == wanted {
 		return
 	}
@@ -130,13 +130,13 @@
 // awaitEndOfTenure returns when reading has to stop.
 func (n *Node) awaitEndOfTenure(ctx context.Context, held tenure) {
 	var lost <-chan struct{}
-	var again <-chan time.Time
+	var retry <-chan time.Time
 	if held.lease != nil {
 		lost = held.lease.Lost()
 	} else {
 		timer := time.NewTimer(leaseBackoffCeiling)
 		defer timer.Stop()
-		again = timer.C
+		retry = timer.C
 	}
 	for {
 		changed := n.reader.changed.wait()
@@ -148,7 +148,7 @@
 			return
 		case <-lost:
 			return
-		case <-again:
+		case <-retry:
 			return
 		case <-changed:
 		}
@@ -176,7 +176,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), leaseTimeout)
 	defer cancel()
 	if err := held.lease.Release(ctx); err != nil && !errorx.IsOfType(err, lease.ErrLeaseLost) {
-		n.noteStore(err)
+		n.recordStoreResult(err)
 	}
 }
 
@@ -212,10 +212,10 @@
 		if ctx.Err() != nil {
 			return
 		}
-		n.noteStore(err)
+		n.recordStoreResult(err)
 		if err == nil {
 			index = next
-			n.takeStoreHead(head)
+			n.observeStoreHead(head)
 			err = n.loadMissing(ctx)
 		}
 		if err != nil {
@@ -236,7 +236,7 @@
 	return n.versions.WatchHead(ctx, index, headWait)
 }
 
-func (n *Node) takeStoreHead(head rollout.Head) {
+func (n *Node) observeStoreHead(head rollout.Head) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.observeHead(head)
@@ -254,7 +254,7 @@
 	for _, version := range n.missingVersions() {
 		err := n.loadVersion(ctx, version)
 		if err != nil {
-			n.noteStore(err)
+			n.recordStoreResult(err)
 			first = cmp.Or(first, err)
 		}
 	}
@@ -269,7 +269,7 @@
 
 // awaitParent gives the parent time to send what is missing.
 func (n *Node) awaitParent(ctx context.Context) {
-	deadline := now().Add(parentPatience)
+	deadline := now().Add(parentWaitLimit)
 	for {
 		arrived := n.waiters.wait()
 		remaining := time.Until(deadline)
@@ -296,7 +296,7 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if err != nil {
-		n.coordinator.noteUnloadable(version, err)
+		n.coordinator.countUnloadable(version, err)
 		return err
 	}
 	if n.feed.scope.All {
--- a/internal/control/reader_lease.go
+++ b/internal/control/reader_lease.go
@@ -44,10 +44,10 @@
 			return tenure{lease: held, slot: slot}, nil
 		}
 		if !errorx.IsOfType(err, lease.ErrLeaseHeld) {
-			n.noteStore(err)
+			n.recordStoreResult(err)
 			return tenure{}, err
 		}
-		n.noteStoreAnswered()
+		n.recordStoreAnswer()
 		if n.holderAbsent(ctx, slot) {
 			absent++
 		}
--- a/internal/control/report_client.go
+++ b/internal/control/report_client.go
@@ -32,12 +32,12 @@
 	// detached lists nodes that are no longer below this one.
 	detached []string
 	// dueAt is when the next report goes out; zero when there is nothing to tell.
-	dueAt     time.Time
-	lastSent  time.Time
-	inFlight  bool
-	sequence  uint64
-	known     rollout.Readiness
-	knownSent bool
+	dueAt           time.Time
+	lastSent        time.Time
+	inFlight        bool
+	sequence        uint64
+	acknowledged    rollout.Readiness
+	hasAcknowledged bool
 }
 
 // reportedMember is a record to be told. Below tells that it is of this node
@@ -84,7 +84,7 @@
 		r.members[record.ID] = reportedMember{record: record, below: true}
 	}
 	r.detached = nil
-	r.knownSent = false
+	r.hasAcknowledged = false
 	r.dueAt = at.Add(reportCompletePause)
 }
 
@@ -93,7 +93,7 @@
 	clear(r.members)
 	r.detached = nil
 	r.dueAt = time.Time{}
-	r.knownSent = false
+	r.hasAcknowledged = false
 }
 
 // reportCall is one report from its request to its answer.
@@ -121,7 +121,7 @@
 	}
 	state.dueAt = time.Time{}
 	summary := n.subtreeReadiness()
-	if len(state.members) == 0 && len(state.detached) == 0 && state.knownSent && equalReadiness(summary, state.known) {
+	if len(state.members) == 0 && len(state.detached) == 0 && state.hasAcknowledged && equalReadiness(summary, state.acknowledged) {
 		return time.Time{}
 	}
 	n.startReport(ctx, summary, at)
@@ -181,10 +181,10 @@
 		return
 	}
 	if err == nil && response.GetAttached() {
-		state.known, state.knownSent = call.summary, true
+		state.acknowledged, state.hasAcknowledged = call.summary, true
 		return
 	}
-	n.returnMembers(call.members)
+	n.requeueMembers(call.members)
 	state.detached = append(state.detached, call.request.GetDetached()...)
 	state.dueAt = now().Add(reportRetryPause)
 	if err == nil {
@@ -205,8 +205,8 @@
 	return n.clients.report(ctx, call.parent, call.request)
 }
 
-// returnMembers puts back records that did not reach the parent.
-func (n *Node) returnMembers(members []reportedMember) {
+// requeueMembers puts back records that did not reach the parent.
+func (n *Node) requeueMembers(members []reportedMember) {
 	for _, member := range members {
 		newer, found := n.reports.members[member.record.ID]
 		if !found || member.record.Supersedes(newer.record) {
--- a/internal/control/report_server.go
+++ b/internal/control/report_server.go
@@ -26,12 +26,12 @@
 			return nil, err
 		}
 	}
-	return &controlpb.ReportResponse{Attached: r.node.takeReport(request, records)}, nil
+	return &controlpb.ReportResponse{Attached: r.node.applyReport(request, records)}, nil
 }
 
-// takeReport reports false when the child is not attached under the number that
+// applyReport reports false when the child is not attached under the number that
 // it names. A report older than one taken in before changes nothing.
-func (n *Node) takeReport(request *controlpb.ReportRequest, records []membership.Record) bool {
+func (n *Node) applyReport(request *controlpb.ReportRequest, records []membership.Record) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	entry, found := n.children.byID[request.GetNode()]
@@ -48,13 +48,13 @@
 	at := now()
 	below := records[:min(int(request.GetBelow()), len(records))]
 	if isFirst {
-		n.detached(n.children.retain(request.GetNode(), below), at)
+		n.reportDetached(n.children.retainDescendants(request.GetNode(), below), at)
 	}
 	n.mergeBelow(at, below...)
-	n.mergeNews(at, records[len(below):]...)
-	n.detached(n.children.unlearn(request.GetNode(), request.GetDetached()), at)
-	added, dropped := n.children.learn(request.GetNode(), n.accepted(below))
-	n.detached(dropped, at)
+	n.mergeOutside(at, records[len(below):]...)
+	n.reportDetached(n.children.removeDescendants(request.GetNode(), request.GetDetached()), at)
+	added, dropped := n.children.addDescendants(request.GetNode(), n.newestKnown(below))
+	n.reportDetached(dropped, at)
 	n.reportBelow(added, at)
 	n.reports.readinessChanged(at, n.reportsComplete())
 	n.catchUpWith(entry, request.GetHeadGeneration())
@@ -70,8 +70,8 @@
 	}
 }
 
-// accepted lists the records that are the newest known of their nodes.
-func (n *Node) accepted(records []membership.Record) []membership.Record {
+// newestKnown lists the records that are the newest known of their nodes.
+func (n *Node) newestKnown(records []membership.Record) []membership.Record {
 	var newest []membership.Record
 	for _, record := range records {
 		if held, found := n.table.Get(record.ID); found && held == record {
--- a/internal/control/scoped_directory.go
+++ b/internal/control/scoped_directory.go
@@ -28,13 +28,13 @@
 	sequence uint64
 	// published is the place in the sequence up to which children are woken.
 	published uint64
-	// seen is the sequence of the table that entries reflect.
-	seen uint64
+	// tableSequence is the sequence of the table that entries reflect.
+	tableSequence uint64
 	// services are those whose workers are in scope; allServices means every one.
 	services    map[string]struct{}
 	allServices bool
-	// basis is the snapshot that services were worked out from.
-	basis *snapshot.Snapshot
+	// servicesFrom is the snapshot that services were worked out from.
+	servicesFrom *snapshot.Snapshot
 }
 
 type scopedEntry struct {
@@ -50,21 +50,21 @@
 
 // update takes in what changed in the table and in the snapshot.
 func (d *scopedDirectory) update(table *tableState, latest *snapshot.Snapshot, leaders map[string]struct{}) {
-	if latest != d.basis {
+	if latest != d.servicesFrom {
 		d.setServices(latest)
-		d.seen = 0
+		d.tableSequence = 0
 	}
-	if d.seen == table.Sequence() && d.seen != 0 {
+	if d.tableSequence == table.Sequence() && d.tableSequence != 0 {
 		return
 	}
 	for record := range table.View().All() {
-		d.take(record, leaders)
+		d.put(record, leaders)
 	}
-	d.seen = table.Sequence()
+	d.tableSequence = table.Sequence()
 }
 
-// take adds a record or its newer state.
-func (d *scopedDirectory) take(record *membership.Record, leaders map[string]struct{}) {
+// put adds a record or its newer state.
+func (d *scopedDirectory) put(record *membership.Record, leaders map[string]struct{}) {
 	held, found := d.entries[record.ID]
 	if found && held.record == *record {
 		return
@@ -94,7 +94,7 @@
 
 // setServices works out the services in scope: the node's own and those it calls.
 func (d *scopedDirectory) setServices(latest *snapshot.Snapshot) {
-	d.basis = latest
+	d.servicesFrom = latest
 	d.services = map[string]struct{}{d.scope.service: {}}
 	d.allServices = false
 	if latest == nil {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -41,8 +41,8 @@
 		Live:                        sumMessage(n.table.LiveSum()),
 		Readiness:                   readinessMessage(readiness),
 		Lagging:                     reasonMessages(readiness.Lagging),
-		StoreReachable:              n.storeState.asked && n.storeState.reachable,
-		StoreError:                  n.storeState.text,
+		StoreReachable:              n.storeState.contacted && n.storeState.reachable,
+		StoreError:                  n.storeState.lastError,
 		StoreSinceUnixNanoseconds:   unixNanoseconds(n.storeState.since),
 		InForceSinceUnixNanoseconds: unixNanoseconds(n.inForceEverywhere),
 		Leaving:                     uint32(view.Leaving()),
@@ -79,8 +79,8 @@
 	return alarms
 }
 
-// noteInForce remembers since when every live node runs the committed version.
-func (n *Node) noteInForce() {
+// updateInForceSince remembers since when every live node runs the committed version.
+func (n *Node) updateInForceSince() {
 	readiness := n.subtreeReadiness()
 	head := n.head()
 	everywhere := head.Committed != 0 && readiness.Committed == head.Committed &&
--- a/internal/control/store_state.go
+++ b/internal/control/store_state.go
@@ -13,44 +13,44 @@
 
 // storeState is what the node last saw of the platform's store.
 type storeState struct {
-	// asked tells that the store was used at all.
-	asked     bool
+	// contacted tells that the store was used at all.
+	contacted bool
 	reachable bool
 	since     time.Time
-	text      string
+	lastError string
 	// regressed tells that the store has gone back, and regression how. It lasts
 	// until the head was read in good order.
 	regressed  bool
 	regression string
 }
 
-// noteStore takes in how a request to the store for the head, or for what it
+// recordStoreResult takes in how a request to the store for the head, or for what it
 // names, has ended.
-func (n *Node) noteStore(err error) {
+func (n *Node) recordStoreResult(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.noteRegression(err)
+	n.recordRegression(err)
 	switch {
-	case err == nil || answered(err):
-		n.storeAnswers()
+	case err == nil || isStoreAnswer(err):
+		n.markStoreReachable()
 	default:
-		n.storeFails(err)
+		n.markStoreUnreachable(err)
 	}
 }
 
-// noteStoreAnswered takes in that the store has answered a request that tells
+// recordStoreAnswer takes in that the store has answered a request that tells
 // nothing about the head.
-func (n *Node) noteStoreAnswered() {
+func (n *Node) recordStoreAnswer() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.storeAnswers()
+	n.markStoreReachable()
 }
 
-// answered reports whether an error is itself an answer of a working store.
-func answered(err error) bool {
+// isStoreAnswer reports whether an error is itself an answer of a working store.
+func isStoreAnswer(err error) bool {
 	return errorx.IsOfType(err, versionstore.ErrStoreRegressed) ||
 		errorx.IsOfType(err, versionstore.ErrConflict) ||
 		errorx.IsOfType(err, versionstore.ErrVersionNotFound) ||
@@ -58,9 +58,9 @@
 		errorx.IsOfType(err, store.ErrSessionGone)
 }
 
-// noteRegression keeps the alarm of a store that has gone back as long as that
+// recordRegression keeps the alarm of a store that has gone back as long as that
 // lasts. An error of another kind tells nothing about it.
-func (n *Node) noteRegression(err error) {
+func (n *Node) recordRegression(err error) {
 	state := &n.storeState
 	if err == nil {
 		state.regressed, state.regression = false, ""
@@ -76,24 +76,24 @@
 	state.regressed, state.regression = true, err.Error()
 }
 
-func (n *Node) storeAnswers() {
+func (n *Node) markStoreReachable() {
 	state := &n.storeState
-	if state.asked && state.reachable {
+	if state.contacted && state.reachable {
 		return
 	}
-	wasDown := state.asked
-	state.asked, state.reachable, state.since, state.text = true, true, now(), ""
+	wasDown := state.contacted
+	state.contacted, state.reachable, state.since, state.lastError = true, true, now(), ""
 	if wasDown {
 		n.events.StoreReachable()
 	}
 }
 
-func (n *Node) storeFails(err error) {
+func (n *Node) markStoreUnreachable(err error) {
 	state := &n.storeState
-	if state.asked && !state.reachable {
-		state.text = err.Error()
+	if state.contacted && !state.reachable {
+		state.lastError = err.Error()
 		return
 	}
-	state.asked, state.reachable, state.since, state.text = true, false, now(), err.Error()
+	state.contacted, state.reachable, state.since, state.lastError = true, false, now(), err.Error()
 	n.events.StoreUnreachable(err)
 }
--- a/internal/control/sweep.go
+++ b/internal/control/sweep.go
@@ -16,8 +16,8 @@
 // sweepState says whether old versions are being removed from the store.
 type sweepState struct {
 	running bool
-	// again tells that the head has moved since the sweep under way began.
-	again bool
+	// rerun tells that the head has moved since the sweep under way began.
+	rerun bool
 }
 
 // startSweep removes old versions in the background. The lock is held by the
@@ -25,7 +25,7 @@
 func (n *Node) startSweep() {
 	state := &n.sweeping
 	if state.running {
-		state.again = true
+		state.rerun = true
 		return
 	}
 	state.running = true
@@ -51,13 +51,13 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if errorx.IsOfType(err, versionstore.ErrCorrupt) {
-		n.alarm("old versions cannot be removed from the store: " + plain(err))
+		n.alarm("old versions cannot be removed from the store: " + errorText(err))
 	}
 	state := &n.sweeping
-	if state.again && n.serving.Err() == nil {
-		state.again = false
+	if state.rerun && n.serving.Err() == nil {
+		state.rerun = false
 		return false
 	}
-	state.running, state.again = false, false
+	state.running, state.rerun = false, false
 	return true
 }
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -22,10 +22,10 @@
 	root     bool
 	path     []string
 	pathHash uint64
-	// top is the root of the tree that the node is in, and topSince since when.
-	top      string
-	topSince time.Time
-	cursor   *controlpb.DirectoryCursor
+	// treeRoot is the root of the tree that the node is in, and topSince since when.
+	treeRoot      string
+	treeRootSince time.Time
+	cursor        *controlpb.DirectoryCursor
 	// handle stands for acknowledged, the last whole request that was answered.
 	handle       uint64
 	acknowledged *controlpb.WatchRequest
@@ -67,15 +67,15 @@
 	}
 	u.path, u.pathHash = path, hash
 	if len(path) > 0 {
-		u.setTop(path[len(path)-1])
+		u.setTreeRoot(path[len(path)-1])
 	}
 	return true
 }
 
-// setTop keeps the root of the tree.
-func (u *upstream) setTop(id string) {
-	if u.top != id {
-		u.top, u.topSince = id, now()
+// setTreeRoot keeps the root of the tree.
+func (u *upstream) setTreeRoot(id string) {
+	if u.treeRoot != id {
+		u.treeRoot, u.treeRootSince = id, now()
 	}
 }
 
--- a/internal/control/versions.go
+++ b/internal/control/versions.go
@@ -38,11 +38,11 @@
 	before := n.participant.State()
 	own := n.shared.restrict(received, n.ownScope())
 	n.carryOut(n.participant.Deliver(own))
-	n.tellStaging(before, n.participant.State())
+	n.reportStaging(before, n.participant.State())
 }
 
-// tellStaging tells of a version that was staged or refused.
-func (n *Node) tellStaging(before, after rollout.ParticipantState) {
+// reportStaging tells of a version that was staged or refused.
+func (n *Node) reportStaging(before, after rollout.ParticipantState) {
 	if after.Staged != nil && after.Staged != before.Staged {
 		n.events.VersionStaged(after.Staged.Version())
 	}
--- a/internal/control/watch_client.go
+++ b/internal/control/watch_client.go
@@ -62,9 +62,9 @@
 	epoch   uint64
 	feed    feed
 	request *controlpb.WatchRequest
-	// whole is the request that a handle stands for.
-	whole *controlpb.WatchRequest
-	first bool
+	// complete is the request that a handle stands for.
+	complete *controlpb.WatchRequest
+	first    bool
 }
 
 // beginPoll chooses the parent and writes the request.
@@ -80,8 +80,8 @@
 		n.attachTo(parent)
 	}
 	call := pollCall{parent: parent, epoch: n.upstream.epoch, feed: n.feed, first: !n.upstream.attached}
-	call.whole = n.watchRequest()
-	call.request = n.shortRequest(call.whole)
+	call.complete = n.watchRequest()
+	call.request = n.shortRequest(call.complete)
 	call.ctx, call.cancel = context.WithTimeout(ctx, n.config.Hold+answerGrace)
 	n.upstream.cancel = call.cancel
 	return call, true
@@ -106,7 +106,7 @@
 	n.upstream.cursor = nil
 	n.upstream.root = true
 	n.discovery.reset()
-	n.upstream.setTop(n.self.ID)
+	n.upstream.setTreeRoot(n.self.ID)
 	n.waiters.wake()
 	n.events.ParentChanged("")
 	n.kick()
@@ -118,7 +118,7 @@
 func (n *Node) subtreeRecords() []membership.Record {
 	records := []membership.Record{n.self}
 	for id, entry := range n.children.byID {
-		if entry.away {
+		if entry.disconnected {
 			entry.omitted = true
 			continue
 		}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return n.pollFailed(call, err)
 	}
-	return n.takeAnswer(call, answer)
+	return n.handleAnswer(call, answer)
 }
 
 func (n *Node) pollFailed(call pollCall, err error) pollResult {
@@ -194,11 +194,11 @@
 // suspect keeps a peer out of the plan for a while.
 func (n *Node) suspect(peer topology.Peer, _ error) {
 	n.plan.suspect(peer.ID, now(), n.config.SuspectBound)
-	n.clients.forget(peer.ControlAddress)
+	n.clients.closeIdle(peer.ControlAddress)
 }
 
-// takeAnswer takes in an answer, unless it belongs to an earlier attachment.
-func (n *Node) takeAnswer(call pollCall, answer *controlpb.WatchResponse) pollResult {
+// handleAnswer takes in an answer, unless it belongs to an earlier attachment.
+func (n *Node) handleAnswer(call pollCall, answer *controlpb.WatchResponse) pollResult {
 	if answer.GetRetryAfterMilliseconds() > 0 {
 		return pollResult{pause: retryPause(answer)}
 	}
@@ -214,9 +214,9 @@
 		return pollResult{}
 	}
 	if answer.GetResend() {
-		return n.resend(records)
+		return n.handleResend(records)
 	}
-	if answeredByOther(call.parent, answer) {
+	if answeredByAnotherNode(call.parent, answer) {
 		n.suspect(call.parent, nil)
 		return pollResult{failed: true}
 	}
@@ -225,37 +225,37 @@
 	}
 	n.attachConfirmed(call, answer)
 	at := now()
-	n.mergeAbove(at, answer.GetDirectory(), records)
+	n.mergeFromParent(at, answer.GetDirectory(), records)
 	if cursor := answer.GetDirectory().GetCursor(); cursor != nil {
 		n.upstream.cursor = cursor
 	}
-	n.takeHead(answer.GetHead())
-	n.takeSnapshots(call.feed.scope, delivered)
+	n.observeHeadMessage(answer.GetHead())
+	n.receiveAll(call.feed.scope, delivered)
 	if deltaError != nil {
 		return n.refuseDeltas(call.parent, deltaError)
 	}
 	return pollResult{}
 }
 
-// answeredByOther reports whether another node has taken over the parent's address.
-func answeredByOther(parent topology.Peer, answer *controlpb.WatchResponse) bool {
+// answeredByAnotherNode reports whether another node has taken over the parent's address.
+func answeredByAnotherNode(parent topology.Peer, answer *controlpb.WatchResponse) bool {
 	return !answer.GetPathUnchanged() && (len(answer.GetPath()) == 0 || answer.GetPath()[0] != parent.ID)
 }
 
-// resend makes the next request a whole one. The parent names the record of
+// handleResend makes the next request a whole one. The parent names the record of
 // this node that it holds when that is newer than the node's own.
-func (n *Node) resend(records []membership.Record) pollResult {
+func (n *Node) handleResend(records []membership.Record) pollResult {
 	n.upstream.handle, n.upstream.acknowledged = 0, nil
 	if changed := n.table.Merge(records...); len(changed) > 0 {
 		n.membersChanged(changed, now())
 	}
-	return pollResult{pause: upTo(pollBackoffBase)}
+	return pollResult{pause: randomBelow(pollBackoffBase)}
 }
 
 func retryPause(answer *controlpb.WatchResponse) time.Duration {
-	asked := time.Duration(answer.GetRetryAfterMilliseconds()) * time.Millisecond
-	asked = min(asked, pollBackoffCeiling)
-	return asked/2 + upTo(asked)
+	requested := time.Duration(answer.GetRetryAfterMilliseconds()) * time.Millisecond
+	requested = min(requested, pollBackoffCeiling)
+	return requested/2 + randomBelow(requested)
 }
 
 // refuseParent turns away from a parent that pulls from this node itself, and
@@ -266,8 +266,8 @@
 		path = answer.GetPath()
 	}
 	looped := slices.Contains(path, n.self.ID)
-	idle := n.plan.assignment.MustBeReader(parent.ID) && !answer.GetReader()
-	if looped || idle {
+	notReading := n.plan.assignment.MustBeReader(parent.ID) && !answer.GetReader()
+	if looped || notReading {
 		n.plan.suspect(parent.ID, now(), loopPause)
 		n.upstream.detach()
 		return true
@@ -282,7 +282,7 @@
 func (n *Node) attachConfirmed(call pollCall, answer *controlpb.WatchResponse) {
 	n.plan.trust(call.parent.ID)
 	if handle := answer.GetHandle(); handle != 0 {
-		n.upstream.handle, n.upstream.acknowledged = handle, call.whole
+		n.upstream.handle, n.upstream.acknowledged = handle, call.complete
 	}
 	if n.upstream.attached {
 		return
@@ -293,16 +293,16 @@
 	n.kick()
 }
 
-// takeHead takes in a head from the parent.
-func (n *Node) takeHead(message *controlpb.Head) {
+// observeHeadMessage takes in a head from the parent.
+func (n *Node) observeHeadMessage(message *controlpb.Head) {
 	if message == nil {
 		return
 	}
 	n.observeHead(controlpb.HeadOf(message))
 }
 
-// takeSnapshots takes in received versions, unless the scope has changed since.
-func (n *Node) takeSnapshots(scope snapshot.Scope, delivered []*snapshot.Snapshot) {
+// receiveAll takes in received versions, unless the scope has changed since.
+func (n *Node) receiveAll(scope snapshot.Scope, delivered []*snapshot.Snapshot) {
 	if scope != n.feed.scope {
 		return
 	}
--- a/internal/control/watch_server.go
+++ b/internal/control/watch_server.go
@@ -93,7 +93,7 @@
 	if attachedNow {
 		n.reportBelow([]membership.Record{record}, now())
 	}
-	n.reportReturned(entry)
+	n.reportReconnected(entry)
 	n.widenForChildren()
 	entry.pollBegan()
 	return watchCall{child: entry, request: request, scope: scopeOf(request.GetScope())}, nil
@@ -105,17 +105,17 @@
 		if entry.handle != handle || entry.request == nil {
 			continue
 		}
-		n.reportReturned(entry)
+		n.reportReconnected(entry)
 		entry.pollBegan()
 		return watchCall{child: entry, request: entry.request, scope: scopeOf(entry.request.GetScope())}, nil
 	}
 	return watchCall{}, &controlpb.WatchResponse{Resend: true}
 }
 
-// reportReturned passes on what was left out while a child was away.
-func (n *Node) reportReturned(entry *child) {
-	if entry.away {
-		entry.away = false
+// reportReconnected passes on what was left out while a child was away.
+func (n *Node) reportReconnected(entry *child) {
+	if entry.disconnected {
+		entry.disconnected = false
 		n.reports.readinessChanged(now(), n.reportsComplete())
 	}
 	if entry.omitted {
@@ -139,7 +139,7 @@
 func (n *Node) hold(ctx context.Context, call watchCall) bool {
 	for {
 		signal := n.waiters.wait()
-		if n.hasNews(call) {
+		if n.hasUpdate(call) {
 			return false
 		}
 		select {
@@ -152,14 +152,14 @@
 	}
 }
 
-func (n *Node) hasNews(call watchCall) bool {
+func (n *Node) hasUpdate(call watchCall) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.versionNews(call.request) || n.pathNews(call.request) || n.directoryNews(call.request)
+	return n.hasVersionUpdate(call.request) || n.hasPathUpdate(call.request) || n.hasDirectoryUpdate(call.request)
 }
 
-// pathNews reports whether the nodes up to the root have changed.
-func (n *Node) pathNews(request *controlpb.WatchRequest) bool {
+// hasPathUpdate reports whether the nodes up to the root have changed.
+func (n *Node) hasPathUpdate(request *controlpb.WatchRequest) bool {
 	return hashPath(n.ownPath()) != request.GetPathHash()
 }
 
@@ -169,9 +169,9 @@
 	return path[:min(len(path), maximumPath)]
 }
 
-// versionNews reports whether the child lacks a version that is held here, or
+// hasVersionUpdate reports whether the child lacks a version that is held here, or
 // the head that names only what the child can get.
-func (n *Node) versionNews(request *controlpb.WatchRequest) bool {
+func (n *Node) hasVersionUpdate(request *controlpb.WatchRequest) bool {
 	head := n.head()
 	complete := true
 	for _, version := range lackedBy(request, head) {
