--- a/internal/control/alarm_test.go
+++ b/internal/control/alarm_test.go
@@ -10,7 +10,8 @@
 
 func (a *alarmCounter) Alarm(string) { a.count++ }
 
-// A node whose name two processes used wrote the same alarm many times a second.
+// Guards against repeated alarms: a node whose name was used by two processes
+// wrote the same alarm many times a second.
 func TestAlarmIsRaisedOnce(t *testing.T) {
 	t.Parallel()
 	counter := &alarmCounter{}
--- a/internal/control/answer_limiter.go
+++ b/internal/control/answer_limiter.go
@@ -6,7 +6,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of large answers, in bytes. Answers below smallAnswer are always given.
+// Limits of large answers, in bytes, and of the pause asked of a child. Answers
+// below smallAnswer are never delayed.
 const (
 	smallAnswer           = 4 << 10
 	largeAnswersPerSecond = 256 << 10
@@ -15,7 +16,7 @@
 	maximumRetryAfter     = 800 * time.Millisecond
 )
 
-// answerLimiter spreads the large answers of a storm over time.
+// answerLimiter spreads large answers over time when many are requested at once.
 type answerLimiter struct {
 	bytes *rate.Limiter
 }
@@ -26,8 +27,8 @@
 	}
 }
 
-// admit returns zero when an answer of this size may be given now, and how long
-// to stay away otherwise.
+// admit returns zero when an answer of this size may be sent now, and otherwise
+// how long the child is to wait before it retries.
 func (l *answerLimiter) admit(size int) time.Duration {
 	if size < smallAnswer {
 		return 0
--- a/internal/control/authoritative_test.go
+++ b/internal/control/authoritative_test.go
@@ -9,8 +9,8 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// A node speaks for the system only in the larger part of it, and only once its
-// tree has had the same root for a while.
+// A node is authoritative only in the larger part of the system, and only once
+// its tree has had the same root for Config.TreeSettle.
 func TestNodeIsAuthoritativeInTheLargerPartOnly(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -22,13 +22,13 @@
 		return state.FloorKnown && state.HeadKnown
 	})
 	if node.localFloor("", zoneKey{}).GetKnown() {
-		t.Fatal("a node vouches although its tree is new")
+		t.Fatal("a node is authoritative although its tree is new")
 	}
 	node.mutex.Lock()
 	node.upstream.treeRootSince = time.Now().Add(-2 * time.Hour)
 	node.mutex.Unlock()
 	if !node.localFloor("", zoneKey{}).GetKnown() {
-		t.Fatal("a node does not vouch in a settled tree")
+		t.Fatal("a node is not authoritative in a settled tree")
 	}
 	node.mutex.Lock()
 	for index := range 2 {
@@ -36,7 +36,7 @@
 	}
 	node.mutex.Unlock()
 	if node.localFloor("", zoneKey{}).GetKnown() {
-		t.Fatal("a node vouches although most nodes are lost")
+		t.Fatal("a node is authoritative although most nodes are lost")
 	}
 }
 
--- a/internal/control/below_test.go
+++ b/internal/control/below_test.go
@@ -12,7 +12,7 @@
 	return membership.Record{ID: id, Incarnation: 1, Attachment: 1, Region: "nl", Zone: "a", ControlAddress: "127.0.0.1:1"}
 }
 
-// isBelow reads what a node holds of another one.
+// isBelow reports whether a node holds another one as below it.
 func isBelow(node *Node, id string) bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
@@ -20,7 +20,8 @@
 }
 
 // TestFirstReportDropsWhoIsNotNamed lets a child lose a node between two
-// attachments to the same parent, which then once kept that node for ever.
+// attachments to the same parent. The parent used to hold that node as below it
+// forever.
 func TestFirstReportDropsWhoIsNotNamed(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -37,7 +38,7 @@
 	report(1, child, descendantRecord("x"), descendantRecord("y"))
 	report(2)
 	if !isBelow(node, "x") || !isBelow(node, "y") {
-		t.Fatal("a later report that names nobody dropped those below")
+		t.Fatal("a later report without members dropped the nodes below the child")
 	}
 
 	child.Attachment++
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestReportNamesNodesBelowNow lets a node below come and go before the parent
-// heard of it, and one go and come back.
+// TestReportNamesNodesBelowNow checks the next report after one node came below
+// and left again before the parent was informed, and another left and came back.
 func TestReportNamesNodesBelowNow(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -66,23 +67,24 @@
 	node.reports.addMember(reportedMember{record: gone, below: true}, now())
 	_, _ = node.children.addDescendants("child", []membership.Record{back})
 	if node.stillBelow(gone) {
-		t.Error("a node that has gone again is told of as below")
+		t.Error("a node that has left again is reported as below")
 	}
 	if !node.stillBelow(back) || !node.stillBelow(node.self) {
-		t.Error("a node that is below is not told of as such")
+		t.Error("a node that is below is not reported as below")
 	}
 	lost := gone
 	lost.State = membership.StateLost
 	if !node.stillBelow(lost) {
-		t.Error("the loss of a node below is not told of as such")
+		t.Error("the loss of a node below is not reported as below")
 	}
 	if ids := node.notBelow([]string{"gone", "back"}); len(ids) != 1 || ids[0] != "gone" {
-		t.Errorf("told of as gone: %v", ids)
+		t.Errorf("nodes reported as detached: got %v, want [gone]", ids)
 	}
 }
 
 // TestNodesBelowAMovedChildDoNotOutlastIt lets a child move below another one that
-// names only one of the two nodes below it. The other was held as below for ever.
+// names only one of the two nodes below it. The other one used to be held as below
+// forever.
 func TestNodesBelowAMovedChildDoNotOutlastIt(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -109,6 +111,6 @@
 		t.Error("nodes that were reported below the other child are not held as below")
 	}
 	if isBelow(node, "unnamed") {
-		t.Error("a node that nobody reports any more is still held as below")
+		t.Error("a node that no child reports any more is still held as below")
 	}
 }
--- a/internal/control/benchmark_test.go
+++ b/internal/control/benchmark_test.go
@@ -45,7 +45,8 @@
 	return answer
 }
 
-// settle polls until nothing is new, and returns the handle of the last request.
+// settle polls until there are no more updates, and returns the handle of the
+// last request.
 func (c *pollingChild) settle(b *testing.B) uint64 {
 	for range 2 {
 		answer := c.poll(b, c.request)
@@ -58,7 +59,7 @@
 	return c.poll(b, c.request).GetHandle()
 }
 
-// BenchmarkIdlePoll measures what a poll without news costs, headers included.
+// BenchmarkIdlePoll measures the cost of a poll without updates, including headers.
 func BenchmarkIdlePoll(b *testing.B) {
 	for _, variant := range []struct {
 		name               string
--- a/internal/control/bootstrap.go
+++ b/internal/control/bootstrap.go
@@ -11,24 +11,28 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Times and bounds of finding other nodes.
+// Timing and limits of node discovery.
 const (
 	discoveryBackoffBase    = 200 * time.Millisecond
 	discoveryBackoffCeiling = 4 * time.Second
 	seedTimeout             = time.Second
-	// machineListJitter spreads the reads of the platform's list when many
-	// nodes start at once; it doubles with each attempt.
+	// machineListJitter is the first limit of the random pause before a read of
+	// the platform's machine list. It spreads the reads when many nodes start at
+	// once and doubles with each attempt.
 	machineListJitter  = time.Second
 	machineListTimeout = 3 * time.Second
-	// machineListRounds is how many rounds of a root pass between two reads.
+	// machineListRounds is how many discovery rounds of a root pass between
+	// two reads of the machine list.
 	machineListRounds = 8
-	// rootQueriesOutside and rootAsksLost bound whom a root asks in one round.
+	// rootQueriesOutside and rootQueriesLost bound how many live nodes outside
+	// its tree and how many lost nodes a root queries in one round.
 	rootQueriesOutside = 3
 	rootQueriesLost    = 2
 )
 
 // bootstrap finds other nodes before the first plan is made. It returns when
-// somebody is known, or when it is certain that nobody can be found.
+// another node has answered, when the machine list has been read, or when there
+// is no machine list to read.
 func (n *Node) bootstrap(ctx context.Context) {
 	pauses := backoff{base: machineListJitter, ceiling: discoveryBackoffCeiling}
 	for ctx.Err() == nil {
@@ -49,7 +53,7 @@
 	n.kick()
 }
 
-// askSeeds asks the seeds in a random order until one has answered.
+// askSeeds queries the seeds in a random order until one has answered.
 func (n *Node) askSeeds(ctx context.Context) bool {
 	for _, index := range rand.Perm(len(n.config.Seeds)) {
 		if n.askMembers(ctx, n.config.Seeds[index]) {
@@ -59,8 +63,8 @@
 	return false
 }
 
-// askMembers asks one node for the members of this node's zone and the first
-// ones of others.
+// askMembers queries one node for the members of this node's zone and the first
+// members of the other zones.
 func (n *Node) askMembers(ctx context.Context, address string) bool {
 	if address == "" || address == n.config.Self.ControlAddress {
 		return false
@@ -80,7 +84,7 @@
 	return true
 }
 
-// mergeMembers takes in what another node knows.
+// mergeMembers merges the member records that another node sent.
 func (n *Node) mergeMembers(from string, records []membership.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -105,8 +109,8 @@
 	return request
 }
 
-// readMachines takes hints from the platform's list. It reports whether the
-// list could be read.
+// readMachines adds hints from the platform's machine list. It reports whether
+// the list could be read.
 func (n *Node) readMachines(ctx context.Context) bool {
 	if n.config.Machines == nil {
 		return false
@@ -124,8 +128,8 @@
 	return true
 }
 
-// addHints plans with machines that no node has told of yet. The list lags, so
-// that hints are dropped as soon as they do not answer.
+// addHints adds machines to the plan that no node has reported yet. The list
+// lags behind, so a hint is dropped as soon as its machine does not answer.
 func (n *Node) addHints(machines []store.Machine) {
 	for _, machine := range machines {
 		if machine.Leaving || machine.Node == n.self.ID || !isAddress(machine.ControlAddress) {
@@ -142,8 +146,9 @@
 	n.kick()
 }
 
-// discoverAsRoot waits for a parent to turn up, and looks for trees that this
-// one could join. A root that stays one looks less and less often.
+// discoverAsRoot waits for a parent to become known, and then queries nodes of
+// other trees that this one could join. A node that remains a root searches at
+// growing intervals.
 func (n *Node) discoverAsRoot(ctx context.Context, changed <-chan struct{}) {
 	n.mutex.Lock()
 	round := n.discovery.attempts
@@ -169,8 +174,8 @@
 	return n.table.View().Len() <= 1
 }
 
-// discoveryTargets lists whom a root asks in one round: live nodes outside its
-// tree, a seed, and nodes that were lost.
+// discoveryTargets lists the addresses that a root queries in one round: live
+// nodes outside its tree, lost nodes, and a seed.
 func (n *Node) discoveryTargets() []string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -191,7 +196,8 @@
 	return append(targets, n.seedOutsideTree()...)
 }
 
-// seedOutsideTree returns one seed at random, unless it is in this node's own tree.
+// seedOutsideTree returns one random seed, or nothing if that seed is in this
+// node's own tree.
 func (n *Node) seedOutsideTree() []string {
 	if len(n.config.Seeds) == 0 {
 		return nil
--- a/internal/control/broadcast.go
+++ b/internal/control/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcast wakes everybody who waits on one channel. The zero value is ready.
+// broadcast wakes all goroutines that wait on one channel. The zero value is ready to use.
 type broadcast struct {
 	mutex   sync.Mutex
 	channel chan struct{}
@@ -18,7 +18,7 @@
 	return b.channel
 }
 
-// wake closes the channel that waiters hold.
+// wake closes the channel that wait has returned.
 func (b *broadcast) wake() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/control/catch_up.go
+++ b/internal/control/catch_up.go
@@ -6,9 +6,9 @@
 	"github.com/levertide/levertide/internal/controlpb"
 )
 
-// catchUpWith fetches from a child that knows a newer head than this node. It
-// happens where a node without a parent has started again, or cannot reach the
-// store that its child reads.
+// catchUpWith fetches the head and versions from a child that knows a newer
+// head than this node. This happens when a root has restarted or cannot reach
+// the store that its child reads.
 func (n *Node) catchUpWith(entry *child, generation uint64) {
 	if !n.upstream.root || n.catchingUp || generation <= n.head().Generation {
 		return
@@ -29,7 +29,7 @@
 	})
 }
 
-// applyCatchUp takes in the head and the versions that a child answered with.
+// applyCatchUp applies the head and the versions of a child's answer.
 func (n *Node) applyCatchUp(asked feed, answer *controlpb.WatchResponse, err error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/control/children.go
+++ b/internal/control/children.go
@@ -9,29 +9,30 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// child is a node that pulls from this one.
+// child is a node that polls this one for updates.
 type child struct {
 	record membership.Record
-	// polls counts the polls that are held at the moment.
+	// polls counts the polls that are currently held open.
 	polls int
 	// lastPollAt is when the last poll ended.
 	lastPollAt time.Time
-	// disconnected tells that the last poll broke off, and omitted that the child was
-	// left out of a report for that.
+	// disconnected is set when the last poll was broken off, omitted when the
+	// child was therefore left out of a report to the parent.
 	disconnected, omitted bool
-	// sequence is that of the newest report taken in.
+	// sequence is the sequence number of the newest report applied.
 	sequence  uint64
 	readiness rollout.Readiness
 	reported  bool
-	// handle stands for request, which was answered before.
+	// handle identifies request, the last full request answered, so that the
+	// child can repeat it without sending it again.
 	handle  uint64
 	request *controlpb.WatchRequest
 }
 
-// children are the nodes that pull from this one, and those below them.
+// children are the nodes that poll this one, and the nodes below those.
 type children struct {
 	byID map[string]*child
-	// via names the child through which a node further below was learned.
+	// via maps a node further below to the child that reported it.
 	via map[string]string
 }
 
@@ -51,7 +52,7 @@
 	return ids
 }
 
-// below reports whether a node is a child or was learned through one.
+// below reports whether a node is a child or was reported by one.
 func (c *children) below(id string) bool {
 	if _, isChild := c.byID[id]; isChild {
 		return true
@@ -60,8 +61,8 @@
 	return further
 }
 
-// attach takes in a child's own record and returns its entry, and whether the
-// attachment is a new one. That starts a new sequence of reports.
+// attach records a child's own member record and returns its entry, and whether
+// the attachment is new. A new attachment starts a new sequence of reports.
 func (c *children) attach(record membership.Record) (entry *child, attachedNow bool) {
 	delete(c.via, record.ID)
 	held, found := c.byID[record.ID]
@@ -74,10 +75,10 @@
 	return held, attachedNow
 }
 
-// addDescendants notes through which child nodes further below were reported. It returns
-// the records that were not known to be below before, and the identifiers of nodes
-// that were below a child which has moved: unless they are reported again, nothing
-// else would ever end their entries.
+// addDescendants records which child reported nodes further below. It returns
+// the records that were not known to be below before, and the identifiers of
+// nodes that were below a child which has moved. Those are dropped because, if
+// they are not reported again, nothing else would ever remove their entries.
 func (c *children) addDescendants(through string, records []membership.Record) (added []membership.Record, dropped []string) {
 	var moved []string
 	for _, record := range records {
@@ -104,8 +105,8 @@
 	return added, dropped
 }
 
-// removeDescendants drops nodes that a child no longer has below it, and returns those
-// that were known through that child.
+// removeDescendants removes nodes that a child no longer has below it, and
+// returns those that were recorded under that child.
 func (c *children) removeDescendants(through string, ids []string) []string {
 	var dropped []string
 	for _, id := range ids {
@@ -117,9 +118,10 @@
 	return dropped
 }
 
-// retainDescendants drops all nodes learned through a child that its first report under a
-// new attachment, which names everybody below it, leaves out. What a child lost
-// between two attachments to the same parent is not told in any other way.
+// retainDescendants removes all nodes recorded under a child that are missing
+// from its first report under a new attachment, which names every node below it.
+// Nodes that a child lost between two attachments to the same parent are not
+// reported in any other way.
 func (c *children) retainDescendants(through string, named []membership.Record) []string {
 	kept := make(map[string]struct{}, len(named))
 	for _, record := range named {
@@ -134,21 +136,22 @@
 	return c.removeDescendants(through, gone)
 }
 
-// removeMoved drops a node further below that took a parent elsewhere, and
-// reports whether there was one.
+// removeMoved removes a node further below that has attached to a parent
+// elsewhere, and reports whether it was recorded.
 func (c *children) removeMoved(record membership.Record) bool {
 	_, known := c.via[record.ID]
 	delete(c.via, record.ID)
 	return known
 }
 
-// remove forgets a child and returns the nodes that were known through it.
+// remove removes a child and returns the nodes that were recorded under it.
 func (c *children) remove(id string) []string {
 	delete(c.byID, id)
 	return c.removeAllDescendants(id)
 }
 
-// removeAllDescendants forgets the nodes that were known through one child and returns them.
+// removeAllDescendants removes the nodes that were recorded under one child and
+// returns them.
 func (c *children) removeAllDescendants(id string) []string {
 	var dropped []string
 	for below, through := range c.via {
@@ -160,7 +163,7 @@
 	return dropped
 }
 
-// readiness sums up what the children reported.
+// readiness merges the readiness that the connected children reported.
 func (c *children) readiness() rollout.Readiness {
 	var sum rollout.Readiness
 	for _, held := range c.byID {
@@ -171,8 +174,8 @@
 	return sum
 }
 
-// allReported tells whether every child speaks of the same versions as the head
-// and has nothing left to report about them.
+// allReported reports whether the report of every connected child concerns the
+// versions of this head and is complete.
 func (c *children) allReported(head rollout.Head) bool {
 	for _, held := range c.byID {
 		if held.disconnected {
@@ -188,8 +191,9 @@
 	return true
 }
 
-// pollBegan and pollEnded follow a child's polls. A poll that broke off takes
-// the child's readiness out of the sum, because the child may report elsewhere.
+// pollBegan and pollEnded track a child's polls. After a broken-off poll the
+// child's readiness is left out of the sum, because the child may report to
+// another parent.
 func (c *child) pollBegan() {
 	c.polls++
 	c.disconnected = false
@@ -203,7 +207,8 @@
 	}
 }
 
-// expireChildren marks children as lost that were not heard of within the bound.
+// expireChildren marks children as lost that have not polled within
+// Config.LossBound. It returns when the next child expires.
 func (n *Node) expireChildren(at time.Time) (next time.Time) {
 	for id, held := range n.children.byID {
 		if held.polls > 0 {
@@ -220,7 +225,7 @@
 	return next
 }
 
-// expireChild marks a child as lost, unless it has announced another parent.
+// expireChild marks a child as lost, unless it has attached to another parent.
 func (n *Node) expireChild(record membership.Record, at time.Time) {
 	newest, found := n.table.Get(record.ID)
 	moved := found && newest.Supersedes(record) && newest.State != membership.StateLost
@@ -233,8 +238,8 @@
 	}
 }
 
-// reportDetached passes on that nodes are no longer below this one. The root, which
-// everybody who is alive is below of, waits for them to turn up elsewhere.
+// reportDetached reports to the parent that nodes are no longer below this one.
+// The root, which every live node is below, waits for them to reappear elsewhere.
 func (n *Node) reportDetached(ids []string, at time.Time) {
 	if len(ids) == 0 {
 		return
@@ -246,7 +251,7 @@
 	n.reports.addDetached(ids, at)
 }
 
-// markLost tells everybody that a node is lost, unless its record has changed.
+// markLost announces that a node is lost, unless a newer record of it is known.
 func (n *Node) markLost(record membership.Record, at time.Time) {
 	if record.State == membership.StateLost || record.ID == n.self.ID {
 		return
@@ -258,7 +263,7 @@
 	n.reports.readinessChanged(at, n.reportsComplete())
 }
 
-// sooner returns the earlier of two moments, of which zero means never.
+// sooner returns the earlier of two times. The zero time means never.
 func sooner(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/internal/control/clients.go
+++ b/internal/control/clients.go
@@ -13,7 +13,7 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Bounds of the connections to other nodes, in bytes.
+// Limits of HTTP/2 connections to other nodes, in bytes.
 const (
 	clientHeaderTable = 4 << 10
 	clientFrameBytes  = 64 << 10
@@ -27,7 +27,8 @@
 	client    *http.Client
 
 	mutex sync.Mutex
-	// recent keeps the client of the address called last, which is the parent's.
+	// recent caches the client of recentAddress, normally the parent's address,
+	// to which nearly all calls go.
 	recent        controlpb.Control
 	recentAddress string
 }
@@ -75,7 +76,7 @@
 	return config.Clone()
 }
 
-// newDialer returns a dialer that notices a dead peer within seconds.
+// newDialer returns a dialer whose keepalive probes detect a dead peer within seconds.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: DefaultDialTimeout,
@@ -88,7 +89,7 @@
 	}
 }
 
-// recentClient returns the client of a peer's address.
+// recentClient returns the client of an address and caches it for the next call.
 func (p *peerClients) recentClient(address string) controlpb.Control {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -99,7 +100,7 @@
 	return p.recent
 }
 
-// closeIdle drops connections that nothing waits on, so that the next call to a
+// closeIdle closes the idle connections to all peers, so that the next call to a
 // peer that failed opens a new one.
 func (p *peerClients) closeIdle(string) { p.transport.CloseIdleConnections() }
 
@@ -125,12 +126,12 @@
 	return p.newClient(address).Members(ctx, request)
 }
 
-// newClient returns a client without taking the place of the parent's.
+// newClient returns a client that does not replace the cached one of the parent.
 func (p *peerClients) newClient(address string) controlpb.Control {
 	return controlpb.NewControlProtobufClient(p.scheme+"://"+address, p.client, twirp.WithClientPathPrefix(p.prefix))
 }
 
-// limitedAnswers refuses answers that are larger than any node sends.
+// limitedAnswers fails the reading of answers that are larger than any node sends.
 type limitedAnswers struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -13,7 +13,7 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// Defaults of the times in Config.
+// Defaults of Config.
 const (
 	DefaultHold              = 3 * time.Second
 	DefaultUnresponsiveBound = 2 * time.Second
@@ -30,21 +30,21 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Config is what a Node is made of. Self.ID, Self.Region, Self.Zone,
+// Config configures a Node. Self.ID, Self.Region, Self.Zone,
 // Self.ControlAddress and Listener are required; the zero value of everything
 // else has a documented meaning.
 type Config struct {
 	// Self is the node's own member record. A zero Incarnation is replaced by
-	// the wall clock in nanoseconds. State, Attachment and Reader are the
-	// engine's to set.
+	// the wall clock in nanoseconds. State, Attachment and Reader are set by the
+	// engine.
 	Self membership.Record
 	// Mesh names the system that the node belongs to: at most 64 lower-case
-	// letters, digits and dashes. Nodes of another mesh, which may have taken
-	// over the address of a former node, are not listened to.
+	// letters, digits and dashes. Messages of nodes of another mesh, which may
+	// have taken over the address of a former node, are rejected.
 	Mesh string
 	// Gateway makes the node hold every resource. It is implied by an empty Self.Service.
 	Gateway bool
-	// Seeds are control addresses (IP:port) that are asked for members first.
+	// Seeds are control addresses (IP:port) that are queried for members first.
 	Seeds []string
 
 	// FanOut is how many children a relay inside a zone has; zero means DefaultFanOut.
@@ -53,22 +53,23 @@
 	Hold time.Duration
 	// UnresponsiveBound is how long a node that does not report may delay a commit.
 	UnresponsiveBound time.Duration
-	// LossBound is how long a child may be unheard of before its parent calls it lost.
+	// LossBound is how long a child may go without polling before its parent
+	// marks it as lost.
 	LossBound time.Duration
-	// SubtreeLossBound is the same for nodes that were learned through a lost child.
+	// SubtreeLossBound is the same for nodes that were reported by a lost child.
 	SubtreeLossBound time.Duration
 	// SuspectBound is how long a peer that did not answer stays out of the plan.
 	SuspectBound time.Duration
-	// CallTimeout bounds one call to a peer, the hold not counted.
+	// CallTimeout bounds one call to a peer, excluding the hold.
 	CallTimeout time.Duration
 	// TreeSettle is how long a tree must have had the same root before its
-	// nodes vouch for what is committed while the store is down. A part that
-	// was cut off has noted by then that the others are lost.
+	// nodes answer as authoritative about what is committed while the store is
+	// down. By then a part that was cut off has marked the other nodes as lost.
 	TreeSettle time.Duration
 	// ReaderLeaseTTL is how long a reader's lease outlives its holder.
 	ReaderLeaseTTL time.Duration
 
-	// Listener takes the connections of other nodes. It must be a loopback
+	// Listener accepts the connections of other nodes. It must be a loopback
 	// listener unless TLS is set.
 	Listener net.Listener
 	// TLS is the server's side of mutual TLS; nil means plain connections.
@@ -77,24 +78,26 @@
 	ClientTLS *tls.Config
 	// VerifyPeer, when set, checks the identity shown by a client on each request.
 	VerifyPeer func(*tls.ConnectionState) error
-	// VerifySender, when set, is asked before a message is read, and again with
-	// the record that the message speaks for. An error refuses the message.
+	// VerifySender, when set, is called before a message is read, and again with
+	// the member record in whose name the message was sent. An error rejects the
+	// message.
 	VerifySender func(Sender) error
 	// Dial opens connections to other nodes; nil means a plain dialer with TCP keepalive.
 	Dial DialFunc
 
-	// Store is the platform's key-value service; nil makes the node never read it.
+	// Store is the platform's key-value service; nil means that the node has no
+	// store to read.
 	Store store.Store
-	// Machines is the platform's list of machines; nil leaves it out.
+	// Machines is the platform's list of machines; nil means that there is none.
 	Machines store.MachineList
-	// Validate is asked before a version is staged; an error refuses it.
+	// Validate is called before a version is staged; an error refuses the version.
 	Validate func(*snapshot.Snapshot) error
-	// Events is told what happens; nil means NoEvents.
+	// Events receives the node's events; nil means NoEvents.
 	Events Events
-	// Traffic counts control bytes; nil makes the node keep its own.
+	// Traffic counts control bytes; nil means counters of the node's own.
 	Traffic *Traffic
-	// Shared holds caches that nodes of one process have in common; nil makes
-	// the node keep its own.
+	// Shared holds caches that the nodes of one process share; nil means caches
+	// of the node's own.
 	Shared *Shared
 }
 
@@ -134,7 +137,7 @@
 	}
 }
 
-// check returns ErrConfig when the configuration cannot work.
+// check returns ErrConfig when the configuration is invalid.
 func (c Config) check() error {
 	switch {
 	case c.Self.ID == "":
@@ -142,13 +145,13 @@
 	case c.Self.Zone == "" || c.Self.Region == "":
 		return ErrConfig.New("the node has no zone or no region")
 	case !isAddress(c.Self.ControlAddress):
-		return ErrConfig.New("the control address %q of the node is no IP address and port", c.Self.ControlAddress)
+		return ErrConfig.New("invalid control address %q: want an IP address and a port", c.Self.ControlAddress)
 	case !meshName.MatchString(c.Mesh):
-		return ErrConfig.New("the mesh cannot be named %q", c.Mesh)
+		return ErrConfig.New("invalid mesh name %q: want at most 64 lower-case letters, digits and dashes", c.Mesh)
 	case c.Listener == nil:
 		return ErrConfig.New("the node has no listener")
 	case (c.TLS == nil) != (c.ClientTLS == nil):
-		return ErrConfig.New("TLS is set on one side only")
+		return ErrConfig.New("TLS and ClientTLS must be set together")
 	case c.TLS == nil && !isLoopback(c.Listener.Addr()):
 		return ErrConfig.New("without TLS the listener must be on a loopback address, not on %s", c.Listener.Addr())
 	}
@@ -157,7 +160,7 @@
 
 var meshName = regexp.MustCompile("^[a-z0-9-]{0,64}$")
 
-// pathPrefix goes before the paths of all messages.
+// pathPrefix returns the URL path prefix of all messages.
 func (c Config) pathPrefix() string { return controlpb.PathPrefix(c.Mesh) }
 
 func isLoopback(address net.Addr) bool {
--- a/internal/control/convert.go
+++ b/internal/control/convert.go
@@ -48,7 +48,7 @@
 	return messages
 }
 
-// memberRecords converts the well-formed messages and leaves out the others.
+// memberRecords converts the valid messages and skips the others.
 func memberRecords(messages []*controlpb.Member) []membership.Record {
 	records := make([]membership.Record, 0, len(messages))
 	for _, message := range messages {
@@ -80,7 +80,7 @@
 	return message
 }
 
-// unixNanoseconds returns zero for the zero time, which has none.
+// unixNanoseconds returns zero for the zero time, whose UnixNano is undefined.
 func unixNanoseconds(moment time.Time) int64 {
 	if moment.IsZero() {
 		return 0
@@ -146,7 +146,7 @@
 	return snapshot.Scope{Service: message.GetService()}
 }
 
-// digestOf returns false for bytes that are no digest.
+// digestOf returns false for bytes that do not have the length of a digest.
 func digestOf(encoded []byte) (model.Digest, bool) {
 	var digest model.Digest
 	if len(encoded) != len(digest) {
--- a/internal/control/coordinator_loop.go
+++ b/internal/control/coordinator_loop.go
@@ -10,18 +10,19 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// decideTimeout bounds one commit or abort, reading back included.
+// decideTimeout bounds one commit or abort, including the read that verifies it.
 const decideTimeout = 20 * time.Second
 
-// minorityFactor times the silent bound is how long a coordinator in the
-// smaller part of a system that is cut in two waits for another to decide.
+// minorityFactor times Config.UnresponsiveBound is how long a coordinator in the
+// smaller part of a partitioned system waits for another coordinator to decide.
 const minorityFactor = 5
 
-// unloadableAttempts is how often a proposed version may turn out to be broken
-// in the store before it is aborted for that.
+// unloadableAttempts is how many failed attempts to load a broken proposed
+// version from the store make the coordinator abort it.
 const unloadableAttempts = 3
 
-// coordinatorState is the deciding side; machine is nil unless this node coordinates.
+// coordinatorState is the state of a coordinator; machine is nil unless this
+// node coordinates.
 type coordinatorState struct {
 	machine  *rollout.Coordinator
 	deciding bool
@@ -31,12 +32,12 @@
 	broken   rollout.Version
 	failures int
 	reason   string
-	// proposed is the version that is proposed, and since when it was seen.
+	// proposed is the proposed version, and proposedSince when it was first seen.
 	proposed      rollout.Version
 	proposedSince time.Time
 }
 
-// countUnloadable counts a version that the store holds in a broken form.
+// countUnloadable counts failed loads of a version that is broken in the store.
 func (c *coordinatorState) countUnloadable(version rollout.Version, err error) {
 	if !unloadable(err) {
 		return
@@ -48,14 +49,14 @@
 	c.reason = err.Error()
 }
 
-// coordinates reports whether this node decides: it reads the store and
-// reaches no reader that comes before it.
+// coordinates reports whether this node is the coordinator: it reads the store
+// and is the root, as it reaches no reader that ranks before it.
 func (n *Node) coordinates() bool {
 	return n.self.Reader && n.upstream.root
 }
 
-// coordinate decides about the proposed version if there is anything to
-// decide. It returns when to look again.
+// coordinate commits or aborts the proposed version once that can be decided.
+// It returns when to check again.
 func (n *Node) coordinate(ctx context.Context, at time.Time) time.Time {
 	state := &n.coordinator
 	if !n.coordinates() {
@@ -72,7 +73,7 @@
 	return n.carryOutDecision(ctx, n.decide(at))
 }
 
-// observeForDecision gives the coordinator all that it decides upon.
+// observeForDecision passes the head, members and readiness to the coordinator.
 func (n *Node) observeForDecision(at time.Time) {
 	state := &n.coordinator
 	if state.machine == nil {
@@ -108,8 +109,9 @@
 	return decision
 }
 
-// deferral returns until when a coordinator that has lost most of the nodes it
-// knew leaves the decision to another one: it may itself be the one cut off.
+// deferral returns the time until which a coordinator that has lost most of the
+// nodes it knew leaves the decision to another one, because it may itself be in
+// the part that is cut off.
 func (n *Node) deferral(at time.Time) time.Time {
 	state := &n.coordinator
 	if proposed := n.head().Proposed; proposed != state.proposed {
@@ -153,8 +155,8 @@
 	return time.Time{}
 }
 
-// startDecision writes a decision without holding the lock. The write is one
-// compare-and-swap: another coordinator that was quicker makes it a conflict.
+// startDecision writes a decision without holding the lock. The write is a
+// compare-and-swap: it fails with a conflict if another coordinator wrote first.
 func (n *Node) startDecision(ctx context.Context, write func(context.Context) (rollout.Head, error), done func()) {
 	n.coordinator.deciding = true
 	n.spawn(func() {
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -9,14 +9,14 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// directoryAnswer is what a child is to be told of the members.
+// directoryAnswer is the member update for a child.
 type directoryAnswer struct {
 	cursor   *controlpb.DirectoryCursor
 	complete bool
 	records  []membership.Record
 }
 
-// hasDirectoryUpdate reports whether a child has to be woken for changed members.
+// hasDirectoryUpdate reports whether published member changes await a child.
 func (n *Node) hasDirectoryUpdate(request *controlpb.WatchRequest) bool {
 	cursor := request.GetCursor()
 	if !n.ownCursor(cursor) {
@@ -29,12 +29,12 @@
 	return !found || cursor.GetSequence() < directory.published
 }
 
-// ownCursor reports whether a cursor speaks of this node's present table.
+// ownCursor reports whether a cursor refers to this node's current table.
 func (n *Node) ownCursor(cursor *controlpb.DirectoryCursor) bool {
 	return cursor.GetRelay() == n.self.ID && cursor.GetIncarnation() == n.table.epoch
 }
 
-// directoryAnswer gives a child what it lacks.
+// directoryAnswer returns the members that a child lacks.
 func (n *Node) directoryAnswer(request *controlpb.WatchRequest) directoryAnswer {
 	if request.GetScope().GetAll() {
 		return n.completeDirectoryAnswer(request.GetCursor())
@@ -97,8 +97,8 @@
 	}
 }
 
-// publishDirectory lets children and the rest of the process hear of what has
-// changed, once that is due.
+// publishDirectory publishes changed members to children and to the rest of the
+// process, once that is due.
 func (n *Node) publishDirectory(at time.Time) {
 	if !n.table.flush(at) {
 		return
@@ -112,7 +112,7 @@
 	n.waiters.wake()
 }
 
-// latestComplete returns the newest snapshot that holds everything, or nil.
+// latestComplete returns the newest snapshot that holds every resource, or nil.
 func (n *Node) latestComplete() *snapshot.Snapshot {
 	if !n.feed.scope.All {
 		return nil
@@ -121,7 +121,7 @@
 	return latest
 }
 
-// zoneLeaders returns the leaders of all zones, worked out once for each view.
+// zoneLeaders returns the leaders of all zones, computed once for each view.
 func (n *Node) zoneLeaders() map[string]struct{} {
 	view := n.table.View()
 	if n.plan.leadersView != view {
@@ -130,7 +130,7 @@
 	return n.plan.leaders
 }
 
-// directoryUpdate turns an answer into its message.
+// directoryUpdate converts an answer to its message.
 func directoryUpdate(answer directoryAnswer) (*controlpb.DirectoryUpdate, error) {
 	plain, packed, err := packMembers(answer.records)
 	if err != nil {
@@ -144,13 +144,14 @@
 	}, nil
 }
 
-// mergeBelow takes in records of this node and of nodes below it: they go on to
-// the parent and to the other children.
+// mergeBelow merges records of this node and of nodes below it, which are
+// forwarded to the parent and to the other children.
 func (n *Node) mergeBelow(at time.Time, records ...membership.Record) []membership.Record {
 	return n.mergeAndReport(at, true, records)
 }
 
-// mergeOutside takes in records of nodes elsewhere that the parent may not know.
+// mergeOutside merges records of nodes outside the subtree that the parent may
+// not know.
 func (n *Node) mergeOutside(at time.Time, records ...membership.Record) []membership.Record {
 	return n.mergeAndReport(at, false, records)
 }
@@ -167,7 +168,7 @@
 	return changed
 }
 
-// mergeFromParent takes in records that came from the parent.
+// mergeFromParent merges records received from the parent.
 func (n *Node) mergeFromParent(at time.Time, update *controlpb.DirectoryUpdate, records []membership.Record) {
 	if update.GetWhole() {
 		n.adoptComplete(records, at)
@@ -186,10 +187,10 @@
 	n.membersChanged(changed, at)
 }
 
-// adoptComplete prepares the table for a whole directory from the parent. Records
-// that it does not hold are dropped, and losses that only this node noted are
-// taken back, unless they are of the node itself or of nodes below it. The
-// parent is told of attachments that it does not know.
+// adoptComplete prepares the table for a complete directory from the parent.
+// Records missing from it are dropped, and losses that only this node recorded
+// are revoked, except for the node itself and nodes below it. Attachments that
+// the parent does not know are reported to it.
 func (n *Node) adoptComplete(records []membership.Record, at time.Time) {
 	named := make(map[string]membership.Record, len(records))
 	for _, record := range records {
@@ -212,8 +213,8 @@
 	n.keepOnly(kept)
 }
 
-// revokeLosses drops losses that this node noted while another tree, which it
-// has just found, knows better.
+// revokeLosses drops losses that this node recorded and that another tree, which
+// it has just found, contradicts.
 func (n *Node) revokeLosses(records []membership.Record) {
 	named := make(map[string]membership.Record, len(records))
 	for _, record := range records {
@@ -236,14 +237,15 @@
 	return sameAttachment && held.State == membership.StateLost && elsewhere.State != membership.StateLost
 }
 
-// keepOnly drops all records but those that are kept.
+// keepOnly drops all records except those given.
 func (n *Node) keepOnly(kept []membership.Record) {
 	if len(kept) < n.table.Len() {
 		n.table.replace(kept)
 	}
 }
 
-// membersChanged does what follows from changed records.
+// membersChanged schedules the publication of changed records and a new plan,
+// and refutes wrong records of this node.
 func (n *Node) membersChanged(changed []membership.Record, at time.Time) {
 	n.table.changed(changed, at)
 	n.plan.invalidate(at)
@@ -251,8 +253,9 @@
 	n.kick()
 }
 
-// refute answers records that call this node lost, or that come from an
-// earlier process of the same name.
+// refute reattaches the node under a higher attachment number when a record
+// supersedes its own: one that marks it as lost, or one of another process of
+// the same name.
 func (n *Node) refute(changed []membership.Record, at time.Time) {
 	for _, record := range changed {
 		if record.ID != n.self.ID || !record.Supersedes(n.self) {
@@ -268,10 +271,11 @@
 	}
 }
 
-// announceSelf passes the node's own changed record on.
+// announceSelf merges and forwards the node's own changed record.
 func (n *Node) announceSelf() {
 	n.mergeBelow(now(), n.self)
 }
 
-// ownSum is the sum that tells a new parent which members are known here.
+// ownSum returns the sum from which a new parent sees whether this node knows
+// the same members.
 func (n *Node) ownSum() rollout.MemberSum { return n.table.presentSum(nil) }
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -6,13 +6,13 @@
 var errorNamespace = errorx.NewNamespace("levertide.control")
 
 var (
-	// ErrConfig tells that a Config cannot work.
+	// ErrConfig reports an invalid Config.
 	ErrConfig = errorNamespace.NewType("config")
-	// ErrFloorUnknown tells that neither the store nor enough peers could say
-	// from which version on the node may run.
+	// ErrFloorUnknown reports that the floor, the lowest version that the node
+	// may run, could be learned neither from the store nor from enough peers.
 	ErrFloorUnknown = errorNamespace.NewType("floor_unknown")
-	// ErrNoStore tells that the node has no store to read.
+	// ErrNoStore reports that the node has no store to read.
 	ErrNoStore = errorNamespace.NewType("no_store")
-	// ErrMalformed tells that a message of a peer is outside its bounds.
+	// ErrMalformed reports a malformed or oversized message of a peer.
 	ErrMalformed = errorNamespace.NewType("malformed")
 )
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -2,42 +2,45 @@
 
 import "github.com/levertide/levertide/pkg/model"
 
-// Events is told what happens inside a node. Methods are mostly called with the
-// node's lock held: they must return soon and must not call back into the node.
+// Events receives the events of a node. Methods are mostly called with the
+// node's lock held: they must return quickly and must not call back into the node.
 type Events interface {
-	// FloorLearned tells from which version on the node may run and who said so.
+	// FloorLearned reports the lowest version that the node may run, and from
+	// which source it was learned.
 	FloorLearned(version uint64, source string)
-	// FloorMissing tells why a starting node may not run anything yet.
+	// FloorMissing reports why a starting node may not run any version yet.
 	FloorMissing(reason string)
-	// VersionStaged tells that a version stands ready beside the one in force.
+	// VersionStaged reports that a version was built beside the one in force.
 	VersionStaged(version uint64)
-	// VersionRefused tells that this node refused a version.
+	// VersionRefused reports that this node refused a version.
 	VersionRefused(version uint64, reason string)
-	// VersionInForce tells that the node runs a version from now on.
+	// VersionInForce reports that the node now runs a version.
 	VersionInForce(version uint64, digest model.Digest)
-	// unresponsive tells that this node, as coordinator, committed a
+	// VersionCommitted reports that this node, as coordinator, committed a
 	// version, and how many live nodes had not reported that they hold it.
 	VersionCommitted(version uint64, unresponsive uint32)
-	// VersionAborted tells that this node, as coordinator, aborted a version.
+	// VersionAborted reports that this node, as coordinator, aborted a version.
 	VersionAborted(version uint64, node, reason string)
-	// ParentChanged tells that the node pulls from another parent; empty means none.
+	// ParentChanged reports that the node polls another parent; empty means none.
 	ParentChanged(parent string)
-	// RoleChanged tells what part the node now has.
+	// RoleChanged reports the node's new role.
 	RoleChanged(role Role)
-	// MemberLost tells that a node which this one is parent of is lost.
+	// MemberLost reports that this node has marked another one as lost: a child,
+	// or, at the root, a member outside the tree.
 	MemberLost(id string)
-	// ReaderLeaseAcquired and ReaderLeaseLost tell of the right to read the store.
+	// ReaderLeaseAcquired and ReaderLeaseLost report gain and loss of the right to
+	// read the store.
 	ReaderLeaseAcquired(slot int)
 	ReaderLeaseLost(slot int)
-	// StoreUnreachable tells that the store stopped answering, StoreReachable
+	// StoreUnreachable reports that the store stopped answering, StoreReachable
 	// that it answers again.
 	StoreUnreachable(err error)
 	StoreReachable()
-	// StoreRegressed tells that the store shows an older head than one seen before.
+	// StoreRegressed reports that the store returned an older head than one seen before.
 	StoreRegressed(err error)
-	// PeerRefused tells that a request of a peer was turned away.
+	// PeerRefused reports that a message of a peer was rejected.
 	PeerRefused(peer, reason string)
-	// Alarm tells of something that an operator has to look at.
+	// Alarm reports a condition that needs an operator's attention.
 	Alarm(text string)
 }
 
--- a/internal/control/fabric_test.go
+++ b/internal/control/fabric_test.go
@@ -30,7 +30,7 @@
 	t     testing.TB
 	store *memory.Store
 	down  atomic.Bool
-	// gate holds back reads of single records until it is closed; nil holds none.
+	// gate blocks reads of single records until it is released; nil blocks none.
 	gate     atomic.Pointer[gate]
 	versions *versionstore.VersionStore
 	shared   *Shared
@@ -41,14 +41,14 @@
 	open     map[string][]net.Conn
 }
 
-// gate holds back reads.
+// gate blocks reads.
 type gate struct {
-	// waiting gets a token for each read that waits, until released is closed.
+	// waiting receives a token when a read waits for released to be closed.
 	waiting  chan struct{}
 	released chan struct{}
 }
 
-// pass returns when the gate is open.
+// pass returns once the gate is released.
 func (g *gate) pass() {
 	if g == nil {
 		return
@@ -246,7 +246,8 @@
 	}
 }
 
-// describeChildren tells what a node holds of those below it, and until when it waits for others.
+// describeChildren describes the nodes that a node holds as below it, and the
+// deadlines of members outside its tree.
 func describeChildren(n *Node) string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -261,12 +262,12 @@
 		fmt.Fprintf(&text, "%s (attachment %d) by %s; ", id, newest.Attachment, through)
 	}
 	for id, deadline := range n.outsideTree.deadlines {
-		fmt.Fprintf(&text, "stranger %s for %v; ", id, deadline.Sub(now()))
+		fmt.Fprintf(&text, "outside the tree: %s, lost in %v; ", id, deadline.Sub(now()))
 	}
 	return text.String()
 }
 
-// fileSet is a set of resources that differs by its mark.
+// fileSet returns a set of resources that differs by its mark.
 func fileSet(mark string) []model.Resource {
 	return []model.Resource{
 		{
@@ -280,7 +281,7 @@
 	}
 }
 
-// propose applies a set on top of the committed version.
+// propose proposes a set of resources based on the committed version.
 func (m *mesh) propose(mark string) rollout.Version {
 	m.t.Helper()
 	head, _, err := m.versions.ReadHead(context.Background(), true)
@@ -304,4 +305,4 @@
 	return head
 }
 
-func refuseAll(*snapshot.Snapshot) error { return ErrMalformed.New("this node takes nothing") }
+func refuseAll(*snapshot.Snapshot) error { return ErrMalformed.New("this node refuses all versions") }
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -34,7 +34,7 @@
 	if rejected == nil || rejected.Version != second || rejected.Node != "picky" {
 		t.Fatalf("rejection %+v", rejected)
 	}
-	m.eventually("every node hears of it", m.all(func(n *Node) bool {
+	m.eventually("every node observes the abort", m.all(func(n *Node) bool {
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
 		return n.head().Proposed == 0 && n.participant.State().Staged == nil
@@ -44,7 +44,7 @@
 	}
 }
 
-// relayWithChildren returns a node that is no root and has children.
+// relayWithChildren returns a node that is not a root and has at least two children.
 func (m *mesh) relayWithChildren() string {
 	found := ""
 	m.eventually("there is a relay with children", func() bool {
@@ -119,7 +119,7 @@
 	m.eventually("the others run the second version", m.all(runs(second)))
 	silent.node.mutex.Unlock()
 	m.nodes["silent"] = silent
-	m.eventually("the silent node catches up", m.all(runs(second)))
+	m.eventually("the unresponsive node catches up", m.all(runs(second)))
 }
 
 func TestCutOffNodeCatchesUp(t *testing.T) {
--- a/internal/control/feed.go
+++ b/internal/control/feed.go
@@ -7,11 +7,11 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// retainedVersions is how many versions a node keeps to make deltas from.
+// retainedVersions is how many versions a node keeps as bases of deltas.
 const retainedVersions = 4
 
 // feed holds the snapshots that a node has received, in the scope in which it
-// receives them. A relay's feed has everything, whatever its own worker needs.
+// receives them. A relay's feed covers every resource, whatever its own worker needs.
 type feed struct {
 	scope   snapshot.Scope
 	history *snapshot.History
@@ -21,8 +21,8 @@
 	return feed{scope: scope, history: snapshot.NewHistory(retainedVersions)}
 }
 
-// inScope returns the feed for another scope. A narrower scope keeps the named
-// versions; a wider one starts from nothing.
+// inScope returns the feed for another scope. A narrower scope keeps the given
+// versions; a wider one starts empty.
 func (f *feed) inScope(scope snapshot.Scope, shared *Shared, versions ...rollout.Version) feed {
 	next := newFeed(scope)
 	if !f.scope.All {
@@ -64,7 +64,7 @@
 	return versions
 }
 
-// describe names in a request what is held.
+// describe sets in a request the scope and the versions that are held.
 func (f *feed) describe(request *controlpb.WatchRequest, head rollout.Head) {
 	request.Scope = scopeMessage(f.scope)
 	base, held := f.holds(head.Committed)
@@ -81,13 +81,13 @@
 	}
 }
 
-// apply returns the snapshot that a delta leads to. The delta starts from a
-// version that is held or from one of earlier, which came with the same answer.
+// apply returns the snapshot that results from a delta. The base of the delta is
+// a version that is held or one of earlier, which came in the same answer.
 func (f *feed) apply(message *controlpb.Delta, earlier []*snapshot.Snapshot) (*snapshot.Snapshot, error) {
 	header := snapshot.Delta{Base: message.GetBase(), Target: message.GetTarget()}
 	target, wellFormed := digestOf(message.GetTargetDigest())
 	if !wellFormed {
-		return nil, ErrMalformed.New("a delta without the digest of its target")
+		return nil, ErrMalformed.New("delta without a valid target digest")
 	}
 	header.TargetDigest = target
 	base := snapshot.Empty()
@@ -115,8 +115,8 @@
 	return f.holds(version)
 }
 
-// baseDigest returns the digest that the delta names. Left out, it is that of
-// the version named.
+// baseDigest returns the base digest given in the delta, or, if it was omitted,
+// that of the base held here.
 func baseDigest(message *controlpb.Delta, base *snapshot.Snapshot) model.Digest {
 	if digest, given := digestOf(message.GetBaseDigest()); given {
 		return digest
--- a/internal/control/floor.go
+++ b/internal/control/floor.go
@@ -12,29 +12,30 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Times and bounds of learning the floor.
+// Timing and limits of learning the floor, the lowest version that a node may run.
 const (
 	floorBackoffBase    = 200 * time.Millisecond
 	floorBackoffCeiling = 10 * time.Second
 	// floorStoreTimeout bounds the read of the head that confirms a floor.
 	floorStoreTimeout = 1500 * time.Millisecond
-	// floorPeersAtATime is how many peers are asked at the same time.
+	// floorPeersAtATime is how many peers are queried at the same time.
 	floorPeersAtATime = 16
-	// floorPeersOfReader is how many nodes of its zone a restarted reader asks
-	// beside the store, and floorPatience how long it waits for them.
+	// floorPeersOfReader is how many nodes of its zone a restarted reader queries
+	// in addition to the store, and floorWaitLimit how long it waits for them.
 	floorPeersOfReader = 8
 	floorWaitLimit     = 600 * time.Millisecond
-	// floorSample is how many nodes of a zone of more than floorWholeZone others
-	// are asked first, of which floorSampleVouched have to vouch.
+	// In a zone of more than floorCompleteZone others, floorSample nodes are
+	// queried first. The rest are queried only if at least
+	// floorSampleAuthoritative of the answers are authoritative.
 	floorSample              = 8
 	floorCompleteZone        = 16
 	floorSampleAuthoritative = 2
-	// floorSpread bounds the random pause before peers are asked, which rises
-	// by floorSpreadPerPeer with their number.
+	// floorSpread bounds the random pause before peers are queried, whose limit
+	// rises by floorSpreadPerPeer for each of them.
 	floorSpread        = time.Second
 	floorSpreadPerPeer = 10 * time.Millisecond
 	// peersBackoffBase and peersBackoffCeiling bound the pause between two
-	// rounds of asking peers; the store is asked more often.
+	// rounds of querying peers; the store is queried more often.
 	peersBackoffBase    = 400 * time.Millisecond
 	peersBackoffCeiling = 20 * time.Second
 )
@@ -47,19 +48,19 @@
 	floorFromPeers = "peers"
 )
 
-// floorState says why the floor is not known yet.
+// floorState holds the reason why the floor is not known yet.
 type floorState struct {
 	reason string
 }
 
-// floorAnswer is a floor and where it comes from.
+// floorAnswer is a floor with the head that it comes from.
 type floorAnswer struct {
 	generation uint64
 	committed  rollout.Version
 	staged     rollout.Version
 }
 
-// runFloor learns from which version on this node may run.
+// runFloor learns the lowest version that this node may run.
 func (n *Node) runFloor(ctx context.Context) {
 	pauses := backoff{base: floorBackoffBase, ceiling: floorBackoffCeiling}
 	peers := peerRounds{pauses: backoff{base: peersBackoffBase, ceiling: peersBackoffCeiling}}
@@ -89,7 +90,8 @@
 	return n.upstream.attached || n.upstream.root
 }
 
-// peerRounds spaces the rounds of asking peers, and keeps the last outcome.
+// peerRounds spaces the rounds of querying peers, and keeps the error of the
+// last round.
 type peerRounds struct {
 	pauses backoff
 	dueAt  time.Time
@@ -139,8 +141,8 @@
 	n.observers.wake()
 }
 
-// confirmedFloor asks the store, by way of the parents if there are any. All
-// who ask at the same time share one question.
+// confirmedFloor reads the floor from the store, through the parents if there
+// are any. Concurrent callers share one query.
 func (n *Node) confirmedFloor(ctx context.Context) (floorAnswer, error) {
 	return n.floorCalls.do(ctx, n.askFloor)
 }
@@ -174,9 +176,9 @@
 	return found, nil
 }
 
-// committedElsewhere returns the highest version that this node knows to be
-// committed without the store, which may have lost it. A node that has no floor
-// yet knows little itself, and asks some others.
+// committedElsewhere returns the highest version known to be committed from
+// sources other than the store, which may have lost it. A node that has no floor
+// yet knows little itself and queries some others.
 func (n *Node) committedElsewhere() rollout.Version {
 	known := n.ownCommitted()
 	if n.floorKnown() {
@@ -202,7 +204,7 @@
 		return floorAnswer{}, err
 	}
 	if !answer.GetConfirmed() {
-		return floorAnswer{}, ErrFloorUnknown.New("the parent could not ask the store")
+		return floorAnswer{}, ErrFloorUnknown.New("the parent could not query the store")
 	}
 	return floorAnswer{
 		generation: answer.GetGeneration(),
@@ -211,9 +213,10 @@
 	}, nil
 }
 
-// floorOfPeers asks the other nodes of the zone and one of each other zone.
-// What they know must leave no doubt. In a large zone a sample is asked first:
-// where hardly any of it can vouch, a majority of the zone cannot.
+// floorOfPeers queries the other nodes of the zone and one node of each other
+// zone. Their answers must meet the quorum. In a large zone a sample is queried
+// first: where hardly any node of it is authoritative, a majority of the zone is
+// not.
 func (n *Node) floorOfPeers(ctx context.Context) (floorAnswer, error) {
 	peers := n.floorPeers()
 	sample, others := peers.split()
@@ -230,12 +233,13 @@
 	return floorAnswer{committed: decision.Floor}, nil
 }
 
-// pauseBeforeAsking waits a random time that rises with the number to be asked.
+// pauseBeforeAsking waits a random time whose limit rises with the number of
+// nodes to be queried.
 func (n *Node) pauseBeforeAsking(ctx context.Context, asked int) {
 	sleep(ctx, randomBelow(min(time.Duration(asked)*floorSpreadPerPeer, floorSpread)))
 }
 
-// countKnown counts the answers that tell something.
+// countKnown counts the authoritative answers.
 func countKnown(answers []rollout.FloorAnswer) int {
 	count := 0
 	for _, answer := range answers {
@@ -246,7 +250,8 @@
 	return count
 }
 
-// askFloors asks all peers, a few at a time, and takes what has come in time.
+// askFloors queries all peers, floorPeersAtATime at once, and returns their
+// answers. Those that did not arrive in time are empty.
 func (n *Node) askFloors(ctx context.Context, peers []topology.Peer, limit time.Duration) []rollout.FloorAnswer {
 	var group errgroup.Group
 	group.SetLimit(floorPeersAtATime)
@@ -263,8 +268,8 @@
 	return answers
 }
 
-// askPeerFloor returns an answer that counts for nothing when the peer cannot
-// be reached or does not know.
+// askPeerFloor queries one peer. The answer is empty when the peer cannot be
+// reached.
 func (n *Node) askPeerFloor(ctx context.Context, peer topology.Peer) rollout.FloorAnswer {
 	home := zoneOfRecord(&n.config.Self)
 	answer, err := n.callFloor(ctx, peer, &controlpb.FloorRequest{
@@ -287,14 +292,14 @@
 	}
 }
 
-// callFloor refuses an answer of another node than the one that was asked.
+// callFloor queries one node and rejects the answer of any other.
 func (n *Node) callFloor(ctx context.Context, peer topology.Peer, request *controlpb.FloorRequest) (*controlpb.FloorResponse, error) {
 	answer, err := n.clients.floor(ctx, peer, request)
 	if err != nil {
 		return nil, err
 	}
 	if answer.GetNode() != peer.ID {
-		return nil, ErrMalformed.New("%s was asked, and %q has answered", peer.ID, answer.GetNode())
+		return nil, ErrMalformed.New("floor request to %s was answered by %q", peer.ID, answer.GetNode())
 	}
 	return answer, nil
 }
--- a/internal/control/floor_server.go
+++ b/internal/control/floor_server.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// Floor tells the lowest version that a restarted node may run.
+// Floor answers with the lowest version that a restarted node may run.
 func (r rpc) Floor(ctx context.Context, request *controlpb.FloorRequest) (*controlpb.FloorResponse, error) {
 	if request.GetLocal() {
 		asking := zoneKey{region: request.GetRegion(), zone: request.GetZone()}
@@ -30,9 +30,10 @@
 	}, nil
 }
 
-// localFloor tells what this node itself knows, of itself and of all that have
-// ever reported to it, and whom it knows beside the asking node. It is worked
-// out anew for each request, without calls to others.
+// localFloor answers with what this node knows from its own state and from all
+// nodes that have ever reported to it, and with how many zones and zone members
+// it knows besides those of the requesting node. It is computed for each
+// request, without calls to other nodes.
 func (n *Node) localFloor(node string, zone zoneKey) *controlpb.FloorResponse {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -64,9 +65,10 @@
 	return highest
 }
 
-// highestProposed returns the highest version that one of them holds or knows
-// to be proposed, and that may have been committed as far as this node knows. A
-// number that the head has gone past without committing it was given up.
+// highestProposed returns the highest version that this node, or any node that
+// has reported to it, holds or knows to be proposed, and that may have been
+// committed as far as this node knows. A version that the head has passed without
+// committing it was abandoned.
 func (n *Node) highestProposed(state rollout.ParticipantState) rollout.Version {
 	highest := state.Head.Proposed
 	if state.Staged != nil {
@@ -78,8 +80,9 @@
 	return highest
 }
 
-// authoritative reports whether this node may speak for the system: a version could
-// have been committed without it while it was cut off with the smaller part.
+// authoritative reports whether this node may answer for the whole system. It may
+// not while its tree is unsettled or most nodes are lost: a version could have
+// been committed without it while it was cut off with the smaller part.
 func (n *Node) authoritative(at time.Time) bool {
 	view := n.table.View()
 	settled := at.Sub(n.upstream.treeRootSince) >= n.config.TreeSettle
--- a/internal/control/floor_test.go
+++ b/internal/control/floor_test.go
@@ -15,14 +15,14 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// partition lets nodes reach only those of their own side.
+// partition lets nodes connect only to nodes of their own side.
 type partition struct {
 	mesh  *mesh
 	mutex sync.Mutex
 	sides map[string]int
 }
 
-// configure returns the configuration of a node that the partition holds.
+// configure returns a configuration change that puts a node under the partition.
 func (p *partition) configure(id string, change ...func(*Config)) func(*Config) {
 	return func(config *Config) {
 		dial := config.Dial
@@ -80,9 +80,10 @@
 
 func withoutStore(config *Config) { config.Store = nil }
 
-// TestRestartAmongSilentNodes restarts a node that ran a version which its zone
-// and the largest other one did not hear of, while those who know are out of
-// reach. The silent ones are more than half of the nodes, but not of the zones.
+// TestRestartAmongSilentNodes restarts a node that ran a version unknown to its
+// zone and to the largest other one, while the nodes that know the version are
+// unreachable. The uninformed nodes are more than half of the nodes, but not of
+// the zones.
 func TestRestartAmongSilentNodes(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -103,12 +104,12 @@
 	m.eventually("every node runs the first version", m.all(runs(first)))
 
 	sides.split(1, silent...)
-	m.eventually("the silent ones are lost", m.each(informed, knows(5)))
+	m.eventually("the uninformed nodes are lost", m.each(informed, knows(5)))
 	second := m.propose("second")
 	m.eventually("the others run the second version", m.each(informed, runs(second)))
 	m.down.Store(true)
 	m.kill("b0")
-	m.eventually("the silent ones vouch for what they know", m.each(silent, authoritative))
+	m.eventually("the uninformed nodes are authoritative", m.each(silent, authoritative))
 
 	m.start("b0", "b", "ledger", sides.configure("b0", quick, withoutStore, func(config *Config) {
 		sides.put(1, config.Self.ControlAddress)
@@ -130,7 +131,7 @@
 func authoritative(node *Node) bool { return node.localFloor("", zoneKey{}).GetKnown() }
 
 // TestRestartedReaderOfRestoredStore restarts the only reader of a store that
-// was put back to an earlier state, while others know a later version.
+// was restored to an earlier state, while other nodes know a later version.
 func TestRestartedReaderOfRestoredStore(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -165,7 +166,7 @@
 }
 
 // TestFloorAnswerCoversThoseBelow checks that a node answers with the highest
-// versions ever reported to it, and not with one that was given up.
+// versions ever reported to it, and not with an abandoned one.
 func TestFloorAnswerCoversThoseBelow(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -191,8 +192,8 @@
 	return func() bool { return runs(version)(node) }
 }
 
-// TestFloorCountsLostMembersAndZones checks what a node tells about those who
-// must be asked, also after the records of lost nodes are dropped.
+// TestFloorCountsLostMembersAndZones checks the numbers of members and zones that
+// a node reports for the quorum, also after the records of lost nodes are dropped.
 func TestFloorCountsLostMembersAndZones(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -219,8 +220,8 @@
 	}
 }
 
-// TestFloorAnswerOfAnotherNodeDoesNotCount asks a node at the address of one
-// that is gone.
+// TestFloorAnswerOfAnotherNodeDoesNotCount queries the address of a node that is
+// gone and whose address another node now uses.
 func TestFloorAnswerOfAnotherNodeDoesNotCount(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -237,7 +238,8 @@
 	}
 }
 
-// TestFloorSampleOfLargeZone checks that a sample and the others make up all.
+// TestFloorSampleOfLargeZone checks that the sample and the remaining nodes
+// together are all nodes to be queried.
 func TestFloorSampleOfLargeZone(t *testing.T) {
 	t.Parallel()
 	peers := floorPeers{relays: make([]topology.Peer, 21)}
--- a/internal/control/floor_zones.go
+++ b/internal/control/floor_zones.go
@@ -25,8 +25,8 @@
 	return zoneKey{region: peer.Region, zone: peer.Zone}
 }
 
-// rememberZones keeps the zones of all records, before some are dropped: a zone
-// that was not heard of for long is still counted among those that must answer.
+// rememberZones keeps the zones of all records before some are dropped: a zone
+// not heard of for a long time still counts among those that must answer.
 func (t *tableState) rememberZones() {
 	for record := range t.View().All() {
 		t.pastZones[zoneOfRecord(record)] = struct{}{}
@@ -44,17 +44,17 @@
 	r.proposed = max(r.proposed, readiness.Proposed)
 }
 
-// floorPeers are the nodes that a restarted node asks.
+// floorPeers are the nodes that a restarted node queries for the floor.
 type floorPeers struct {
-	// own are the other nodes of the zone, those taken to be live first.
+	// own are the other nodes of the zone, those believed live first.
 	own []topology.Peer
 	// relays is one node of each other zone.
 	relays []topology.Peer
 	quorum rollout.FloorQuorum
 }
 
-// split returns whom to ask first, and whom then. In a small zone all are asked
-// at once.
+// split returns the nodes to query first, and the nodes to query after them. In
+// a small zone all are queried at once.
 func (p floorPeers) split() (sample, others []topology.Peer) {
 	if len(p.own) <= floorCompleteZone {
 		return append(slices.Clone(p.relays), p.own...), nil
@@ -67,8 +67,8 @@
 	return append(slices.Clone(p.relays), p.own[:min(len(p.own), floorPeersOfReader)]...)
 }
 
-// floorPeers lists whom to ask for the floor, lost nodes included: they may be
-// lost for others only.
+// floorPeers lists the nodes to query for the floor, including lost nodes, which
+// may be unreachable from other nodes only.
 func (n *Node) floorPeers() floorPeers {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -98,7 +98,8 @@
 	return found
 }
 
-// hintsInZone lists the nodes of a zone that only the platform's list names.
+// hintsInZone lists the nodes of a zone that are known only from the platform's
+// machine list.
 func (n *Node) hintsInZone(zone zoneKey) []topology.Peer {
 	var peers []topology.Peer
 	for id, hint := range n.plan.hints {
@@ -109,7 +110,7 @@
 	return peers
 }
 
-// countOtherZones counts the zones, but one, in which there are members, or were.
+// countOtherZones counts the zones other than home that have or had members.
 func (n *Node) countOtherZones(home zoneKey) int {
 	zones := make(map[zoneKey]struct{}, len(n.table.pastZones)+1)
 	for zone := range n.table.pastZones {
@@ -122,7 +123,8 @@
 	return len(zones)
 }
 
-// countOtherMembers counts the members of a zone but one, lost ones included.
+// countOtherMembers counts the members of a zone other than node, including
+// lost ones.
 func (n *Node) countOtherMembers(zone zoneKey, node string) int {
 	count := 0
 	for record := range n.table.View().All() {
@@ -133,8 +135,8 @@
 	return count
 }
 
-// relayChoice is the node of a zone that answers for the zone: its relay, which
-// is the first of its live members, or the first of all if none is live.
+// relayChoice is the node that answers for a zone: its relay, which is the first
+// of its live members, or the first of all members if none is live.
 type relayChoice struct {
 	peer topology.Peer
 	live bool
--- a/internal/control/jitter.go
+++ b/internal/control/jitter.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// backoff gives growing pauses with full jitter. It is not safe for concurrent use.
+// backoff returns exponentially growing pauses with full jitter. It is not safe
+// for concurrent use.
 type backoff struct {
 	base     time.Duration
 	ceiling  time.Duration
@@ -36,7 +37,7 @@
 	return rand.N(limit)
 }
 
-// sleep waits; it reports false when the context ended first.
+// sleep waits for the pause. It reports false when the context ended first.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/control/limits.go
+++ b/internal/control/limits.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/membership"
 )
 
-// Bounds of what a peer may send and how long it may take.
+// Limits of the size of a peer's messages and of the time that they may take.
 const (
 	maximumRequestBytes   = 4 << 20
 	maximumAnswerBytes    = 24 << 20
@@ -27,8 +27,8 @@
 	shutdownTimeout       = 250 * time.Millisecond
 )
 
-// Keepalive of the connections between nodes. The accepting side probes later
-// than the dialing one, so that in a healthy connection only one side probes.
+// TCP keepalive of the connections between nodes. The accepting side probes later
+// than the dialing side, so that only one side probes a healthy connection.
 const (
 	keepAliveInterval    = time.Second
 	dialKeepAliveIdle    = time.Second
@@ -39,13 +39,13 @@
 
 func checkMember(member *controlpb.Member) error {
 	if member.GetId() == "" || member.GetZone() == "" || member.GetRegion() == "" {
-		return ErrMalformed.New("a member without identifier, zone or region")
+		return ErrMalformed.New("member without identifier, zone or region")
 	}
 	if !isAddress(member.GetControlAddress()) {
-		return ErrMalformed.New("a member without a control address")
+		return ErrMalformed.New("member whose control address is not an IP address and a port")
 	}
 	if member.GetState() > uint32(membership.StateLost) {
-		return ErrMalformed.New("a member in an unknown state")
+		return ErrMalformed.New("member in an unknown state")
 	}
 	texts := [...]string{
 		member.GetId(), member.GetRegion(), member.GetZone(), member.GetService(),
@@ -53,7 +53,7 @@
 	}
 	for _, text := range texts {
 		if len(text) > maximumNameBytes {
-			return ErrMalformed.New("a member with a name of %d bytes", len(text))
+			return ErrMalformed.New("member with a field of %d bytes, above the limit", len(text))
 		}
 	}
 	return nil
@@ -70,7 +70,7 @@
 		return nil
 	}
 	if len(request.GetScope().GetService()) > maximumNameBytes {
-		return ErrMalformed.New("a scope with a name of %d bytes", len(request.GetScope().GetService()))
+		return ErrMalformed.New("scope with a service name of %d bytes, above the limit", len(request.GetScope().GetService()))
 	}
 	if request.GetSelf() == nil {
 		return nil
@@ -80,10 +80,10 @@
 
 func checkReport(request *controlpb.ReportRequest) error {
 	if request.GetNode() == "" || len(request.GetNode()) > maximumNameBytes {
-		return ErrMalformed.New("a report without the name of its node")
+		return ErrMalformed.New("report whose node name is empty or above the length limit")
 	}
 	if len(request.GetMembers()) > maximumMembers || len(request.GetDetached()) > maximumMembers {
-		return ErrMalformed.New("a report with %d members", len(request.GetMembers()))
+		return ErrMalformed.New("report with %d members, in which the members or the detached nodes are above the limit", len(request.GetMembers()))
 	}
 	return nil
 }
@@ -91,11 +91,11 @@
 func checkAnswer(answer *controlpb.WatchResponse) error {
 	switch {
 	case len(answer.GetDeltas()) > maximumDeltas:
-		return ErrMalformed.New("an answer with %d deltas", len(answer.GetDeltas()))
+		return ErrMalformed.New("answer with %d deltas, above the limit", len(answer.GetDeltas()))
 	case len(answer.GetPath()) > maximumPath:
-		return ErrMalformed.New("an answer with a path of %d nodes", len(answer.GetPath()))
+		return ErrMalformed.New("answer with a path of %d nodes, above the limit", len(answer.GetPath()))
 	case len(answer.GetDirectory().GetMembers()) > maximumMembers:
-		return ErrMalformed.New("an answer with %d members", len(answer.GetDirectory().GetMembers()))
+		return ErrMalformed.New("answer with %d members, above the limit", len(answer.GetDirectory().GetMembers()))
 	}
 	return nil
 }
--- a/internal/control/loop.go
+++ b/internal/control/loop.go
@@ -8,16 +8,17 @@
 	"github.com/joomcode/errorx"
 )
 
-// idleStep is how often the loop looks at the state when nothing happens.
+// idleStep is the longest pause between two steps of the loop.
 const idleStep = 10 * time.Second
 
-// minimumStep keeps the loop from spinning on a deadline that has just passed.
+// minimumStep is the shortest pause between two steps. It keeps the loop from
+// spinning on a deadline that has just passed.
 const minimumStep = time.Millisecond
 
 // Serve runs the node until the context ends. It may be called once.
 func (n *Node) Serve(ctx context.Context) error {
 	if !n.started.CompareAndSwap(false, true) {
-		return ErrConfig.New("a node can be served once only")
+		return ErrConfig.New("the node was served before: Serve may be called only once")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -47,7 +48,7 @@
 	return err
 }
 
-// runLoop does what is due, and otherwise waits.
+// runLoop performs a step at each deadline and whenever the node is kicked.
 func (n *Node) runLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -71,7 +72,7 @@
 	return min(max(next.Sub(at), minimumStep), idleStep)
 }
 
-// step does everything that is due and returns when something is due next.
+// step performs everything that is due and returns the time of the next step.
 func (n *Node) step(ctx context.Context, at time.Time) time.Time {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -96,7 +97,7 @@
 	return next
 }
 
-// switchParent ends the poll under way when it is time to move to a better parent.
+// switchParent ends the current poll when it is time to move to a better parent.
 func (n *Node) switchParent(at time.Time) time.Time {
 	if n.plan.switchAt.IsZero() || at.Before(n.plan.switchAt) {
 		return n.plan.switchAt
@@ -105,8 +106,8 @@
 	return time.Time{}
 }
 
-// spawn runs a short call beside the loop. The lock is held by the caller; a
-// node that has stopped starts nothing more.
+// spawn runs a short call in the background. The caller holds the lock. After
+// the node has stopped, spawn does nothing.
 func (n *Node) spawn(call func()) {
 	if n.stopped {
 		return
@@ -120,7 +121,7 @@
 	n.stopped = true
 }
 
-// errorText returns the text of an error without its type.
+// errorText returns the message of an error without its type.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/control/members_server.go
+++ b/internal/control/members_server.go
@@ -27,7 +27,7 @@
 	return &controlpb.MembersResponse{Members: plain, Packed: packed, Node: r.node.ID()}, nil
 }
 
-// mergeOtherRoot takes in a root of another tree.
+// mergeOtherRoot merges the record of the root of another tree.
 func (n *Node) mergeOtherRoot(record membership.Record) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -35,8 +35,8 @@
 	n.mergeOutside(now(), record)
 }
 
-// membersFor lists the members of the asker's zone, the first ones of every
-// other zone, the readers and this node itself.
+// membersFor lists the members of the requester's zone, the first members of
+// every other zone, the readers and this node itself.
 func (n *Node) membersFor(request *controlpb.MembersRequest) []membership.Record {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -52,8 +52,8 @@
 	return n.withLostAsker(records, request.GetSelf().GetId())
 }
 
-// withLostAsker adds the asker's own record when the asker is taken to be lost,
-// so that it refutes that.
+// withLostAsker adds the requester's own record when this node holds it as lost,
+// so that the requester can refute that.
 func (n *Node) withLostAsker(records []membership.Record, asker string) []membership.Record {
 	if held, found := n.table.Get(asker); found && held.State == membership.StateLost {
 		records = append(records, held)
--- a/internal/control/next_flight.go
+++ b/internal/control/next_flight.go
@@ -5,15 +5,16 @@
 	"sync"
 )
 
-// nextFlight lets all who ask while a call is under way share the next call,
-// so that the answer each gets was asked for after its own request began.
+// nextFlight lets all callers that arrive while a call is in progress share the
+// next call, so that each gets the result of a call that began after its own
+// request.
 type nextFlight[Value any] struct {
 	mutex   sync.Mutex
 	running bool
 	waiting *sharedCall[Value]
 }
 
-// sharedCall is one call with the answer that all its askers get.
+// sharedCall is one call whose result all its callers get.
 type sharedCall[Value any] struct {
 	call  func() (Value, error)
 	done  chan struct{}
@@ -21,8 +22,8 @@
 	err   error
 }
 
-// do returns the answer of a call that begins after do does. The call itself
-// is not bound to the context of any one asker.
+// do returns the result of a call that begins after do does. The call itself
+// is not bound to the context of any one caller.
 func (f *nextFlight[Value]) do(ctx context.Context, call func() (Value, error)) (Value, error) {
 	joined := f.join(call)
 	select {
@@ -48,7 +49,7 @@
 	return joined
 }
 
-// run makes calls until nobody waits for another one.
+// run makes calls until no caller waits for another one.
 func (f *nextFlight[Value]) run() {
 	for {
 		f.mutex.Lock()
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -16,7 +16,7 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// Node is one engine. Its methods may be called from several goroutines.
+// Node is one engine. Its methods are safe for concurrent use.
 type Node struct {
 	config  Config
 	events  Events
@@ -61,16 +61,18 @@
 	outsideTree outsideTree
 	discovery   backoff
 	alarms      []string
-	// bootstrapped tells that other nodes were looked for before the first plan.
+	// bootstrapped is set once the search for other nodes that precedes the first
+	// plan has ended.
 	bootstrapped bool
 	catchingUp   bool
 	stopped      bool
-	// inForceEverywhere is since when every live node runs inForceVersion.
+	// inForceEverywhere is the time since which every live node runs inForceVersion.
 	inForceEverywhere time.Time
 	inForceVersion    rollout.Version
 }
 
-// New returns a node that does nothing until Serve. It fails with ErrConfig.
+// New returns a node that does nothing until Serve. It returns ErrConfig if the
+// configuration is invalid.
 func New(config Config) (*Node, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -106,8 +108,8 @@
 // ID returns the node's identifier.
 func (n *Node) ID() string { return n.config.Self.ID }
 
-// Current returns the snapshot in force, and nil when there is none yet. Its
-// version never falls during the life of the process.
+// Current returns the snapshot in force, or nil when there is none yet. Its
+// version never decreases while the process runs.
 func (n *Node) Current() *snapshot.Snapshot { return n.current.Load() }
 
 // Directory returns the members that the node knows.
@@ -117,7 +119,7 @@
 // Directory or Readiness. Call it before reading them, and again after each change.
 func (n *Node) Subscribe() <-chan struct{} { return n.observers.wait() }
 
-// Readiness tells whether the node may take calls, and if not, why.
+// Readiness reports whether the node may accept calls, and if not, why.
 func (n *Node) Readiness() (ready bool, reason string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -128,8 +130,8 @@
 	return state.Ready, state.Reason
 }
 
-// SetLeaving tells all others that the node finishes what it has and takes
-// nothing new. It cannot be taken back.
+// SetLeaving announces to all other nodes that this one finishes its calls and
+// accepts no new ones. It cannot be reversed.
 func (n *Node) SetLeaving() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -141,12 +143,12 @@
 	n.kick()
 }
 
-// Role returns the part that the node has now.
+// Role returns the node's current role.
 func (n *Node) Role() Role { return n.traffic.Role() }
 
 // Counters are running totals of a node.
 type Counters struct {
-	// ByRole holds the control bytes moved in each Role.
+	// ByRole holds the control bytes transferred in each Role.
 	ByRole [roleCount]TrafficCount
 	// StoreRequests counts the calls made to the store.
 	StoreRequests uint64
@@ -164,8 +166,8 @@
 	return counters
 }
 
-// Status returns the state of the whole system as the coordinator sees it, or,
-// when none can be reached, as this node does.
+// Status returns the state of the whole system as the coordinator sees it, or as
+// this node sees it when no coordinator can be reached.
 func (n *Node) Status(ctx context.Context) *controlpb.StatusResponse {
 	return n.status(ctx, maximumStatusHops)
 }
@@ -196,7 +198,7 @@
 	}
 }
 
-// kick makes the loop look at the state soon.
+// kick makes the loop perform a step soon.
 func (n *Node) kick() {
 	select {
 	case n.loop <- struct{}{}:
@@ -204,5 +206,5 @@
 	}
 }
 
-// now is the clock of the engine.
+// now returns the time of the engine's clock.
 func now() time.Time { return time.Now() }
--- a/internal/control/outside_tree.go
+++ b/internal/control/outside_tree.go
@@ -7,21 +7,21 @@
 )
 
 // outsideTreeBound is how long a live member may stay outside the tree of the
-// root before the root calls it lost. A member that did not answer the root
-// itself has only the bound of a child.
+// root before the root marks it as lost. For a member that did not answer the
+// root itself, Config.LossBound applies, as for a child.
 const outsideTreeBound = 8 * time.Second
 
-// outsideTreeCheckPeriod is how often a root looks for such members.
+// outsideTreeCheckPeriod is how often a root checks for such members.
 const outsideTreeCheckPeriod = time.Second
 
-// outsideTree are the members that a root knows and that are not below it, with
-// the time at which each is called lost.
+// outsideTree holds the members that a root knows and that are not below it, with
+// the time at which each is marked as lost.
 type outsideTree struct {
 	deadlines   map[string]time.Time
 	nextCheckAt time.Time
 }
 
-// expect sets the time by which nodes have to turn up again.
+// expect sets the deadline by which nodes must reappear below the root.
 func (s *outsideTree) expect(ids []string, deadline time.Time) {
 	if s.deadlines == nil {
 		s.deadlines = make(map[string]time.Time)
@@ -31,8 +31,8 @@
 	}
 }
 
-// expireOutsideTree marks members as lost that are in nobody's tree: every tree
-// has a root, and below the only root is everybody who is alive.
+// expireOutsideTree marks members as lost that stay outside the root's tree past
+// their deadline: with a single root, every live node is below it.
 func (n *Node) expireOutsideTree(at time.Time) time.Time {
 	state := &n.outsideTree
 	if !n.upstream.root {
@@ -61,8 +61,8 @@
 	return state.nextCheckAt
 }
 
-// expireOutsideMember marks a member as lost whose time is over. One that did not
-// answer this node has less time.
+// expireOutsideMember marks a member as lost if its deadline has passed. The
+// deadline is earlier for a member that did not answer this node.
 func (n *Node) expireOutsideMember(id string, deadline, at time.Time) {
 	if n.plan.suspected(id, at) {
 		deadline = deadline.Add(n.config.LossBound - outsideTreeBound)
--- a/internal/control/pack.go
+++ b/internal/control/pack.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/membership"
 )
 
-// packThreshold is the number of members from which on a list is compressed.
+// packThreshold is the number of members at which a list is compressed.
 const packThreshold = 4
 
 var (
@@ -38,14 +38,14 @@
 	}
 	encoded, err := memberDecompressor.DecodeAll(packed, nil)
 	if err != nil {
-		return nil, ErrMalformed.New("a list of members cannot be decompressed")
+		return nil, ErrMalformed.New("list of members cannot be decompressed")
 	}
 	var list controlpb.MemberList
 	if err := proto.Unmarshal(encoded, &list); err != nil {
-		return nil, ErrMalformed.New("a list of members cannot be read")
+		return nil, ErrMalformed.New("list of members cannot be decoded")
 	}
 	if len(list.GetMembers()) > maximumMembers {
-		return nil, ErrMalformed.New("a list of %d members", len(list.GetMembers()))
+		return nil, ErrMalformed.New("list of %d members, above the limit", len(list.GetMembers()))
 	}
 	return memberRecords(list.GetMembers()), nil
 }
--- a/internal/control/peer_test.go
+++ b/internal/control/peer_test.go
@@ -49,7 +49,7 @@
 	} {
 		request := &controlpb.WatchRequest{Self: member}
 		if _, err := (rpc{node}).Watch(context.Background(), request); err == nil {
-			t.Fatalf("a member with %s was taken in", name)
+			t.Fatalf("a member with %s was accepted", name)
 		}
 	}
 	if node.Directory().Len() != 1 {
@@ -66,7 +66,7 @@
 	return len(buffer), nil
 }
 
-// A peer that sends its header a byte at a time must not keep a connection.
+// A peer that does not finish its request header must not keep a connection open.
 func TestSlowPeerIsCutOff(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -85,7 +85,7 @@
 	}
 }
 
-// attachedChild makes a node the parent of a child that exists only here.
+// attachedChild attaches a child that exists only as a record to a node.
 func attachedChild(t *testing.T, node *Node) membership.Record {
 	t.Helper()
 	record := membership.Record{ID: "child", Incarnation: 5, Attachment: 2, Region: "nl", Zone: "a", ControlAddress: "127.0.0.1:1"}
@@ -128,7 +128,7 @@
 	former := record
 	former.Attachment--
 	if send(reportOf(former, 9, 3)) || ready() != 7 {
-		t.Fatal("a report of a former attachment was taken in")
+		t.Fatal("a report of a previous attachment was accepted")
 	}
 }
 
@@ -164,7 +164,8 @@
 	}
 }
 
-// The address of a node that is gone may be taken over by another mesh.
+// The address of a node that is gone may be reused by a node of another mesh,
+// whose messages must be rejected.
 func TestOtherMeshIsNotListenedTo(t *testing.T) {
 	t.Parallel()
 	other := newMesh(t).start("other", "a", "ledger")
@@ -172,7 +173,7 @@
 	node := m.start("a0", "a", "ledger", func(c *Config) {
 		c.Seeds = []string{other.config.Self.ControlAddress}
 	})
-	m.eventually("the node goes on by itself", func() bool { return node.Tree().Root })
+	m.eventually("the node becomes a root", func() bool { return node.Tree().Root })
 	version := m.propose("first")
 	m.eventually("the node runs its own version", m.all(runs(version)))
 	if node.Directory().Len() != 1 || other.Directory().Len() != 1 {
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -9,47 +9,49 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Times of planning.
+// Timing of planning.
 const (
-	// planPause is how long changes gather before the plan is made again.
+	// planPause is how long changes are collected before the plan is made again.
 	planPause = 150 * time.Millisecond
-	// switchPause spreads nodes that move to a better parent.
+	// switchPause spreads over time the moves of nodes to a better parent.
 	switchPause = time.Second
-	// standInPause is how long no node may read the store before zone relays
-	// that are no candidates try to.
+	// standInPause is how long no other node must have read the store before zone
+	// relays that are not candidates try to.
 	standInPause = 8 * time.Second
-	// maximumSuspectDoublings bounds how much longer a peer stays out of the
-	// plan that failed again and again.
+	// maximumSuspectDoublings bounds how much longer a peer that failed repeatedly
+	// stays out of the plan.
 	maximumSuspectDoublings = 4
-	// scopeRetention is how long a former relay keeps the whole configuration.
+	// scopeRetention is how long a former relay keeps the full configuration.
 	scopeRetention = 30 * time.Second
-	// suspectMemory is how long failures of a peer count together.
+	// suspectMemory is how long after its last suspicion a peer's failures are
+	// still counted.
 	suspectMemory = 2 * time.Minute
 )
 
-// suspicion keeps a peer out of this node's plan, and of no other node's.
+// suspicion keeps a peer out of this node's plan. It does not affect the plans
+// of other nodes.
 type suspicion struct {
 	until    time.Time
 	failures int
 }
 
-// plan is the node's place in the tree and what it was worked out from.
+// plan is the node's place in the tree and the state that it is computed from.
 type plan struct {
 	assignment topology.Assignment
 	made       bool
 	madeAt     time.Time
 	// dueAt is when the plan is to be made again; zero when nothing changed.
 	dueAt time.Time
-	// switchAt is when the node moves to its preferred parent; zero when it is there.
+	// switchAt is when the node moves to its preferred parent; zero when it has it.
 	switchAt time.Time
 	suspects map[string]suspicion
-	// hints are peers that the platform's list named and no node has confirmed.
+	// hints are peers from the platform's machine list that no node has confirmed.
 	hints map[string]topology.Peer
-	// fullScopeUntil is when a node that is no longer a relay narrows its scope.
+	// fullScopeUntil is when a node that is no longer a relay narrows its feed's scope.
 	fullScopeUntil time.Time
 
-	// unreadSince is since when no other node is known to read the store; zero
-	// when one is.
+	// unreadSince is the time since which no other node is known to read the
+	// store; zero when one is.
 	unreadSince time.Time
 
 	leaders     map[string]struct{}
@@ -64,12 +66,12 @@
 	}
 }
 
-// invalidate asks for a new plan after a pause.
+// invalidate schedules a new plan after a pause.
 func (p *plan) invalidate(at time.Time) {
 	p.dueAt = sooner(p.dueAt, at.Add(planPause))
 }
 
-// suspect keeps a peer out of the plan for a while, longer each time.
+// suspect keeps a peer out of the plan for a period that doubles with each failure.
 func (p *plan) suspect(id string, at time.Time, bound time.Duration) {
 	held := p.suspects[id]
 	if at.Sub(held.until) > suspectMemory {
@@ -82,7 +84,7 @@
 	p.dueAt = at
 }
 
-// trust takes back a suspicion after the peer has answered.
+// trust removes the suspicion of a peer that has answered.
 func (p *plan) trust(id string) {
 	if _, found := p.suspects[id]; !found {
 		return
@@ -91,14 +93,14 @@
 	p.invalidate(now())
 }
 
-// suspected reports whether a peer is out of the plan now.
+// suspected reports whether a peer is currently kept out of the plan.
 func (p *plan) suspected(id string, at time.Time) bool {
 	held, found := p.suspects[id]
 	return found && at.Before(held.until)
 }
 
-// expireSuspicions returns when the next suspicion ends, and asks for a new plan when
-// one has ended.
+// expireSuspicions returns when the next suspicion ends, and schedules a new plan
+// when one has ended.
 func (p *plan) expireSuspicions(at time.Time) (next time.Time) {
 	for id, held := range p.suspects {
 		if at.Before(held.until) {
@@ -169,9 +171,9 @@
 	n.reader.setWanted(n.plan.assignment.ReaderCandidate || n.standsIn(at))
 }
 
-// standsIn reports whether this zone relay, though it is no candidate, is to
-// try for a reader's lease: no other node has read the store for a while, so
-// that perhaps none of the candidates can reach it.
+// standsIn reports whether this zone relay, although it is no candidate, should
+// try to get a reader's lease: no other node has read the store for
+// standInPause, so perhaps none of the candidates can reach it.
 func (n *Node) standsIn(at time.Time) bool {
 	eligible := n.versions != nil && n.plan.assignment.Rank == 0 && n.self.State == membership.StateLive
 	if !eligible || n.otherReader() {
@@ -198,8 +200,8 @@
 	return false
 }
 
-// planAsLeaving gives up every part but that of a leaf. Others no longer plan
-// with this node, so any other member of its zone may be its parent.
+// planAsLeaving gives up every role but that of a leaf. Other nodes no longer
+// include this node in their plans, so any peer may be its parent.
 func (n *Node) planAsLeaving(at time.Time) {
 	assignment := &n.plan.assignment
 	assignment.ReaderCandidate = false
@@ -213,8 +215,8 @@
 	}
 }
 
-// updateScope widens the scope of a relay at once, and narrows that of a
-// former relay after a while.
+// updateScope widens the feed's scope of a relay at once, and narrows that of a
+// former relay after scopeRetention.
 func (n *Node) updateScope(at time.Time) {
 	if n.needsFullScope() {
 		n.plan.fullScopeUntil = at.Add(scopeRetention)
@@ -231,13 +233,13 @@
 	n.upstream.interrupt()
 }
 
-// needsFullScope reports whether others may pull from this node.
+// needsFullScope reports whether other nodes may poll this one.
 func (n *Node) needsFullScope() bool {
 	assignment := n.plan.assignment
 	return assignment.FullScope || assignment.ReaderCandidate || n.self.Reader || len(n.children.byID) > 0
 }
 
-// ownScope is what the node's own worker needs.
+// ownScope returns the scope that the node's own worker needs.
 func (n *Node) ownScope() snapshot.Scope {
 	if n.config.Gateway {
 		return snapshot.Scope{All: true}
@@ -245,7 +247,7 @@
 	return snapshot.Scope{Service: n.config.Self.Service}
 }
 
-// scheduleSwitch decides when the node moves to the parent that it prefers.
+// scheduleSwitch decides when the node moves to its preferred parent.
 func (n *Node) scheduleSwitch(at time.Time) {
 	parents := n.plan.assignment.Parents
 	current := n.upstream.parent.ID
@@ -275,7 +277,7 @@
 	return false
 }
 
-// chooseParent returns the parent to pull from now, if there is any.
+// chooseParent returns the parent to poll now, if there is one.
 func (n *Node) chooseParent(at time.Time) (topology.Peer, bool) {
 	n.replan(at)
 	parents := n.plan.assignment.Parents
@@ -294,7 +296,7 @@
 	return parents[0], true
 }
 
-// updateRole tells what part the node has now.
+// updateRole determines the node's role and reports a change.
 func (n *Node) updateRole() {
 	role := RoleLeaf
 	switch {
--- a/internal/control/reader.go
+++ b/internal/control/reader.go
@@ -13,13 +13,14 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// Times of reading the store.
+// Timing of reading the store.
 const (
-	// headWait is how long one blocking read of the head lasts. It bounds how long a restored
-	// store goes unnoticed by a read that began just after it, from an index that the store
-	// lacks: with headGrace, 13 s, where it was over 30 s.
+	// headWait is how long one blocking read of the head lasts. It also bounds how long the
+	// restore of the store goes unnoticed by a read that began just after it and waits for an
+	// index that the restored store lacks: 13 s together with headGrace, where a longer wait
+	// took over 30 s.
 	headWait = 8 * time.Second
-	// headGrace is how much longer its answer may take.
+	// headGrace is how much longer than headWait the answer may take.
 	headGrace = 5 * time.Second
 	// parentWaitLimit is how long a reader waits for its parent to send a
 	// version before it loads the version from the store itself.
@@ -27,7 +28,7 @@
 	// loadTimeout bounds loading one version.
 	loadTimeout = 15 * time.Second
 	// candidateSettle is how long a node waits before its first attempt at a
-	// lease: while many nodes start, candidates change quickly.
+	// lease, because candidates change quickly while many nodes start.
 	candidateSettle     = 300 * time.Millisecond
 	storeBackoffBase    = 200 * time.Millisecond
 	storeBackoffCeiling = 3 * time.Second
@@ -36,17 +37,17 @@
 	leaseTimeout        = 3 * time.Second
 )
 
-// noSlot stands for a reader without a lease.
+// noSlot is the slot of a reader without a lease.
 const noSlot = -1
 
-// readerState tells whether the node is to read the store.
+// readerState holds whether the node is to read the store, and the slot of its lease.
 type readerState struct {
 	wanted  bool
 	slot    int
 	changed broadcast
 }
 
-// setWanted says whether the node is to try for a lease.
+// setWanted sets whether the node is to try to get a lease.
 func (r *readerState) setWanted(wanted bool) {
 	if r.wanted == wanted {
 		return
@@ -92,7 +93,7 @@
 	}
 }
 
-// waitFor returns when the channel is closed, the time has gone by, or the
+// waitFor returns when the channel is closed, the limit has passed, or the
 // context has ended.
 func waitFor(ctx context.Context, changed <-chan struct{}, limit time.Duration) {
 	timer := time.NewTimer(limit)
@@ -110,7 +111,8 @@
 	return n.reader.wanted
 }
 
-// readAs watches the head until the lease is lost or no longer wanted.
+// readAs watches the head until the lease is lost or the node is no longer to
+// read.
 func (n *Node) readAs(ctx context.Context, held tenure) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -180,7 +182,7 @@
 	}
 }
 
-// setReader tells all others whether this node reads the store.
+// setReader announces to all other nodes whether this node reads the store.
 func (n *Node) setReader(reads bool) {
 	if n.self.Reader == reads {
 		return
@@ -192,8 +194,8 @@
 	n.kick()
 }
 
-// reattach makes the node, and all below it, known again under a higher
-// attachment number.
+// reattach announces the node under a higher attachment number and reports all
+// nodes below it to the parent again.
 func (n *Node) reattach() {
 	n.self.Attachment++
 	n.announceSelf()
@@ -201,9 +203,10 @@
 	n.upstream.interrupt()
 }
 
-// watchHead reads the head again and again, each time as soon as it changes.
-// After an error it reads without waiting: the store may have been put back to
-// an index below the one last seen, and what could not be loaded is due.
+// watchHead reads the head in a loop, each time as soon as it changes. After an
+// error it reads without waiting for a change: the store may have been restored
+// to an index below the one last seen, and versions that could not be loaded are
+// still due.
 func (n *Node) watchHead(ctx context.Context) {
 	pauses := backoff{base: storeBackoffBase, ceiling: storeBackoffCeiling}
 	var index uint64
@@ -243,8 +246,8 @@
 }
 
 // loadMissing loads the versions that the head names and the parent does not
-// send. One that cannot be loaded does not hold up the other. It returns the
-// first error.
+// send. A version that cannot be loaded does not prevent the loading of the
+// other. It returns the first error.
 func (n *Node) loadMissing(ctx context.Context) error {
 	if len(n.missingVersions()) == 0 {
 		return nil
@@ -267,7 +270,7 @@
 	return n.feed.missing(n.head())
 }
 
-// awaitParent gives the parent time to send what is missing.
+// awaitParent gives the parent up to parentWaitLimit to send missing versions.
 func (n *Node) awaitParent(ctx context.Context) {
 	deadline := now().Add(parentWaitLimit)
 	for {
@@ -305,7 +308,7 @@
 	return nil
 }
 
-// unloadable reports whether an error tells that a version can never be loaded.
+// unloadable reports whether an error means that a version can never be loaded.
 func unloadable(err error) bool {
 	return errorx.IsOfType(err, versionstore.ErrCorrupt) ||
 		errorx.IsOfType(err, versionstore.ErrTooLarge) ||
--- a/internal/control/reader_lease.go
+++ b/internal/control/reader_lease.go
@@ -13,10 +13,10 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// readerLeasePrefix goes before the number of the slot in the keys of leases.
+// readerLeasePrefix precedes the slot number in the keys of leases.
 const readerLeasePrefix = versionstore.DefaultPrefix + "reader/"
 
-// readerHolder is what a reader leaves at its lease.
+// readerHolder is the value that a reader stores with its lease.
 type readerHolder struct {
 	Node           string `json:"node"`
 	ControlAddress string `json:"controlAddress"`
@@ -29,11 +29,13 @@
 	slot  int
 }
 
-// acquireReader tries the slots in turn, the one of the node's place first.
+// acquireReader tries to get the lease of each slot in turn, starting with the
+// one that corresponds to the node's place in the tree. If the holders of all
+// slots are gone, it grants a tenure without a lease.
 func (n *Node) acquireReader(ctx context.Context) (tenure, error) {
 	value, err := json.Marshal(readerHolder{Node: n.ID(), ControlAddress: n.config.Self.ControlAddress})
 	if err != nil {
-		return tenure{}, ErrMalformed.Wrap(err, "the name of the reader cannot be encoded")
+		return tenure{}, ErrMalformed.Wrap(err, "value of the reader's lease cannot be encoded")
 	}
 	first := n.preferredSlot()
 	absent := 0
@@ -73,7 +75,7 @@
 func leaseKey(slot int) string { return fmt.Sprintf("%s%d", readerLeasePrefix, slot) }
 
 // holderAbsent reports whether the holder of a slot is gone, so that its lease
-// will lapse. A live holder that is not known here becomes known.
+// will lapse. A holder that was unknown here and answers is added to the members.
 func (n *Node) holderAbsent(ctx context.Context, slot int) bool {
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
--- a/internal/control/recovery_test.go
+++ b/internal/control/recovery_test.go
@@ -22,7 +22,7 @@
 	node := m.start("c0", "c", "ledger", func(c *Config) { c.ReaderLeaseTTL = 500 * time.Millisecond })
 	m.eventually("the node reads", func() bool { return reads(node) })
 	m.down.Store(true)
-	m.eventually("the node has given up", func() bool { return !reads(node) })
+	m.eventually("the node stops reading", func() bool { return !reads(node) })
 	m.down.Store(false)
 	m.eventually("the node reads again", func() bool { return reads(node) })
 }
@@ -41,8 +41,7 @@
 	m.eventually("the node runs the second version", runsNow(node, second))
 }
 
-// removeOldestVersion deletes one version's record, as a store does that has
-// lost it.
+// removeOldestVersion deletes the record of one version, as if the store had lost it.
 func (m *mesh) removeOldestVersion() {
 	m.t.Helper()
 	keys, err := m.store.ListKeys(m.t.Context(), versionstore.DefaultPrefix+"version/")
@@ -62,8 +61,9 @@
 	}
 }
 
-// TestAlarmOfRestoredStoreEnds puts the store back and forth again. The index
-// of the recovered head is below the one seen before the store went back.
+// TestAlarmOfRestoredStoreEnds restores the store to an earlier state and then to
+// its latest one. The index of the recovered head is below the one seen before
+// the first restore.
 func TestAlarmOfRestoredStoreEnds(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -80,13 +80,13 @@
 	m.eventually("the node runs the third version", runsNow(node, m.propose("third")))
 }
 
-// TestRestoreBetweenTwoWatchesIsNoticed puts the store back after a reader has had the answer to one
-// watch and before it sends the next: that waits for an index which the store no longer has.
+// TestRestoreBetweenTwoWatchesIsNoticed restores an earlier state of the store after a reader has
+// received the answer to one watch and before it sends the next, which then waits for an index that
+// the store no longer has.
 //
-// The reader of a test that restores the store did not notice it within 30 s when the machine was
-// busy, and the operator would not have been told either: "recovery_test.go:77: not in time: the
-// alarm is raised". A watch that began before is answered at once; one that begins after waits for as
-// long as watches are held.
+// On a busy machine a reader did not notice such a restore within 30 s, so that the alarm was not
+// raised in time. A watch that began before the restore is answered at once; one that begins after it
+// waits for as long as watches are held.
 func TestRestoreBetweenTwoWatchesIsNoticed(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -104,7 +104,7 @@
 	m.eventually("the alarm is raised", regressionAlarm(node))
 }
 
-// TestIslandsRejoin cuts the nodes in two parts that both can read the store.
+// TestIslandsRejoin partitions the nodes into two parts that both can read the store.
 func TestIslandsRejoin(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -123,8 +123,8 @@
 	m.root()
 }
 
-// TestParentsLostTogether stops a relay and the node above it at once: neither
-// has a parent left that misses it.
+// TestParentsLostTogether stops a relay and the root at the same time, so that
+// neither has a parent left that notices its loss.
 func TestParentsLostTogether(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
--- a/internal/control/report_client.go
+++ b/internal/control/report_client.go
@@ -11,13 +11,13 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Pauses before a report, in which changes gather.
+// Pauses before a report, during which changes are collected.
 const (
-	// reportCompletePause holds when the whole subtree has reported.
+	// reportCompletePause applies when the whole subtree has reported.
 	reportCompletePause = 3 * time.Millisecond
-	// reportPartialPause holds while more is expected.
+	// reportPartialPause applies while further reports of the subtree are expected.
 	reportPartialPause = 50 * time.Millisecond
-	// reportMemberPause holds for members alone.
+	// reportMemberPause applies to reports of members alone.
 	reportMemberPause = 100 * time.Millisecond
 	// reportMemberInterval is the least time between reports of members that
 	// are neither leaving nor lost.
@@ -25,23 +25,23 @@
 	reportRetryPause     = 100 * time.Millisecond
 )
 
-// reportState is what the parent is still to be told.
+// reportState holds the changes that are still to be reported to the parent.
 type reportState struct {
 	// members holds the changed records by identifier.
 	members map[string]reportedMember
 	// detached lists nodes that are no longer below this one.
 	detached []string
-	// dueAt is when the next report goes out; zero when there is nothing to tell.
-	dueAt           time.Time
-	lastSent        time.Time
-	inFlight        bool
-	sequence        uint64
-	acknowledged    rollout.Readiness
-	hasAcknowledged bool
+	// dueAt is when the next report is due; zero when there is nothing to report.
+	dueAt                 time.Time
+	lastSent              time.Time
+	inFlight              bool
+	sequence              uint64
+	acknowledgedReadiness rollout.Readiness
+	hasAcknowledged       bool
 }
 
-// reportedMember is a record to be told. Below tells that it is of this node
-// or of one below it.
+// reportedMember is a record to be reported; below is set for the record of this
+// node or of a node below it.
 type reportedMember struct {
 	record membership.Record
 	below  bool
@@ -51,7 +51,7 @@
 	return reportState{members: make(map[string]reportedMember)}
 }
 
-// addMember puts a changed record among those to be told.
+// addMember adds a changed record to the next report.
 func (r *reportState) addMember(member reportedMember, at time.Time) {
 	record := member.record
 	r.members[record.ID] = member
@@ -62,7 +62,7 @@
 	r.dueAt = sooner(r.dueAt, due)
 }
 
-// addDetached puts nodes among those to be told of as no longer below.
+// addDetached adds nodes that are no longer below this one to the next report.
 func (r *reportState) addDetached(ids []string, at time.Time) {
 	r.detached = append(r.detached, ids...)
 	r.dueAt = sooner(r.dueAt, at.Add(reportMemberPause))
@@ -77,7 +77,8 @@
 	r.dueAt = sooner(r.dueAt, at.Add(pause))
 }
 
-// newParent starts again: the new parent knows nothing of the subtree.
+// newParent schedules a report of the whole subtree, of which a new parent knows
+// nothing.
 func (r *reportState) newParent(subtree []membership.Record, at time.Time) {
 	r.members = make(map[string]reportedMember, len(subtree))
 	for _, record := range subtree {
@@ -88,7 +89,7 @@
 	r.dueAt = at.Add(reportCompletePause)
 }
 
-// clear forgets what no parent waits for.
+// clear discards all pending changes of a node without a parent.
 func (r *reportState) clear() {
 	clear(r.members)
 	r.detached = nil
@@ -105,8 +106,8 @@
 	request *controlpb.ReportRequest
 }
 
-// report sends what the parent does not know yet, if that is due. It returns
-// when to look again.
+// report sends the pending changes to the parent, if a report is due. It returns
+// when to check again.
 func (n *Node) report(ctx context.Context, at time.Time) time.Time {
 	state := &n.reports
 	if n.upstream.root {
@@ -121,7 +122,7 @@
 	}
 	state.dueAt = time.Time{}
 	summary := n.subtreeReadiness()
-	if len(state.members) == 0 && len(state.detached) == 0 && state.hasAcknowledged && equalReadiness(summary, state.acknowledged) {
+	if len(state.members) == 0 && len(state.detached) == 0 && state.hasAcknowledged && equalReadiness(summary, state.acknowledgedReadiness) {
 		return time.Time{}
 	}
 	n.startReport(ctx, summary, at)
@@ -152,13 +153,14 @@
 	n.spawn(func() { n.sendReport(ctx, call) })
 }
 
-// stillBelow reports whether a node that was to be told of as below this one is
-// so at this moment. The loss of a node is told by whoever it was below.
+// stillBelow reports whether a record that was added as one of the subtree is to
+// be reported as such. A lost node is reported as below by the node that it was
+// below.
 func (n *Node) stillBelow(record membership.Record) bool {
 	return record.State == membership.StateLost || record.ID == n.self.ID || n.children.below(record.ID)
 }
 
-// notBelow leaves out the nodes that are below this one again.
+// notBelow returns the nodes that have not come below this one again.
 func (n *Node) notBelow(ids []string) []string {
 	var gone []string
 	for _, id := range ids {
@@ -181,7 +183,7 @@
 		return
 	}
 	if err == nil && response.GetAttached() {
-		state.acknowledged, state.hasAcknowledged = call.summary, true
+		state.acknowledgedReadiness, state.hasAcknowledged = call.summary, true
 		return
 	}
 	n.requeueMembers(call.members)
@@ -205,7 +207,8 @@
 	return n.clients.report(ctx, call.parent, call.request)
 }
 
-// requeueMembers puts back records that did not reach the parent.
+// requeueMembers adds records that did not reach the parent to the next report,
+// unless newer ones are pending.
 func (n *Node) requeueMembers(members []reportedMember) {
 	for _, member := range members {
 		newer, found := n.reports.members[member.record.ID]
@@ -228,7 +231,7 @@
 	return append(records, others...), len(records)
 }
 
-// subtreeReadiness sums up this node and all below it.
+// subtreeReadiness merges the readiness of this node and of all nodes below it.
 func (n *Node) subtreeReadiness() rollout.Readiness {
 	return rollout.MergeReadiness(n.ownReadiness(), n.children.readiness())
 }
@@ -243,7 +246,7 @@
 	return state.Readiness(n.self.ID, n.self.Incarnation)
 }
 
-// reportsComplete tells whether nothing more is expected of the subtree.
+// reportsComplete reports whether no further readiness is expected from the subtree.
 func (n *Node) reportsComplete() bool {
 	state := n.participant.State()
 	head := state.Head
--- a/internal/control/report_server.go
+++ b/internal/control/report_server.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/membership"
 )
 
-// Report takes in what a child tells of its subtree.
+// Report applies a child's report about its subtree.
 func (r rpc) Report(ctx context.Context, request *controlpb.ReportRequest) (*controlpb.ReportResponse, error) {
 	err := checkReport(request)
 	var records []membership.Record
@@ -29,8 +29,8 @@
 	return &controlpb.ReportResponse{Attached: r.node.applyReport(request, records)}, nil
 }
 
-// applyReport reports false when the child is not attached under the number that
-// it names. A report older than one taken in before changes nothing.
+// applyReport returns false when the child is not attached under the attachment
+// number that it gives. A report older than one applied before changes nothing.
 func (n *Node) applyReport(request *controlpb.ReportRequest, records []membership.Record) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -62,15 +62,15 @@
 	return true
 }
 
-// reportBelow passes on that nodes are below this one now, also when their
-// records were known before.
+// reportBelow reports to the parent that nodes are now below this one, even when
+// their records were known before.
 func (n *Node) reportBelow(records []membership.Record, at time.Time) {
 	for _, record := range records {
 		n.reports.addMember(reportedMember{record: record, below: true}, at)
 	}
 }
 
-// newestKnown lists the records that are the newest known of their nodes.
+// newestKnown returns the records that are the newest known of their nodes.
 func (n *Node) newestKnown(records []membership.Record) []membership.Record {
 	var newest []membership.Record
 	for _, record := range records {
--- a/internal/control/scoped_directory.go
+++ b/internal/control/scoped_directory.go
@@ -10,18 +10,19 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// directoryScope says which members a leaf is told of: its own zone, the first
-// members of every other zone, readers, and the workers that its service calls.
+// directoryScope determines which members a leaf receives: its own zone, the
+// first members of every other zone, readers, and the workers that its service
+// calls.
 type directoryScope struct {
 	region, zone, service string
 }
 
-// zoneLeaders is how many members of each zone every leaf is told of.
+// zoneLeaders is how many members of each zone every leaf receives.
 const zoneLeaders = 3
 
 // scopedDirectory is the part of a table that one directoryScope covers, with a
-// sequence of its own. A record that was once in it stays until it is purged,
-// so that its loss is passed on too.
+// sequence of its own. A record that has entered it stays until it is purged, so
+// that its loss is sent to children too.
 type scopedDirectory struct {
 	scope    directoryScope
 	entries  map[string]scopedEntry
@@ -30,10 +31,11 @@
 	published uint64
 	// tableSequence is the sequence of the table that entries reflect.
 	tableSequence uint64
-	// services are those whose workers are in scope; allServices means every one.
+	// services are the services whose workers are in scope; allServices means
+	// every service.
 	services    map[string]struct{}
 	allServices bool
-	// servicesFrom is the snapshot that services were worked out from.
+	// servicesFrom is the snapshot that services were derived from.
 	servicesFrom *snapshot.Snapshot
 }
 
@@ -48,7 +50,7 @@
 	return directory
 }
 
-// update takes in what changed in the table and in the snapshot.
+// update applies the changes of the table and of the snapshot.
 func (d *scopedDirectory) update(table *tableState, latest *snapshot.Snapshot, leaders map[string]struct{}) {
 	if latest != d.servicesFrom {
 		d.setServices(latest)
@@ -63,7 +65,7 @@
 	d.tableSequence = table.Sequence()
 }
 
-// put adds a record or its newer state.
+// put adds or updates a record.
 func (d *scopedDirectory) put(record *membership.Record, leaders map[string]struct{}) {
 	held, found := d.entries[record.ID]
 	if found && held.record == *record {
@@ -92,7 +94,7 @@
 	return leads
 }
 
-// setServices works out the services in scope: the node's own and those it calls.
+// setServices determines the services in scope: the leaf's own and those it calls.
 func (d *scopedDirectory) setServices(latest *snapshot.Snapshot) {
 	d.servicesFrom = latest
 	d.services = map[string]struct{}{d.scope.service: {}}
@@ -110,8 +112,8 @@
 	}
 }
 
-// since lists what changed after a place in the directory's own sequence.
-// Since zero lists everything.
+// since lists the records that changed after a position in the directory's own
+// sequence. Position zero lists all records.
 func (d *scopedDirectory) since(sequence uint64) []membership.Record {
 	if sequence >= d.sequence {
 		return nil
@@ -140,7 +142,7 @@
 	return sum
 }
 
-// purge forgets lost nodes that the table has forgotten.
+// purge removes lost nodes that the table no longer holds.
 func (d *scopedDirectory) purge(table *membership.Table) {
 	for id, entry := range d.entries {
 		if entry.record.State != membership.StateLost {
@@ -171,7 +173,7 @@
 	return leaders
 }
 
-// insertLeader keeps the lowest keys, in order.
+// insertLeader inserts a key and keeps the lowest zoneLeaders keys, in order.
 func insertLeader(keys []topology.Key, key topology.Key, names map[topology.Key]string, id string) []topology.Key {
 	if len(keys) == zoneLeaders && keys[zoneLeaders-1].Compare(key) < 0 {
 		return keys
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,7 +13,8 @@
 	"github.com/levertide/levertide/internal/controlpb"
 )
 
-// controlHandler serves the messages of other nodes within bounds.
+// controlHandler serves the messages of other nodes, with checks of the sender
+// and limits on size and time.
 func (n *Node) controlHandler() http.Handler {
 	return n.verified(bounded(controlpb.NewControlServer(rpc{n}, twirp.WithServerPathPrefix(n.config.pathPrefix()))))
 }
@@ -77,7 +78,8 @@
 	return err
 }
 
-// closeServer lets answers under way go out, and then closes what is left.
+// closeServer waits up to shutdownTimeout for answers in progress, and then
+// closes the remaining connections.
 func closeServer(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -86,7 +88,7 @@
 	}
 }
 
-// keepAliveListener makes the kernel notice dead clients.
+// keepAliveListener enables TCP keepalive, so that the kernel detects dead clients.
 type keepAliveListener struct{ net.Listener }
 
 // Accept implements net.Listener.
--- a/internal/control/shared.go
+++ b/internal/control/shared.go
@@ -8,15 +8,15 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// Bounds of the caches of Shared, in entries.
+// Capacities of the caches of Shared, in entries.
 const (
 	maximumCachedDeltas       = 256
 	maximumCachedRestrictions = 256
 )
 
-// Shared holds caches that all nodes of one process may have in common: encoded
-// deltas, restricted snapshots and member records. It may be used by several
-// goroutines. What it holds depends on nothing but its keys.
+// Shared holds caches that all nodes of one process may share: encoded deltas,
+// restricted snapshots and member records. It is safe for concurrent use. A
+// cached value depends on its key only.
 type Shared struct {
 	deltas       *flightCache[deltaKey, encodedDelta]
 	restrictions *flightCache[restrictionKey, *snapshot.Snapshot]
@@ -48,7 +48,7 @@
 	scope   snapshot.Scope
 }
 
-// delta returns the encoded difference between two snapshots, made once.
+// delta returns the encoded difference between two snapshots, computed once.
 func (s *Shared) delta(base, target *snapshot.Snapshot) ([]byte, error) {
 	key := deltaKey{base: base.Digest(), target: target.Digest()}
 	encoded := s.deltas.get(key, func() encodedDelta {
@@ -58,17 +58,17 @@
 	return encoded.payload, encoded.err
 }
 
-// restrict returns the part of a snapshot that a scope covers, made once.
-func (s *Shared) restrict(whole *snapshot.Snapshot, scope snapshot.Scope) *snapshot.Snapshot {
+// restrict returns the part of a snapshot that a scope covers, computed once.
+func (s *Shared) restrict(complete *snapshot.Snapshot, scope snapshot.Scope) *snapshot.Snapshot {
 	if scope.All {
-		return whole
+		return complete
 	}
-	key := restrictionKey{digest: whole.Digest(), version: whole.Version(), scope: scope}
-	return s.restrictions.get(key, func() *snapshot.Snapshot { return whole.Restrict(scope) })
+	key := restrictionKey{digest: complete.Digest(), version: complete.Version(), scope: scope}
+	return s.restrictions.get(key, func() *snapshot.Snapshot { return complete.Restrict(scope) })
 }
 
-// flightCache makes each value once, however many ask at the same time, and
-// drops the oldest entry when there are too many.
+// flightCache builds each value once, even when several callers request it at the
+// same time, and evicts the oldest entry when it is full.
 type flightCache[Key comparable, Value any] struct {
 	mutex    sync.Mutex
 	capacity int
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,7 +13,8 @@
 	return r.node.status(ctx, min(request.GetHops(), maximumStatusHops)), nil
 }
 
-// status asks the parent as long as there is one, and answers itself otherwise.
+// status forwards the request to the parent, and answers itself when there is no
+// parent, when no hops are left, or when the parent does not answer.
 func (n *Node) status(ctx context.Context, hops uint32) *controlpb.StatusResponse {
 	n.mutex.Lock()
 	parent, attached := n.upstream.parent, n.upstream.attached
@@ -29,7 +30,7 @@
 	return n.ownStatus()
 }
 
-// ownStatus tells what this node itself knows.
+// ownStatus returns the status as this node knows it.
 func (n *Node) ownStatus() *controlpb.StatusResponse {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -79,7 +80,8 @@
 	return alarms
 }
 
-// updateInForceSince remembers since when every live node runs the committed version.
+// updateInForceSince records the time since which every live node runs the
+// committed version.
 func (n *Node) updateInForceSince() {
 	readiness := n.subtreeReadiness()
 	head := n.head()
--- a/internal/control/store_state.go
+++ b/internal/control/store_state.go
@@ -11,21 +11,22 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// storeState is what the node last saw of the platform's store.
+// storeState is the last known state of the platform's store.
 type storeState struct {
-	// contacted tells that the store was used at all.
+	// contacted is set once a request to the store has succeeded or failed.
 	contacted bool
 	reachable bool
 	since     time.Time
 	lastError string
-	// regressed tells that the store has gone back, and regression how. It lasts
-	// until the head was read in good order.
+	// regressed is set while the store has regressed to an earlier state, and
+	// regression describes how. It is cleared by the next successful request that
+	// is passed to recordStoreResult.
 	regressed  bool
 	regression string
 }
 
-// recordStoreResult takes in how a request to the store for the head, or for what it
-// names, has ended.
+// recordStoreResult records the result of a store request for the head, or for
+// versions that it names.
 func (n *Node) recordStoreResult(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
@@ -41,7 +42,7 @@
 	}
 }
 
-// recordStoreAnswer takes in that the store has answered a request that tells
+// recordStoreAnswer records that the store answered a request that reveals
 // nothing about the head.
 func (n *Node) recordStoreAnswer() {
 	n.mutex.Lock()
@@ -49,7 +50,7 @@
 	n.markStoreReachable()
 }
 
-// isStoreAnswer reports whether an error is itself an answer of a working store.
+// isStoreAnswer reports whether an error shows that the store itself is working.
 func isStoreAnswer(err error) bool {
 	return errorx.IsOfType(err, versionstore.ErrStoreRegressed) ||
 		errorx.IsOfType(err, versionstore.ErrConflict) ||
@@ -58,8 +59,8 @@
 		errorx.IsOfType(err, store.ErrSessionGone)
 }
 
-// recordRegression keeps the alarm of a store that has gone back as long as that
-// lasts. An error of another kind tells nothing about it.
+// recordRegression raises and clears the alarm about a regressed store. An error
+// of another kind leaves it unchanged.
 func (n *Node) recordRegression(err error) {
 	state := &n.storeState
 	if err == nil {
--- a/internal/control/sweep.go
+++ b/internal/control/sweep.go
@@ -9,19 +9,19 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// sweepTimeout bounds one sweep. What it does not get done, the one after the
-// next decision does.
+// sweepTimeout bounds one sweep. Versions that it does not remove in time are
+// left to the sweep after the next decision.
 const sweepTimeout = time.Minute
 
-// sweepState says whether old versions are being removed from the store.
+// sweepState holds whether old versions are being removed from the store.
 type sweepState struct {
 	running bool
-	// rerun tells that the head has moved since the sweep under way began.
+	// rerun is set when the head has advanced since the current sweep began.
 	rerun bool
 }
 
-// startSweep removes old versions in the background. The lock is held by the
-// caller. Only the coordinator calls it, after a decision.
+// startSweep removes old versions in the background. The caller holds the lock.
+// Only the coordinator calls it, after a decision.
 func (n *Node) startSweep() {
 	state := &n.sweeping
 	if state.running {
@@ -32,9 +32,10 @@
 	n.spawn(n.sweep)
 }
 
-// sweep runs until no decision was made meanwhile. Its requests give way to all
-// others of this node. A sweep that fails leaves its work to the next one: the
-// head has moved, or the store does not answer, which others notice.
+// sweep repeats until no decision was made during the last run. Its requests
+// yield to all other store requests of this node. A failed sweep leaves its work
+// to the next one: either the head has advanced, or the store does not answer,
+// which other requests detect.
 func (n *Node) sweep() {
 	for {
 		ctx, cancel := context.WithTimeout(n.serving, sweepTimeout)
@@ -46,7 +47,7 @@
 	}
 }
 
-// sweepEnded reports whether no other sweep is due.
+// sweepEnded reports whether no further run is due.
 func (n *Node) sweepEnded(err error) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
--- a/internal/control/table_state.go
+++ b/internal/control/table_state.go
@@ -7,9 +7,9 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// Pauses before changed members are passed on to children, and the least time
-// between two such answers. Where members come and go all the time, changes
-// travel together; nodes that leave do not wait for the others.
+// Pauses before changed members are sent to children, and the minimum time
+// between two such updates. Where members change all the time, changes are
+// batched; those of leaving nodes are sent sooner.
 const (
 	memberChangePause     = 150 * time.Millisecond
 	memberChangeInterval  = 2 * time.Second
@@ -19,19 +19,20 @@
 	lostRecordPurgePeriod = 30 * time.Second
 )
 
-// tableState is the table of members together with what children were told of it.
+// tableState is the table of members together with the state of its publication
+// to children.
 type tableState struct {
 	*membership.Table
 	interner *membership.Interner
-	// epoch tells the sequences of one table from those of its successor.
+	// epoch distinguishes the sequences of one table from those of its successor.
 	epoch uint64
 	// published is the place in the sequence up to which children are woken.
 	published uint64
-	// flushAt is when published is next moved on; zero when nothing waits.
+	// flushAt is when published is next advanced; zero when no change is pending.
 	flushAt   time.Time
 	lastFlush time.Time
 	scoped    map[directoryScope]*scopedDirectory
-	// marks remember sequences by time, for purging records of lost nodes.
+	// marks record the sequence at past times, for purging records of lost nodes.
 	marks []sequenceMark
 	// pastZones are the zones of records that were dropped.
 	pastZones map[zoneKey]struct{}
@@ -55,7 +56,7 @@
 	return state
 }
 
-// changed notes that records changed, and when children are to hear of it.
+// changed schedules the publication of changed records to children.
 func (t *tableState) changed(records []membership.Record, at time.Time) {
 	due := later(at.Add(memberChangePause), t.lastFlush.Add(memberChangeInterval))
 	if anyUrgent(records) {
@@ -66,7 +67,7 @@
 	}
 }
 
-// flush moves published on when that is due, and reports whether it did.
+// flush advances published when that is due, and reports whether it did.
 func (t *tableState) flush(at time.Time) bool {
 	if t.flushAt.IsZero() || at.Before(t.flushAt) {
 		return false
@@ -77,7 +78,7 @@
 	return true
 }
 
-// replace drops every record that keep does not name. Sequences start again.
+// replace drops every record that is not in keep. Sequences start again.
 func (t *tableState) replace(keep []membership.Record) {
 	t.rememberZones()
 	t.Table = membership.NewTableWithInterner(t.interner)
@@ -89,7 +90,7 @@
 	t.marks = nil
 }
 
-// purge removes the records of nodes that were lost long ago.
+// purge removes the records of nodes that were lost at least lostRecordRetention ago.
 func (t *tableState) purge(at time.Time) {
 	if len(t.marks) > 0 && at.Sub(t.marks[len(t.marks)-1].at) < lostRecordPurgePeriod {
 		return
@@ -109,7 +110,7 @@
 	}
 }
 
-// presentSum sums up the records of all nodes that are not lost.
+// presentSum returns the sum over the records of all nodes that are not lost.
 func (t *tableState) presentSum(within func(*membership.Record) bool) rollout.MemberSum {
 	var sum rollout.MemberSum
 	for record := range t.View().All() {
@@ -120,13 +121,14 @@
 	return sum
 }
 
-// records lists all records, those of lost nodes included.
+// records lists all records, including those of lost nodes.
 func (t *tableState) records() []membership.Record {
 	records, _ := t.Since(0)
 	return records
 }
 
-// recordSum tells a record from every other record of the same node.
+// recordSum returns a sum that distinguishes a record from every other record of
+// the same node.
 func recordSum(record *membership.Record) rollout.MemberSum {
 	change := record.Attachment<<8 | uint64(record.State)
 	member := rollout.SumOf(record.ID, record.Incarnation)
--- a/internal/control/traffic.go
+++ b/internal/control/traffic.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Role is the part that a node has in distributing configuration; its traffic
-// is counted under it.
+// Role is a node's role in distributing configuration. Its traffic is counted
+// by role.
 type Role uint32
 
-// The roles, from the smallest to the largest part.
+// The roles, in ascending order of responsibility.
 const (
 	RoleLeaf Role = iota
 	RoleRelay
@@ -29,7 +29,7 @@
 	return names[r]
 }
 
-// Sizes that the estimate of TCP/IP headers rests on, in bytes.
+// Sizes used to estimate TCP/IP headers, in bytes.
 const (
 	segmentPayload = 1448
 	segmentHeader  = 52
@@ -37,7 +37,7 @@
 	connectionOverhead = 7 * segmentHeader
 )
 
-// TrafficCount is how many bytes were moved, estimated headers included.
+// TrafficCount is a number of bytes transferred, including estimated headers.
 type TrafficCount struct {
 	In  uint64 `json:"in"`
 	Out uint64 `json:"out"`
@@ -47,7 +47,7 @@
 func (c TrafficCount) Total() uint64 { return c.In + c.Out }
 
 // Traffic counts a node's control bytes by the role that it has at the time.
-// It may be used by several goroutines.
+// It is safe for concurrent use.
 type Traffic struct {
 	role atomic.Uint32
 	in   [roleCount]atomic.Uint64
@@ -57,7 +57,7 @@
 // NewTraffic returns counters at zero for a leaf.
 func NewTraffic() *Traffic { return &Traffic{} }
 
-// SetRole counts what follows under another role.
+// SetRole makes later traffic count under another role.
 func (t *Traffic) SetRole(role Role) { t.role.Store(uint32(role)) }
 
 // Role returns the role that is counted under now.
@@ -127,7 +127,7 @@
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
-	// active is when bytes moved last, in nanoseconds of the wall clock.
+	// active is when bytes were last transferred, in Unix nanoseconds.
 	active atomic.Int64
 }
 
@@ -152,7 +152,7 @@
 }
 
 // countProbes adds a keepalive probe and its answer, one of them sent and one
-// received, for each interval in which nothing moved.
+// received, for each keepalive interval without traffic.
 func (c *countedConn) countProbes() {
 	now := time.Now().UnixNano()
 	idle := now - c.active.Swap(now)
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -10,31 +10,32 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// upstream is the node's tie to its parent.
+// upstream is the node's attachment to its parent.
 type upstream struct {
 	// parent is the node that is polled; its ID is empty when there is none.
 	parent topology.Peer
-	// epoch rises with each attachment. What belongs to an older one is dropped.
+	// epoch increases with each attachment. Answers of an older one are dropped.
 	epoch uint64
-	// attached tells that the parent has answered in this epoch.
+	// attached is set once the parent has answered in this epoch.
 	attached bool
-	// root tells that the node has no parent to turn to.
+	// root is set while the node has no parent to poll.
 	root     bool
 	path     []string
 	pathHash uint64
-	// treeRoot is the root of the tree that the node is in, and topSince since when.
+	// treeRoot is the root of the tree that the node is in, and treeRootSince the
+	// time since which it has been.
 	treeRoot      string
 	treeRootSince time.Time
 	cursor        *controlpb.DirectoryCursor
-	// handle stands for acknowledged, the last whole request that was answered.
+	// handle identifies acknowledged, the last full request that was answered.
 	handle       uint64
 	acknowledged *controlpb.WatchRequest
-	// cancel ends the poll under way; changed wakes the loop that has none.
+	// cancel ends the current poll; changed wakes the polling loop when there is none.
 	cancel  context.CancelFunc
 	changed broadcast
 }
 
-// interrupt ends the poll under way, so that the next one tells what has changed.
+// interrupt ends the current poll, so that the next one carries the changed state.
 func (u *upstream) interrupt() {
 	if u.cancel != nil {
 		u.cancel()
@@ -42,7 +43,7 @@
 	u.changed.wake()
 }
 
-// detach forgets the parent.
+// detach ends the attachment to the parent.
 func (u *upstream) detach() {
 	u.epoch++
 	u.parent = topology.Peer{}
@@ -51,14 +52,14 @@
 	u.handle, u.acknowledged = 0, nil
 }
 
-// attach takes a new parent.
+// attach starts an attachment to a new parent.
 func (u *upstream) attach(parent topology.Peer) {
 	u.detach()
 	u.parent = parent
 	u.root = false
 }
 
-// setPath keeps the nodes from the parent up to the root. It reports whether
+// setPath stores the nodes from the parent up to the root. It reports whether
 // they have changed.
 func (u *upstream) setPath(path []string) bool {
 	hash := hashPath(path)
@@ -72,7 +73,7 @@
 	return true
 }
 
-// setTreeRoot keeps the root of the tree.
+// setTreeRoot stores the root of the tree, and the time when it changed.
 func (u *upstream) setTreeRoot(id string) {
 	if u.treeRoot != id {
 		u.treeRoot, u.treeRootSince = id, now()
--- a/internal/control/verify.go
+++ b/internal/control/verify.go
@@ -11,7 +11,7 @@
 	"github.com/levertide/levertide/pkg/membership"
 )
 
-// Message names one kind of control message.
+// Message is a kind of control message, named as its RPC method.
 type Message string
 
 // The kinds of control message.
@@ -23,20 +23,21 @@
 	MessageStatus  Message = "Status"
 )
 
-// Sender is who sent a message over a TLS connection, and as whom it speaks.
+// Sender identifies who sent a message over a TLS connection, and in which
+// node's name.
 type Sender struct {
 	Connection *tls.ConnectionState
 	Message    Message
-	// Claim is the member record that the message speaks for; nil when it
-	// speaks for none, and always before the message has been read.
+	// Claim is the member record in whose name the message was sent. It is nil
+	// when there is none, and always before the message has been read.
 	Claim *membership.Record
 }
 
-// connectionKey is where a request's context keeps the state of its connection.
+// connectionKey is the context key of a request's TLS connection state.
 type connectionKey struct{}
 
-// verified turns away clients that may not send the message. It runs before
-// the message is read.
+// verified rejects clients that are not allowed to send the message. It runs
+// before the message is read.
 func (n *Node) verified(next http.Handler) http.Handler {
 	if n.config.VerifyPeer == nil && n.config.VerifySender == nil {
 		return next
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// verifyClaim refuses a message that speaks for another node than the one that
-// sent it.
+// verifyClaim rejects a message that was sent in the name of a node other than
+// its sender.
 func (n *Node) verifyClaim(ctx context.Context, message Message, claim membership.Record) error {
 	connection, secured := ctx.Value(connectionKey{}).(*tls.ConnectionState)
 	if !secured {
--- a/internal/control/versions.go
+++ b/internal/control/versions.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// observeHead takes in a head, wherever it comes from.
+// observeHead passes a head from any source to the participant.
 func (n *Node) observeHead(head rollout.Head) {
 	before := n.participant.State()
 	n.carryOut(n.participant.ObserveHead(head))
@@ -25,7 +25,7 @@
 	n.kick()
 }
 
-// receive takes in a version in the scope of the feed.
+// receive adds a version in the feed's scope to the feed and delivers it.
 func (n *Node) receive(received *snapshot.Snapshot) {
 	n.feed.history.Add(received)
 	n.deliver(received)
@@ -33,7 +33,7 @@
 	n.kick()
 }
 
-// deliver hands the node's own part of a version to the participant.
+// deliver passes the part of a version in the node's own scope to the participant.
 func (n *Node) deliver(received *snapshot.Snapshot) {
 	before := n.participant.State()
 	own := n.shared.restrict(received, n.ownScope())
@@ -41,7 +41,7 @@
 	n.reportStaging(before, n.participant.State())
 }
 
-// reportStaging tells of a version that was staged or refused.
+// reportStaging emits an event for a version that was staged or refused.
 func (n *Node) reportStaging(before, after rollout.ParticipantState) {
 	if after.Staged != nil && after.Staged != before.Staged {
 		n.events.VersionStaged(after.Staged.Version())
@@ -51,7 +51,7 @@
 	}
 }
 
-// carryOut does what the participant asks for.
+// carryOut performs the actions that the participant requests.
 func (n *Node) carryOut(actions []rollout.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -67,8 +67,8 @@
 	}
 }
 
-// fetchFromFeed delivers a version that was received before it was asked for.
-// One that was not is part of the next poll, or is loaded by the reader.
+// fetchFromFeed delivers a version that the feed already holds. Otherwise the
+// version comes with the answer to the next poll, or is loaded by the reader.
 func (n *Node) fetchFromFeed(version rollout.Version) {
 	held, found := n.feed.holds(version)
 	if !found {
@@ -80,10 +80,10 @@
 }
 
 // activate puts a version in force with one swap of the pointer. The version
-// never falls, whatever the participant asks for.
+// never decreases, whatever the participant requests.
 func (n *Node) activate(next *snapshot.Snapshot) {
 	if running := n.current.Load(); running != nil && running.Version() >= next.Version() {
-		n.alarm("a version not above the one in force was to be put in force")
+		n.alarm("refused to put a version in force that is not above the current one")
 		return
 	}
 	n.current.Store(next)
@@ -97,7 +97,8 @@
 	n.kick()
 }
 
-// alarm tells an operator, once, of something that the participant does not see.
+// alarm raises an alarm about something that the participant does not observe.
+// A text that is still listed is not raised again.
 func (n *Node) alarm(text string) {
 	if slices.Contains(n.alarms, text) {
 		return
@@ -106,8 +107,8 @@
 	n.events.Alarm(text)
 }
 
-// appendAlarm adds an alarm that is not there yet, and drops the oldest one
-// where there are too many.
+// appendAlarm adds an alarm unless it is listed already, and drops the oldest
+// one at rollout.MaxAlarms.
 func appendAlarm(alarms []string, text string) []string {
 	if slices.Contains(alarms, text) {
 		return alarms
--- a/internal/control/watch_client.go
+++ b/internal/control/watch_client.go
@@ -14,24 +14,26 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Pauses between polls that failed or were turned away. They stay below the
-// bound after which a parent calls a child lost.
+// Pauses between polls that failed or were rejected. They stay below the bound
+// after which a parent marks a child as lost.
 const (
 	pollBackoffBase    = 30 * time.Millisecond
 	pollBackoffCeiling = time.Second
 	// answerGrace is how much longer than the hold an answer may take.
 	answerGrace = time.Second
-	// loopPause keeps a parent out of the plan that pulls from this node itself.
+	// loopPause is how long a parent that polls this node itself, directly or
+	// through others, or that does not read the store although it must, is kept
+	// out of the plan.
 	loopPause = 500 * time.Millisecond
 )
 
-// pollResult tells the loop what to do before the next poll.
+// pollResult determines the pause before the next poll.
 type pollResult struct {
 	pause  time.Duration
 	failed bool
 }
 
-// runUpstream polls the parent as long as there is one.
+// runUpstream polls the parent, and runs discovery while there is none.
 func (n *Node) runUpstream(ctx context.Context) {
 	pauses := backoff{base: pollBackoffBase, ceiling: pollBackoffCeiling}
 	for ctx.Err() == nil {
@@ -62,12 +64,13 @@
 	epoch   uint64
 	feed    feed
 	request *controlpb.WatchRequest
-	// complete is the request that a handle stands for.
+	// complete is the full request, also when request carries only its handle.
 	complete *controlpb.WatchRequest
 	first    bool
 }
 
-// beginPoll chooses the parent and writes the request.
+// beginPoll chooses the parent and builds the request. It returns false when
+// there is no parent.
 func (n *Node) beginPoll(ctx context.Context) (pollCall, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -87,8 +90,8 @@
 	return call, true
 }
 
-// attachTo takes a new parent under a higher attachment number, which refutes
-// a loss that the former parent may report.
+// attachTo attaches to a new parent under a higher attachment number, which
+// refutes a loss that the previous parent may report.
 func (n *Node) attachTo(parent topology.Peer) {
 	n.upstream.attach(parent)
 	n.self.Attachment++
@@ -97,7 +100,7 @@
 	n.events.ParentChanged(parent.ID)
 }
 
-// becomeRoot goes on without a parent.
+// becomeRoot makes the node the root of its own tree.
 func (n *Node) becomeRoot() {
 	if n.upstream.root {
 		return
@@ -112,9 +115,9 @@
 	n.kick()
 }
 
-// subtreeRecords lists the records of this node and of all below it. A child
-// that broke off is left out with those below it until it comes back: it may
-// be known through another node by now.
+// subtreeRecords lists the records of this node and of all nodes below it. A
+// disconnected child is left out, with the nodes below it, until it polls again:
+// it may have attached to another node by now.
 func (n *Node) subtreeRecords() []membership.Record {
 	records := []membership.Record{n.self}
 	for id, entry := range n.children.byID {
@@ -127,7 +130,7 @@
 	return records
 }
 
-// recordsOf lists the records of a child and of all below it.
+// recordsOf lists the records of a child and of all nodes below it.
 func (n *Node) recordsOf(child string) []membership.Record {
 	var records []membership.Record
 	if record, found := n.table.Get(child); found {
@@ -160,15 +163,15 @@
 	return request
 }
 
-// shortRequest returns the handle in place of a request that has not changed.
-func (n *Node) shortRequest(whole *controlpb.WatchRequest) *controlpb.WatchRequest {
-	if n.upstream.handle == 0 || !proto.Equal(whole, n.upstream.acknowledged) {
-		return whole
+// shortRequest replaces a request that has not changed by its handle.
+func (n *Node) shortRequest(complete *controlpb.WatchRequest) *controlpb.WatchRequest {
+	if n.upstream.handle == 0 || !proto.Equal(complete, n.upstream.acknowledged) {
+		return complete
 	}
 	return &controlpb.WatchRequest{Handle: n.upstream.handle}
 }
 
-// poll asks the parent and takes in its answer.
+// poll sends the request to the parent and handles its answer.
 func (n *Node) poll(call pollCall) pollResult {
 	answer, err := n.clients.watch(call.ctx, call.parent, call.request)
 	if err == nil {
@@ -191,13 +194,14 @@
 	return pollResult{failed: true}
 }
 
-// suspect keeps a peer out of the plan for a while.
+// suspect keeps a peer out of the plan for a time that depends on
+// Config.SuspectBound and on its earlier failures.
 func (n *Node) suspect(peer topology.Peer, _ error) {
 	n.plan.suspect(peer.ID, now(), n.config.SuspectBound)
 	n.clients.closeIdle(peer.ControlAddress)
 }
 
-// handleAnswer takes in an answer, unless it belongs to an earlier attachment.
+// handleAnswer applies an answer, unless it belongs to an earlier attachment.
 func (n *Node) handleAnswer(call pollCall, answer *controlpb.WatchResponse) pollResult {
 	if answer.GetRetryAfterMilliseconds() > 0 {
 		return pollResult{pause: retryPause(answer)}
@@ -242,7 +246,7 @@
 	return !answer.GetPathUnchanged() && (len(answer.GetPath()) == 0 || answer.GetPath()[0] != parent.ID)
 }
 
-// handleResend makes the next request a whole one. The parent names the record of
+// handleResend makes the next request a full one. The parent sends the record of
 // this node that it holds when that is newer than the node's own.
 func (n *Node) handleResend(records []membership.Record) pollResult {
 	n.upstream.handle, n.upstream.acknowledged = 0, nil
@@ -258,8 +262,9 @@
 	return requested/2 + randomBelow(requested)
 }
 
-// refuseParent turns away from a parent that pulls from this node itself, and
-// from one that was to read the store and does not.
+// refuseParent detaches from a parent that polls this node itself, directly or
+// through others, and from one that must read the store and does not. It reports
+// whether it did.
 func (n *Node) refuseParent(parent topology.Peer, answer *controlpb.WatchResponse) bool {
 	path := n.upstream.path
 	if !answer.GetPathUnchanged() {
@@ -278,7 +283,7 @@
 	return false
 }
 
-// attachConfirmed notes that the parent knows this node in this epoch.
+// attachConfirmed records that the parent has answered this node in this epoch.
 func (n *Node) attachConfirmed(call pollCall, answer *controlpb.WatchResponse) {
 	n.plan.trust(call.parent.ID)
 	if handle := answer.GetHandle(); handle != 0 {
@@ -293,7 +298,7 @@
 	n.kick()
 }
 
-// observeHeadMessage takes in a head from the parent.
+// observeHeadMessage applies the head of an answer, if it has one.
 func (n *Node) observeHeadMessage(message *controlpb.Head) {
 	if message == nil {
 		return
@@ -301,7 +306,8 @@
 	n.observeHead(controlpb.HeadOf(message))
 }
 
-// receiveAll takes in received versions, unless the scope has changed since.
+// receiveAll receives versions, unless the feed's scope has changed since they
+// were requested.
 func (n *Node) receiveAll(scope snapshot.Scope, delivered []*snapshot.Snapshot) {
 	if scope != n.feed.scope {
 		return
@@ -311,8 +317,8 @@
 	}
 }
 
-// refuseDeltas asks for whole versions next, and turns away from a parent
-// whose whole versions cannot be used either.
+// refuseDeltas empties the feed, so that the next poll requests complete
+// versions, and suspects a parent whose complete versions cannot be used either.
 func (n *Node) refuseDeltas(parent topology.Peer, err error) pollResult {
 	n.events.PeerRefused(parent.ID, err.Error())
 	if _, held := n.feed.history.Latest(); !held {
@@ -322,7 +328,8 @@
 	return pollResult{failed: true}
 }
 
-// applyAll applies deltas in turn; a later one may start from an earlier one.
+// applyAll applies deltas in order. The base of a delta may be the result of an
+// earlier one.
 func (f *feed) applyAll(deltas []*controlpb.Delta) ([]*snapshot.Snapshot, error) {
 	if len(deltas) == 0 {
 		return nil, nil
--- a/internal/control/watch_server.go
+++ b/internal/control/watch_server.go
@@ -20,7 +20,7 @@
 
 var _ controlpb.Control = rpc{}
 
-// Watch answers a child as soon as there is something that it lacks.
+// Watch answers a child as soon as there is an update for it, or when the hold ends.
 func (r rpc) Watch(ctx context.Context, request *controlpb.WatchRequest) (*controlpb.WatchResponse, error) {
 	if err := checkWatch(request); err != nil {
 		r.node.events.PeerRefused(request.GetSelf().GetId(), err.Error())
@@ -32,7 +32,7 @@
 	return r.node.watch(ctx, request)
 }
 
-// verifyWatch checks that the child is the one that its request speaks for.
+// verifyWatch checks that the request was sent by the child that it names.
 func (n *Node) verifyWatch(ctx context.Context, request *controlpb.WatchRequest) error {
 	if self := request.GetSelf(); self != nil {
 		return n.verifyClaim(ctx, MessageWatch, memberRecord(self))
@@ -72,8 +72,8 @@
 	return min(time.Duration(request.GetHoldMilliseconds())*time.Millisecond, maximumHold)
 }
 
-// admitChild enters a child's poll. The second result is the answer for a child
-// that is to ask again in another way.
+// admitChild registers a child's poll. The second result is non-nil for a child
+// that must send a full or newer request instead.
 func (n *Node) admitChild(request *controlpb.WatchRequest) (watchCall, *controlpb.WatchResponse) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -99,7 +99,8 @@
 	return watchCall{child: entry, request: request, scope: scopeOf(request.GetScope())}, nil
 }
 
-// admitHandle enters the poll of a child that repeats its last request.
+// admitHandle registers the poll of a child that repeats its last request by its
+// handle.
 func (n *Node) admitHandle(handle uint64) (watchCall, *controlpb.WatchResponse) {
 	for _, entry := range n.children.byID {
 		if entry.handle != handle || entry.request == nil {
@@ -112,7 +113,8 @@
 	return watchCall{}, &controlpb.WatchResponse{Resend: true}
 }
 
-// reportReconnected passes on what was left out while a child was away.
+// reportReconnected reports to the parent what was left out while a child was
+// disconnected.
 func (n *Node) reportReconnected(entry *child) {
 	if entry.disconnected {
 		entry.disconnected = false
@@ -124,8 +126,8 @@
 	}
 }
 
-// widenForChildren makes a node that has just become a parent fetch what its
-// children may ask for.
+// widenForChildren widens the feed's scope of a node that has just become a
+// parent to what its children may request.
 func (n *Node) widenForChildren() {
 	if n.feed.scope.All {
 		return
@@ -134,8 +136,8 @@
 	n.updateRole()
 }
 
-// hold waits until there is news for the child. It reports whether the child
-// went away meanwhile.
+// hold waits until there is an update for the child or the hold ends. It reports
+// whether the child broke off the poll.
 func (n *Node) hold(ctx context.Context, call watchCall) bool {
 	for {
 		signal := n.waiters.wait()
@@ -158,7 +160,8 @@
 	return n.hasVersionUpdate(call.request) || n.hasPathUpdate(call.request) || n.hasDirectoryUpdate(call.request)
 }
 
-// hasPathUpdate reports whether the nodes up to the root have changed.
+// hasPathUpdate reports whether the path to the root differs from the one that
+// the child knows.
 func (n *Node) hasPathUpdate(request *controlpb.WatchRequest) bool {
 	return hashPath(n.ownPath()) != request.GetPathHash()
 }
@@ -170,7 +173,7 @@
 }
 
 // hasVersionUpdate reports whether the child lacks a version that is held here, or
-// the head that names only what the child can get.
+// holds all versions of a head that it has not received yet.
 func (n *Node) hasVersionUpdate(request *controlpb.WatchRequest) bool {
 	head := n.head()
 	complete := true
@@ -184,7 +187,7 @@
 }
 
 // lackedBy lists the versions that a head names and a child does not hold, in
-// the order in which it is to get them.
+// the order in which they are sent.
 func lackedBy(request *controlpb.WatchRequest, head rollout.Head) []rollout.Version {
 	var lacked []rollout.Version
 	for _, version := range [...]rollout.Version{head.Committed, head.Proposed} {
@@ -195,7 +198,7 @@
 	return lacked
 }
 
-// endPoll notes that a child's poll is over.
+// endPoll records the end of a child's poll.
 func (n *Node) endPoll(call watchCall, brokeOff bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -206,7 +209,7 @@
 	n.kick()
 }
 
-// answerOnce answers a node that is no child, at once and without members.
+// answerOnce answers a node that is not a child, immediately and without members.
 func (n *Node) answerOnce(request *controlpb.WatchRequest) (*controlpb.WatchResponse, error) {
 	call := watchCall{request: request, scope: scopeOf(request.GetScope())}
 	return n.answer(call)
@@ -217,7 +220,7 @@
 	base, target *snapshot.Snapshot
 }
 
-// answer writes what the child lacks.
+// answer builds the answer with everything that the child lacks.
 func (n *Node) answer(call watchCall) (*controlpb.WatchResponse, error) {
 	response, members, pending := n.beginAnswer(call)
 	if call.child != nil {
@@ -237,7 +240,7 @@
 	return response, nil
 }
 
-// trimDirectory leaves out an update that tells nothing new.
+// trimDirectory returns nil for an update without changes.
 func trimDirectory(update *controlpb.DirectoryUpdate, request *controlpb.WatchRequest) *controlpb.DirectoryUpdate {
 	empty := !update.GetWhole() && len(update.GetMembers()) == 0 && len(update.GetPacked()) == 0
 	if empty && proto.Equal(update.GetCursor(), request.GetCursor()) {
@@ -246,7 +249,8 @@
 	return update
 }
 
-// shed returns the answer for a child that has to wait for a large one.
+// shed returns an answer that makes the child retry later if a large answer may
+// not be sent yet, and nil otherwise.
 func (n *Node) shed(response *controlpb.WatchResponse) *controlpb.WatchResponse {
 	pause := n.largeAnswers.admit(proto.Size(response))
 	if pause == 0 {
@@ -255,7 +259,7 @@
 	return &controlpb.WatchResponse{RetryAfterMilliseconds: uint32(pause / time.Millisecond)}
 }
 
-// beginAnswer collects under the lock what the answer is made of.
+// beginAnswer collects the parts of the answer under the lock.
 func (n *Node) beginAnswer(call watchCall) (*controlpb.WatchResponse, directoryAnswer, []pendingDelta) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -272,7 +276,7 @@
 	return response, members, n.pendingDeltas(call, head)
 }
 
-// setPath names the nodes up to the root, unless the child knows them.
+// setPath adds the path to the root to the answer, unless the child knows it.
 func (n *Node) setPath(response *controlpb.WatchResponse, request *controlpb.WatchRequest) {
 	path := n.ownPath()
 	if hashPath(path) == request.GetPathHash() {
@@ -282,8 +286,8 @@
 	response.Path = path
 }
 
-// pendingDeltas lists the deltas to the versions that the child lacks. A node
-// that holds a part only has nothing to give.
+// pendingDeltas lists the deltas to the versions that the child lacks. There are
+// none when this node's feed does not cover the child's scope.
 func (n *Node) pendingDeltas(call watchCall, head rollout.Head) []pendingDelta {
 	if !n.mayServe(call.scope) {
 		return nil
@@ -291,11 +295,11 @@
 	base := n.heldBase(call)
 	var pending []pendingDelta
 	for _, version := range lackedBy(call.request, head) {
-		whole, held := n.feed.holds(version)
+		complete, held := n.feed.holds(version)
 		if !held {
 			continue
 		}
-		target := n.shared.restrict(whole, call.scope)
+		target := n.shared.restrict(complete, call.scope)
 		pending = append(pending, pendingDelta{base: base, target: target})
 		base = target
 	}
@@ -316,12 +320,12 @@
 		{call.request.GetStaged(), call.request.GetStagedDigest()},
 	}
 	for _, candidate := range held {
-		whole, found := n.feed.holds(candidate.version)
+		complete, found := n.feed.holds(candidate.version)
 		if !found {
 			continue
 		}
 		digest, wellFormed := digestOf(candidate.digest)
-		part := n.shared.restrict(whole, call.scope)
+		part := n.shared.restrict(complete, call.scope)
 		if wellFormed && part.Digest() == digest {
 			return part
 		}
@@ -329,7 +333,7 @@
 	return snapshot.Empty()
 }
 
-// encodeDeltas writes deltas, each of which is encoded once for all children.
+// encodeDeltas adds deltas to the answer. Each is encoded once for all children.
 func (n *Node) encodeDeltas(response *controlpb.WatchResponse, pending []pendingDelta) error {
 	for _, delta := range pending {
 		payload, err := n.shared.delta(delta.base, delta.target)
