--- a/internal/forwarding/caller.go
+++ b/internal/forwarding/caller.go
@@ -65,7 +65,7 @@
 	}
 	rare := c.state.comesBack(timeout)
 	c.back = !c.nested && (rare || c.plane.refusals.returned(c.request, c.began.Add(timeout)))
-	c.report.CameBack = c.back
+	c.report.ClientRetry = c.back
 	body, err := c.plane.holdBody(w, c.request, configuration.MaximumBody, c.end)
 	if err != nil {
 		return nil, err
--- a/internal/forwarding/observer.go
+++ b/internal/forwarding/observer.go
@@ -48,8 +48,8 @@
 	RetryDenied bool
 	// Held is how long the call waited for its node to start.
 	Held time.Duration
-	// CameBack tells that the caller was taken for one that was refused before.
-	CameBack bool
+	// ClientRetry tells that the caller was taken for one that was refused before.
+	ClientRetry bool
 	// BudgetLeft is how many further attempts the budget allowed at the end.
 	BudgetLeft float64
 	// Left is the time that was left of the call.
--- a/internal/forwarding/refusals_test.go
+++ b/internal/forwarding/refusals_test.go
@@ -65,10 +65,10 @@
 	again := callerRequest(t, front, http.MethodGet, "/read/1", nil)
 	again.Header.Set("X-Timeout", fmt.Sprint(3917-time.Since(began).Milliseconds()))
 	ask(t, again)
-	if report := <-front.reports; report.CameBack {
+	if report := <-front.reports; report.ClientRetry {
 		t.Error("the first try was taken for a return")
 	}
-	if report := <-front.reports; !report.CameBack {
+	if report := <-front.reports; !report.ClientRetry {
 		t.Error("the second try was taken for a first")
 	}
 }
--- a/internal/telemetry/hosted_calls.go
+++ b/internal/telemetry/hosted_calls.go
@@ -94,7 +94,7 @@
 // CallFinished counts a call, and records one that was not served at once.
 func (o *ForwardingObserver) CallFinished(report forwarding.CallReport) {
 	o.calls.WithLabelValues(report.Service, string(report.Outcome), string(report.Reason)).Inc()
-	if report.CameBack {
+	if report.ClientRetry {
 		o.returns.WithLabelValues(report.Service, string(report.Outcome)).Inc()
 	}
 	if report.Held > 0 {
@@ -120,7 +120,7 @@
 	o.tenant(entry, report)
 	o.outcome(entry, report).Str("peer", report.Node).Str("instance", report.Instance).
 		Int("offers", report.Offers)
-	o.decided(entry, report).Bool("came_back", report.CameBack).Float64("budget", report.BudgetLeft).
+	o.decided(entry, report).Bool("came_back", report.ClientRetry).Float64("budget", report.BudgetLeft).
 		Int64("left_milliseconds", report.Left.Milliseconds()).Int64(fieldDuration, report.Duration.Milliseconds()).
 		Int64("retry_after_milliseconds", report.RetryAfter.Milliseconds()).Bool("truncated", report.Truncated)
 	end(entry.Str(fieldError, causeText(report.Cause)))
--- a/internal/telemetry/hosted_calls_test.go
+++ b/internal/telemetry/hosted_calls_test.go
@@ -18,10 +18,10 @@
 	o := NewForwardingObserver(registry, NewLog(io.Discard, "node", LevelError), func() {})
 	answered := forwarding.CallReport{Service: "ledger", Outcome: outcome.Answered, Offers: 1}
 	o.CallFinished(answered)
-	answered.CameBack = true
+	answered.ClientRetry = true
 	o.CallFinished(answered)
 	o.CallFinished(answered)
-	o.CallFinished(forwarding.CallReport{Service: "ledger", Outcome: outcome.NotRun, Reason: outcome.Overloaded, CameBack: true})
+	o.CallFinished(forwarding.CallReport{Service: "ledger", Outcome: outcome.NotRun, Reason: outcome.Overloaded, ClientRetry: true})
 	counted := countedBy(t, registry, "returned_calls_total", labelOutcome)
 	if counted[string(outcome.Answered)] != 2 || counted[string(outcome.NotRun)] != 1 {
 		t.Errorf("counted: %v", counted)
