--- a/internal/forwarding/authentication.go
+++ b/internal/forwarding/authentication.go
@@ -120,7 +120,7 @@
 	}
 	wait, admitted := c.plane.config.Quota.Take(ctx, c.tenant.Name, limit)
 	if !admitted {
-		return outcome.WithRetryAfter(outcome.QuotaExceeded, returnInTime(wait, c.spareTime(), rand.Float64()))
+		return outcome.WithRetryAfter(outcome.QuotaExceeded, quotaRetryAfter(wait, c.spareTime(), rand.Float64()))
 	}
 	c.charged = true
 	return nil
@@ -134,11 +134,11 @@
 	return c.target() - spent - lastWorkReserve*work
 }
 
-// returnInTime returns after which time a caller beyond its tenant's limit is to come back.
+// quotaRetryAfter returns after which time a caller beyond its tenant's limit is to come back.
 // While a tenant stays beyond its limit, a caller that waited for its turn would be late and
 // would take a token from one that could be in time. Where the turn comes too late, callers
 // are therefore spread over the time within which their answers can still be in time.
-func returnInTime(turn, spare time.Duration, draw float64) time.Duration {
+func quotaRetryAfter(turn, spare time.Duration, draw float64) time.Duration {
 	if turn <= spare || spare <= shortestRetryAfter {
 		return turn
 	}
--- a/internal/forwarding/body.go
+++ b/internal/forwarding/body.go
@@ -130,7 +130,7 @@
 func (b *requestBody) repeatable() bool { return b.rest == nil || !b.sent.Load() }
 
 // long reports whether the body is worth a question before it is sent to another node.
-func (b *requestBody) long() bool { return b.rest != nil || len(b.held) >= questionedBody }
+func (b *requestBody) long() bool { return b.rest != nil || len(b.held) >= expectContinueBody }
 
 // sending is the body on its way over one connection.
 type sending struct {
--- a/internal/forwarding/caller.go
+++ b/internal/forwarding/caller.go
@@ -34,9 +34,9 @@
 	parent  *parentCall
 	// charged tells that the call was taken from the limit of its tenant.
 	charged bool
-	// back tells that the caller was refused before and comes back.
-	back   bool
-	report CallReport
+	// clientRetry tells that the caller was refused before and comes clientRetry.
+	clientRetry bool
+	report      CallReport
 	// identified is the fingerprint of the request, once it was needed.
 	identified identity
 }
@@ -63,9 +63,9 @@
 	if err := c.accept(configuration.Table, timeout); err != nil {
 		return nil, err
 	}
-	rare := c.state.comesBack(timeout)
-	c.back = !c.nested && (rare || c.plane.refusals.returned(c.request, c.began.Add(timeout)))
-	c.report.ClientRetry = c.back
+	rare := c.state.observeTimeout(timeout)
+	c.clientRetry = !c.nested && (rare || c.plane.refusals.isRetry(c.request, c.began.Add(timeout)))
+	c.report.ClientRetry = c.clientRetry
 	body, err := c.plane.holdBody(w, c.request, configuration.MaximumBody, c.end)
 	if err != nil {
 		return nil, err
--- a/internal/forwarding/charge_test.go
+++ b/internal/forwarding/charge_test.go
@@ -116,14 +116,14 @@
 func TestRefusedCallersReturnInTime(t *testing.T) {
 	const spare = 140 * time.Millisecond
 	for _, draw := range []float64{0, 0.5, 0.999} {
-		if wait := returnInTime(time.Second, spare, draw); wait < shortestRetryAfter || wait >= spare {
+		if wait := quotaRetryAfter(time.Second, spare, draw); wait < shortestRetryAfter || wait >= spare {
 			t.Errorf("draw %v: %v", draw, wait)
 		}
 	}
-	if wait := returnInTime(spare/2, spare, 0.5); wait != spare/2 {
+	if wait := quotaRetryAfter(spare/2, spare, 0.5); wait != spare/2 {
 		t.Errorf("a turn in time is told as %v", wait)
 	}
-	if wait := returnInTime(time.Second, 0, 0.5); wait != time.Second {
+	if wait := quotaRetryAfter(time.Second, 0, 0.5); wait != time.Second {
 		t.Errorf("a caller that cannot be in time is told %v", wait)
 	}
 }
--- a/internal/forwarding/choose_bench_test.go
+++ b/internal/forwarding/choose_bench_test.go
@@ -18,13 +18,13 @@
 				e := &endpoint{node: fmt.Sprint("w", n), zone: "z", slots: 12, slowness: 1, reportedAt: now}
 				e.report = slotqueue.Load{Running: n % 12, Slots: 12, Hold: unknownHold}
 				if tells {
-					e.told.observe(1, now)
-					e.others.observe(float64(n%12), now)
+					e.reportedSlowness.observe(1, now)
+					e.foreignRequests.observe(float64(n%12), now)
 				}
 				d.ordered = append(d.ordered, e)
 			}
-			request := wish{work: unknownHold, target: time.Second, patience: unknownHold, reachable: func(string) bool { return true }}
-			now = now.Add(reportLife / 2)
+			request := criteria{work: unknownHold, target: time.Second, waitLimit: unknownHold, reachable: func(string) bool { return true }}
+			now = now.Add(reportDecay / 2)
 			b.ReportAllocs()
 			for b.Loop() {
 				chosen, _ := d.choose(request, now)
--- a/internal/forwarding/claim.go
+++ b/internal/forwarding/claim.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// crossed returns the claim of a call whose long body has crossed. What has crossed is lost
+// afterTransfer returns the claim of a call whose long body has afterTransfer. What has afterTransfer is lost
 // when it gets no slot, so it may wait for one for as long as its answer can be due.
-func (c claim) crossed() claim {
+func (c claim) afterTransfer() claim {
 	if c.due.IsZero() {
 		return c
 	}
@@ -47,9 +47,9 @@
 	return c
 }
 
-// onLink returns the claim of a call to the turn of its long body on a link: the body has to
+// forTransfer returns the claim of a call to the turn of its long body on a link: the body has to
 // be there by when the work must begin, and how long it crosses is not how long it works.
-func (c claim) onLink() claim {
+func (c claim) forTransfer() claim {
 	if !c.due.IsZero() {
 		c.due = c.due.Add(-c.work)
 	}
--- a/internal/forwarding/claim_test.go
+++ b/internal/forwarding/claim_test.go
@@ -11,7 +11,7 @@
 	now := time.Unix(1000, 0)
 	wanted := claim{rank: 3, work: 260 * time.Millisecond, due: now.Add(500 * time.Millisecond), latestStart: now.Add(100 * time.Millisecond)}
 	want := claim{rank: 3, due: now.Add(240 * time.Millisecond), latestStart: now.Add(100 * time.Millisecond)}
-	if turn := wanted.onLink(); turn != want {
+	if turn := wanted.forTransfer(); turn != want {
 		t.Errorf("%+v", turn)
 	}
 }
@@ -20,11 +20,11 @@
 func TestBodyThatHasCrossedWaitsUntilItIsDue(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := claim{work: 260 * time.Millisecond, due: now.Add(1200 * time.Millisecond), latestStart: now.Add(480 * time.Millisecond)}
-	if left := wanted.crossed().latestStart.Sub(now); left != 940*time.Millisecond {
+	if left := wanted.afterTransfer().latestStart.Sub(now); left != 940*time.Millisecond {
 		t.Errorf("a slot within %v", left)
 	}
 	wanted.due = time.Time{}
-	if left := wanted.crossed().latestStart.Sub(now); left != 480*time.Millisecond {
+	if left := wanted.afterTransfer().latestStart.Sub(now); left != 480*time.Millisecond {
 		t.Errorf("not due at any time: a slot within %v", left)
 	}
 }
--- a/internal/forwarding/config.go
+++ b/internal/forwarding/config.go
@@ -72,12 +72,12 @@
 const (
 	// bufferedBody is the size up to which a body is held whole.
 	bufferedBody = 1 << 20
-	// questionedBody is the size from which on a body is sent to another node only
+	// expectContinueBody is the size from which on a body is sent to another node only
 	// when that node has said that it takes the call.
-	questionedBody = 8 << 10
-	// questionBound is how long the word of the other node is waited for: it always
+	expectContinueBody = 8 << 10
+	// expectContinueBound is how long the word of the other node is waited for: it always
 	// comes, unless the call ends first.
-	questionBound = time.Hour
+	expectContinueBound = time.Hour
 	// parallelTransfers bounds the long bodies that cross to this node at a time.
 	// They share its link with all other calls, and so one or two are enough to
 	// fill it. A transfer that takes longer than slowTransfer is held up elsewhere,
@@ -122,35 +122,35 @@
 	// maximumRefusals bounds how many nodes are asked for a slot, one of another zone
 	// after that apart.
 	maximumRefusals = 4
-	// leastPatienceShare and mostPatienceShare are the shares of a route's target latency
+	// leastWaitShare and mostPatienceShare are the shares of a route's target latency
 	// that bound how long a call may wait for a slot, counted from its arrival. What has
 	// waited longer without being offered to a worker is refused, while the caller has
 	// time to come back. With 0.4 for all, a deployment at its capacity gained 0.018 of a
 	// day and one whose calls wait for calls of their own lost 0.04, against 0.2.
-	leastPatienceShare = 0.2
-	mostPatienceShare  = 0.4
-	// lastTryTargets is the time left, in targets of the route, within which a caller
+	leastWaitShare = 0.2
+	mostWaitShare  = 0.4
+	// lastAttemptTargets is the time left, in targets of the route, within which a caller
 	// that comes back is taken to have its last try: it obeys a time to come back for
 	// a third of what is left, and a try after that would have little over one target.
 	// With longer waits for all that come back, routes of which the time is six
 	// targets lost 0.055 of a day (two overloaded days, each with and without).
-	lastTryTargets = 2.2
-	// lastPatienceShare is the share of the time left that such a caller may wait:
+	lastAttemptTargets = 2.2
+	// lastAttemptWaitShare is the share of the time left that such a caller may wait:
 	// less than half, so that one that gets no slot after all hears it while its time
 	// is not over. What remains must be enough for lastWorkReserve times the usual
 	// work on the route: most answers take less.
-	lastPatienceShare = 0.45
-	lastWorkReserve   = 2
-	// nestedPatienceShare is the share of the time left that a call may wait which
+	lastAttemptWaitShare = 0.45
+	lastWorkReserve      = 2
+	// nestedWaitShare is the share of the time left that a call may wait which
 	// a worker made for another call: when it fails, the work on that other one
 	// is lost, too. nestedRank is the rank of one whose parent is not known: it goes first.
-	nestedPatienceShare = 0.5
-	nestedRank          = -1
-	// longestPatience bounds the wait on routes that name no target.
-	longestPatience = 500 * time.Millisecond
-	// shallowPatience is the wait that a call asks for while other nodes may
+	nestedWaitShare = 0.5
+	nestedRank      = -1
+	// longestWait bounds the wait on routes that name no target.
+	longestWait = 500 * time.Millisecond
+	// shallowWait is the wait that a call asks for while other nodes may
 	// have a free slot.
-	shallowPatience = 3 * time.Millisecond
+	shallowWait = 3 * time.Millisecond
 
 	// defaultRetryAfter is what a refused caller is told to wait when nothing
 	// better is known, and shortestRetryAfter the least.
--- a/internal/forwarding/early_test.go
+++ b/internal/forwarding/early_test.go
@@ -43,7 +43,7 @@
 			return
 		}
 		id := request.Header.Get("X-Id")
-		if request.ContentLength >= questionedBody {
+		if request.ContentLength >= expectContinueBody {
 			fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", id)
 			return
 		}
@@ -65,7 +65,7 @@
 	front.table.Update(func(own *fleet.Node) { own.Workers = front.registry.Workers() })
 	configure(t, ledgerRoutes, front)
 	for call := range 5 {
-		long := callerRequest(t, front, http.MethodPost, "/file/1", bytes.NewReader(make([]byte, 2*questionedBody)))
+		long := callerRequest(t, front, http.MethodPost, "/file/1", bytes.NewReader(make([]byte, 2*expectContinueBody)))
 		if status, _, _ := ask(t, long); status != http.StatusServiceUnavailable {
 			t.Fatalf("call %d: a long body: status %d", call, status)
 		}
--- a/internal/forwarding/endpoints.go
+++ b/internal/forwarding/endpoints.go
@@ -18,12 +18,12 @@
 const (
 	// speedWeight is the weight of one more observation of an endpoint's speed.
 	speedWeight = 0.15
-	// reportLife is how long a told load counts; it fades over that time.
-	reportLife = 500 * time.Millisecond
-	// crowdPenalty is the share by which a full worker counts as slower than an idle
+	// reportDecay is how long a told load counts; it fades over that time.
+	reportDecay = 500 * time.Millisecond
+	// busyPenalty is the share by which a full worker counts as slower than an idle
 	// one. What is known of its load is a little old, and many nodes choose at the
 	// same time: without it they crowd at the fastest workers of a large mesh.
-	crowdPenalty = 0.3
+	busyPenalty = 0.3
 	// scoreNoise keeps many nodes from choosing the same endpoint.
 	scoreNoise = 0.1
 	// failurePause is how long an endpoint that could not be used is left alone.
@@ -37,10 +37,10 @@
 	// time when the own zone is in trouble.
 	maximumEndpoints = 24
 	nearEndpoints    = 16
-	// failingLife is how long a told share of failures counts; it fades over that
+	// failingDecay is how long a told share of failures counts; it fades over that
 	// time. failureCost is what a failure costs, in targets of the route.
-	failingLife = 4 * time.Second
-	failureCost = 2.0
+	failingDecay = 4 * time.Second
+	failureCost  = 2.0
 	// overdueFactor is how many times what a request is expected to take, and
 	// overdueMargin how much more, an endpoint that holds requests of this node may answer
 	// none before others are preferred: a machine that froze, or connections that fell silent without a
@@ -56,8 +56,8 @@
 // endpoint is one worker as the node where calls begin sees it.
 type endpoint struct {
 	node, zone, address, instance string
-	// born is when the life of the worker began; zero until it is known.
-	born atomic.Int64
+	// startedAt is when the life of the worker began; zero until it is known.
+	startedAt atomic.Int64
 	// version is that of the worker's software; empty when it has not said.
 	version string
 	slots   int
@@ -71,10 +71,10 @@
 	// slowness is how long requests take there, relative to all endpoints, and to what
 	// the worker tells if it does.
 	slowness float64
-	// told is what the worker tells of its slowness itself.
-	told fadingMean
-	// others is how many requests of other nodes such a worker has.
-	others fadingMean
+	// reportedSlowness is what the worker tells of its slowness itself.
+	reportedSlowness decayingMean
+	// foreignRequests is how many requests of other nodes such a worker has.
+	foreignRequests decayingMean
 	// pausedUntil is until when the endpoint is chosen only as the last resort.
 	pausedUntil time.Time
 	// overdueAt is when the endpoint is taken to be silent, unless it answers before: it
@@ -82,30 +82,30 @@
 	overdueAt time.Time
 }
 
-// life returns the name of the worker's life. Calls read it while it becomes known.
-func (e *endpoint) life() workers.Incarnation {
-	return workers.Incarnation{Instance: e.instance, StartedAt: e.born.Load()}
+// incarnation returns the name of the worker's incarnation. Calls read it while it becomes known.
+func (e *endpoint) incarnation() workers.Incarnation {
+	return workers.Incarnation{Instance: e.instance, StartedAt: e.startedAt.Load()}
 }
 
-// await sets when the endpoint is overdue: a request that it holds is expected to take the
+// setOverdueAt sets when the endpoint is overdue: a request that it holds is expected to take the
 // given time.
-func (e *endpoint) await(expected time.Duration, now time.Time) {
+func (e *endpoint) setOverdueAt(expected time.Duration, now time.Time) {
 	e.overdueAt = now.Add(overdueFactor*expected + overdueMargin)
 }
 
-// silent reports whether the endpoint holds requests and has answered none for long.
-func (e *endpoint) silent(now time.Time) bool {
+// unresponsive reports whether the endpoint holds requests and has answered none for long.
+func (e *endpoint) unresponsive(now time.Time) bool {
 	return !e.overdueAt.IsZero() && now.After(e.overdueAt)
 }
 
 // destination is what is known of the workers of one service.
 type destination struct {
-	service string
-	self    string
-	zone    string
-	budget  *retry.WindowBudget
-	further *retry.Budget
-	view    atomic.Pointer[fleet.View]
+	service          string
+	self             string
+	zone             string
+	budget           *retry.WindowBudget
+	additionalOffers *retry.Budget
+	view             atomic.Pointer[fleet.View]
 	// draw returns the noise in scores, from 0 to 1; nil draws it at random.
 	draw func() float64
 	// steering decided which of the endpoints were taken.
@@ -141,11 +141,11 @@
 	for _, node := range d.serving(view, steering) {
 		worker, _ := node.Serves(d.service)
 		found, same := known[node.ID]
-		if !same || !found.life().Same(worker.Incarnation()) || found.address != node.CallAddress {
+		if !same || !found.incarnation().Same(worker.Incarnation()) || found.address != node.CallAddress {
 			found = &endpoint{node: node.ID, zone: node.Zone, address: node.CallAddress, instance: worker.Instance, slowness: 1}
 		}
 		if worker.StartedAt != 0 {
-			found.born.Store(worker.StartedAt)
+			found.startedAt.Store(worker.StartedAt)
 		}
 		found.slots, found.version = worker.Slots, worker.Version
 		d.endpoints[node.ID] = found
@@ -199,15 +199,15 @@
 	expected time.Duration
 }
 
-// wish is what one request asks of the choice.
-type wish struct {
+// criteria is what one request asks of the choice.
+type criteria struct {
 	// bytes that will cross to the endpoint and back.
 	bytes int
 	// long tells that the body waits for its turn on the link of the endpoint.
 	long bool
-	// elsewhere tells that the own zone has no room: only others are chosen from, and
+	// otherZones tells that the own zone has no room: only others are chosen from, and
 	// what the bytes to them cost does not count.
-	elsewhere bool
+	otherZones bool
 	// tried are the nodes that are not to be chosen again.
 	tried []string
 	// work is how long the request is expected to run, target the time within
@@ -217,14 +217,14 @@
 	usual time.Duration
 	// version is the version of the service that takes the request.
 	version versionChoice
-	// patience is how long the request may wait for a slot.
-	patience time.Duration
+	// waitLimit is how long the request may wait for a slot.
+	waitLimit time.Duration
 	// linksFull tells that long bodies wait for the links of the own zone. The choice
 	// fills it in.
 	linksFull bool
-	// luck is drawn for each choice, from 0 to 1: calls of the same kind do not all
+	// draw is drawn for each choice, from 0 to 1: calls of the same kind do not all
 	// leave a zone at the same time.
-	luck float64
+	draw float64
 	// local returns the load of this node's own worker.
 	local func() (slotqueue.Load, bool)
 	// reachable tells which nodes this one reaches.
@@ -233,18 +233,18 @@
 
 // choose takes the endpoint with the least expected delay; false when there is
 // none. The request counts as outstanding there until done is called.
-func (d *destination) choose(w wish, now time.Time) (choice, bool) {
+func (d *destination) choose(w criteria, now time.Time) (choice, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	version := w.version
 	if d.oneVersion {
 		version = versionChoice{}
 	}
-	w.linksFull = w.long && d.links.full(d.zone, w.patience, now)
+	w.linksFull = w.long && d.links.full(d.zone, w.waitLimit, now)
 	var best choice
 	bestScore, nextScore := math.Inf(1), math.Inf(1)
 	for _, e := range d.ordered {
-		if contains(w.tried, e.node) || w.elsewhere && e.zone == d.zone || !version.takes(e.version) {
+		if contains(w.tried, e.node) || w.otherZones && e.zone == d.zone || !version.takes(e.version) {
 			continue
 		}
 		load, usable := d.loadOf(e, w, now)
@@ -265,17 +265,17 @@
 	}
 	e := best.endpoint
 	e.outstanding++
-	best.expected = min(best.load.Wait(), w.patience) + time.Duration(e.work(w, best.load.Slowness))
+	best.expected = min(best.load.Wait(), w.waitLimit) + time.Duration(e.work(w, best.load.Slowness))
 	if e.overdueAt.IsZero() {
-		e.await(best.expected, now)
+		e.setOverdueAt(best.expected, now)
 	}
 	return best, true
 }
 
 // loadOf returns the load that an endpoint is taken to have, and whether the
 // endpoint is usable as far as this node knows.
-func (d *destination) loadOf(e *endpoint, w wish, now time.Time) (slotqueue.Load, bool) {
-	usable := now.After(e.pausedUntil) && !e.silent(now)
+func (d *destination) loadOf(e *endpoint, w criteria, now time.Time) (slotqueue.Load, bool) {
+	usable := now.After(e.pausedUntil) && !e.unresponsive(now)
 	if e.node == d.self {
 		if load, ok := w.local(); ok {
 			return load, usable
@@ -287,14 +287,14 @@
 		load = slotqueue.Load{Slots: max(e.slots, 1), Hold: unknownHold}
 	}
 	others := float64(load.Running + load.Waiting - e.reportedOutstanding)
-	fading := 1 - float64(now.Sub(e.reportedAt))/float64(2*reportLife)
-	if e.told.known() {
-		others, fading = e.others.at(now), 1
-		load.Slowness = e.told.at(now)
+	fading := 1 - float64(now.Sub(e.reportedAt))/float64(2*reportDecay)
+	if e.reportedSlowness.known() {
+		others, fading = e.foreignRequests.at(now), 1
+		load.Slowness = e.reportedSlowness.at(now)
 	}
 	expected := max(others*max(fading, 0.25), 0) + float64(e.outstanding)
 	load.Transfer = d.links.expected(e.zone, load.Transfer, e.reportedAt, now)
-	load.Failing *= max(1-float64(now.Sub(e.reportedAt))/float64(failingLife), 0)
+	load.Failing *= max(1-float64(now.Sub(e.reportedAt))/float64(failingDecay), 0)
 	load.Running = min(int(expected+0.5), load.Slots)
 	load.Waiting = int(expected+0.5) - load.Running
 	return load, usable && w.reachable(e.node)
@@ -302,10 +302,10 @@
 
 // score is the expected delay in nanoseconds, with what else speaks against an
 // endpoint.
-func (d *destination) score(e *endpoint, load slotqueue.Load, w wish, usable bool) float64 {
+func (d *destination) score(e *endpoint, load slotqueue.Load, w criteria, usable bool) float64 {
 	work := max(e.work(w, load.Slowness), float64(time.Millisecond)*e.slowness)
 	busy := float64(load.Running) / float64(load.Slots)
-	score := work * (1 + crowdPenalty*busy*busy)
+	score := work * (1 + busyPenalty*busy*busy)
 	score += waitCost(load)
 	if e.zone != d.zone {
 		score += float64(otherZoneDelay) + otherZonePrice(w)
@@ -349,14 +349,14 @@
 	case e.outstanding == 0:
 		e.overdueAt = time.Time{}
 	case r.hasLoad:
-		e.await(c.expected, now)
+		e.setOverdueAt(c.expected, now)
 	}
 	if r.hasLoad {
 		d.links.observe(e.zone, r.load.Transfer, now)
 		e.report, e.reportedAt, e.reportedOutstanding = r.load, now, e.outstanding
 		if r.load.Slowness > 0 {
-			e.told.observe(r.load.Slowness, now)
-			e.others.observe(max(float64(r.load.Running+r.load.Waiting-e.outstanding), 0), now)
+			e.reportedSlowness.observe(r.load.Slowness, now)
+			e.foreignRequests.observe(max(float64(r.load.Running+r.load.Waiting-e.outstanding), 0), now)
 		}
 	}
 	if r.relative > 0 {
--- a/internal/forwarding/fixture_test.go
+++ b/internal/forwarding/fixture_test.go
@@ -123,7 +123,7 @@
 		Suspended: func(time.Time) time.Duration { return time.Duration(node.suspended.Load()) },
 	})
 	// Calls do not wait for a node that runs.
-	node.plane.started = time.Now().Add(-startTime)
+	node.plane.started = time.Now().Add(-startPeriod)
 	node.plane.Open()
 	hops := node.plane.HopServer()
 	go func() { _ = hops.Serve(listener) }()
--- a/internal/forwarding/further_test.go
+++ b/internal/forwarding/further_test.go
@@ -10,7 +10,7 @@
 func TestFurtherOffersEndUnderOverload(t *testing.T) {
 	const calls = 1000
 	now := time.Now()
-	refused, answered := newFurtherOffers(), newFurtherOffers()
+	refused, answered := newAdditionalOffers(), newAdditionalOffers()
 	made := 0
 	for range calls {
 		if refused.Spend(now) {
@@ -18,7 +18,7 @@
 		}
 		refused.Earn()
 	}
-	if most := furtherMost + int(furtherShare*calls) + 1; made > most {
+	if most := additionalOfferBurst + int(additionalOfferShare*calls) + 1; made > most {
 		t.Errorf("%d further offers for %d answers, at most %d", made, calls, most)
 	}
 	for i := range calls {
--- a/internal/forwarding/hop.go
+++ b/internal/forwarding/hop.go
@@ -28,11 +28,11 @@
 	// that the request is known to have caused, when the worker's life began if that is
 	// known, the expected work with the time until the answer is due, and for a worker that
 	// tells its slowness how slow it may be. Each constant is the number up to that field.
-	hopFields        = 6
-	hopFieldsLevel   = 7
-	hopFieldsBorn    = 8
-	hopFieldsWork    = 10
-	hopFieldsSlowest = 11
+	hopFields          = 6
+	hopFieldsLevel     = 7
+	hopFieldsStartedAt = 8
+	hopFieldsWork      = 10
+	hopFieldsSlowest   = 11
 	// loadFields is the number of fields of a load. Newer nodes add the slowness of a worker
 	// that tells it.
 	loadFields         = 7
@@ -51,13 +51,13 @@
 // hop is what the node where a call began tells the worker's node.
 type hop struct {
 	// service and life name the worker.
-	service string
-	life    workers.Incarnation
+	service     string
+	incarnation workers.Incarnation
 	// caller is the service of the node where the call began.
 	caller string
 	rank   int
-	// patience is how long the call may wait for a slot, left until its end.
-	patience, left time.Duration
+	// waitLimit is how long the call may wait for a slot, left until its end.
+	waitLimit, left time.Duration
 	// level is how many crashes of workers the node where the call began knows the
 	// request to have caused.
 	level int
@@ -71,7 +71,7 @@
 
 // claim returns the call's claim at this node, to which it came at the given time.
 func (h hop) claim(came time.Time) claim {
-	wanted := claim{rank: h.rank, work: h.work, latestStart: came.Add(h.patience)}
+	wanted := claim{rank: h.rank, work: h.work, latestStart: came.Add(h.waitLimit)}
 	if h.due > 0 {
 		wanted.due = came.Add(h.due)
 	}
@@ -80,11 +80,11 @@
 
 func (h hop) encode() string {
 	fields := []string{
-		h.service, h.life.Instance, h.caller, strconv.Itoa(h.rank), formatMicroseconds(h.patience), formatMicroseconds(h.left),
+		h.service, h.incarnation.Instance, h.caller, strconv.Itoa(h.rank), formatMicroseconds(h.waitLimit), formatMicroseconds(h.left),
 		strconv.Itoa(h.level),
 	}
-	if h.life.StartedAt != 0 || h.work != 0 {
-		fields = append(fields, strconv.FormatInt(h.life.StartedAt, 10))
+	if h.incarnation.StartedAt != 0 || h.work != 0 {
+		fields = append(fields, strconv.FormatInt(h.incarnation.StartedAt, 10))
 	}
 	if h.work != 0 {
 		fields = append(fields, formatMicroseconds(h.work), formatMicroseconds(h.due))
@@ -97,19 +97,19 @@
 
 func parseHop(text string) (hop, bool) {
 	fields := strings.Split(text, hopSeparator)
-	if len(fields) < hopFields || len(fields) > hopFieldsSlowest || len(fields) == hopFieldsBorn+1 {
+	if len(fields) < hopFields || len(fields) > hopFieldsSlowest || len(fields) == hopFieldsStartedAt+1 {
 		return hop{}, false
 	}
 	rank, rankErr := strconv.Atoi(fields[3])
 	patience, patienceOK := parseMicroseconds(fields[4])
 	left, leftOK := parseMicroseconds(fields[5])
-	parsed := hop{service: fields[0], life: workers.Incarnation{Instance: fields[1]}, caller: fields[2], rank: rank, patience: patience, left: left}
+	parsed := hop{service: fields[0], incarnation: workers.Incarnation{Instance: fields[1]}, caller: fields[2], rank: rank, waitLimit: patience, left: left}
 	var levelErr, bornErr error
 	if len(fields) >= hopFieldsLevel {
 		parsed.level, levelErr = strconv.Atoi(fields[hopFieldsLevel-1])
 	}
-	if len(fields) >= hopFieldsBorn {
-		parsed.life.StartedAt, bornErr = strconv.ParseInt(fields[hopFieldsBorn-1], 10, 64)
+	if len(fields) >= hopFieldsStartedAt {
+		parsed.incarnation.StartedAt, bornErr = strconv.ParseInt(fields[hopFieldsStartedAt-1], 10, 64)
 	}
 	workOK, dueOK := true, true
 	if len(fields) >= hopFieldsWork {
--- a/internal/forwarding/inbound.go
+++ b/internal/forwarding/inbound.go
@@ -11,12 +11,12 @@
 
 // hopCall is one request from another node for the worker of this one.
 type hopCall struct {
-	plane   *Plane
-	request *http.Request
-	hop     hop
-	leg     *workerLeg
-	body    *requestBody
-	began   time.Time
+	plane      *Plane
+	request    *http.Request
+	hop        hop
+	connection *workerConnection
+	body       *requestBody
+	began      time.Time
 	// request that the worker was asked with; its zero value until then.
 	asked workerCall
 }
@@ -34,18 +34,18 @@
 	c.hop = parsed
 	ctx, cancel := context.WithDeadlineCause(r.Context(), c.began.Add(parsed.left), errEnd)
 	defer cancel()
-	result, err := c.ask(ctx, w)
+	result, err := c.run(ctx, w)
 	p.releaseBody(c.body)
 	c.conclude(w, result, err)
 }
 
-// ask has the worker answer.
-func (c *hopCall) ask(ctx context.Context, w http.ResponseWriter) (*answer, error) {
-	leg, err := c.plane.local.find(c.hop.service, c.hop.life)
+// run has the worker answer.
+func (c *hopCall) run(ctx context.Context, w http.ResponseWriter) (*answer, error) {
+	leg, err := c.plane.local.find(c.hop.service, c.hop.incarnation)
 	if err != nil {
 		return nil, err
 	}
-	c.leg = leg
+	c.connection = leg
 	if declines(leg.slowness(), c.hop.slowest) {
 		return nil, outcome.New(outcome.Declined)
 	}
@@ -58,11 +58,11 @@
 		return nil, err
 	}
 	end := c.began.Add(c.hop.left)
-	if err := c.take(ctx, w, wanted, end); err != nil {
+	if err := c.receiveBody(ctx, w, wanted, end); err != nil {
 		return nil, err
 	}
 	if c.body.long() {
-		wanted = wanted.crossed()
+		wanted = wanted.afterTransfer()
 	}
 	if !authenticated.checked && leg.slowness() == 0 {
 		wanted = wanted.byArrival()
@@ -72,7 +72,7 @@
 	if c.asked.level, quarantined = c.plane.suspicion(&c.asked, c.hop.level); quarantined {
 		return nil, outcome.New(outcome.Quarantined)
 	}
-	result, err := leg.ask(ctx, &c.asked)
+	result, err := leg.run(ctx, &c.asked)
 	c.plane.countRun(c.hop.service, leg.worker, c.request, &c.asked, result, err)
 	return result, err
 }
@@ -91,14 +91,14 @@
 	}
 }
 
-// take reads the body. A long one waits for its turn on the link of this node.
-func (c *hopCall) take(ctx context.Context, w http.ResponseWriter, wanted claim, end time.Time) error {
-	if c.request.ContentLength >= 0 && c.request.ContentLength < questionedBody {
+// receiveBody reads the body. A long one waits for its turn on the link of this node.
+func (c *hopCall) receiveBody(ctx context.Context, w http.ResponseWriter, wanted claim, end time.Time) error {
+	if c.request.ContentLength >= 0 && c.request.ContentLength < expectContinueBody {
 		var err error
 		c.body, err = c.plane.holdBody(w, c.request, 0, end)
 		return err
 	}
-	permit, err := c.plane.transfers.Admit(ctx, wanted.onLink().request())
+	permit, err := c.plane.transfers.Admit(ctx, wanted.forTransfer().request())
 	if err != nil {
 		c.plane.refusedTransfers.Add(1)
 		return admissionFailure(ctx, err)
@@ -117,13 +117,13 @@
 		RequestID: c.request.Header.Get(c.plane.config.Dialect.RequestID),
 		Service:   c.hop.service,
 		Tenant:    principalOf(c.request.Header[principalHeader]).tenant,
-		Instance:  c.hop.life.String(),
+		Instance:  c.hop.incarnation.String(),
 		Node:      c.plane.config.Node,
 		Left:      c.hop.left,
 	}
 	var load slotqueue.Load
-	if c.leg != nil {
-		load = c.leg.load()
+	if c.connection != nil {
+		load = c.connection.load()
 		report.Running, report.Waiting, report.Slots = load.Running, load.Waiting, load.Slots
 	}
 	report.Waited, report.Ran = c.asked.waited, c.asked.ran
--- a/internal/forwarding/leg.go
+++ b/internal/forwarding/leg.go
@@ -22,8 +22,8 @@
 // to cross.
 var errSlowTransfer = errors.New("the body takes too long to cross")
 
-// leg is one request on its way over one connection.
-type leg struct {
+// httpExchange is one request on its way over one connection.
+type httpExchange struct {
 	transport *http.Transport
 	request   *http.Request
 	body      *requestBody
@@ -31,25 +31,25 @@
 	reused    bool
 	// pace bounds how fast a long body is sent; nil sets no bound.
 	pace *rate.Limiter
-	// questioned tells that the other side begins nothing before it has the body,
+	// expectContinue tells that the other side begins nothing before it has the body,
 	// and is asked before that is sent.
-	questioned bool
+	expectContinue bool
 	// sending is the body on its way; nil unless it is long.
 	sending atomic.Pointer[sending]
 }
 
 // do sends the request and returns the head of the answer. Errors are those of
 // package outcome: not-run when nothing was written on any connection.
-func (l *leg) do(ctx context.Context) (*http.Response, error) {
-	response, err := l.try(ctx)
+func (l *httpExchange) do(ctx context.Context) (*http.Response, error) {
+	response, err := l.attempt(ctx)
 	stale := err != nil && l.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && l.body.repeatable()
 	if stale {
-		response, err = l.try(ctx)
+		response, err = l.attempt(ctx)
 	}
 	return response, err
 }
 
-func (l *leg) try(ctx context.Context) (*http.Response, error) {
+func (l *httpExchange) attempt(ctx context.Context) (*http.Response, error) {
 	l.conn, l.reused = nil, false
 	l.sending.Store(l.body.attach(l.request, l.pace))
 	trace := &httptrace.ClientTrace{GotConn: l.gotConn}
@@ -60,7 +60,7 @@
 	return response, nil
 }
 
-func (l *leg) gotConn(info httptrace.GotConnInfo) {
+func (l *httpExchange) gotConn(info httptrace.GotConnInfo) {
 	if tracked, ok := info.Conn.(*httpleg.Conn); ok {
 		tracked.Begin()
 		l.conn, l.reused = tracked, info.Reused
@@ -70,8 +70,8 @@
 // boundTransfer has the leg give up at the given time if the body has not crossed
 // by then: its answer could not be of full worth any more, and while a part of the
 // body is missing nothing has begun. The context ends with the response's body.
-func (l *leg) boundTransfer(ctx context.Context, end time.Time) (context.Context, func()) {
-	if !l.questioned {
+func (l *httpExchange) boundTransfer(ctx context.Context, end time.Time) (context.Context, func()) {
+	if !l.expectContinue {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -84,9 +84,9 @@
 }
 
 // classify tells what became of a request that got no answer.
-func (l *leg) classify(ctx context.Context, err error) error {
+func (l *httpExchange) classify(ctx context.Context, err error) error {
 	ended := errors.Is(context.Cause(ctx), errEnd)
-	if l.conn == nil || l.conn.Seal() || l.questioned && l.sending.Load().seal() {
+	if l.conn == nil || l.conn.Seal() || l.expectContinue && l.sending.Load().seal() {
 		switch {
 		case errors.Is(context.Cause(ctx), errSlowTransfer):
 			return outcome.WithRetryAfter(outcome.Overloaded, defaultRetryAfter)
@@ -116,7 +116,7 @@
 		MaxIdleConnsPerHost:    connections,
 		IdleConnTimeout:        idle,
 		MaxResponseHeaderBytes: maximumHeaderBytes,
-		ExpectContinueTimeout:  questionBound,
+		ExpectContinueTimeout:  expectContinueBound,
 	}
 }
 
--- a/internal/forwarding/linkwait.go
+++ b/internal/forwarding/linkwait.go
@@ -8,9 +8,9 @@
 const (
 	// linkWaitWeight is the weight of one more told wait in the mean of a zone.
 	linkWaitWeight = 0.1
-	// linkWaitLife is the time over which that mean fades to 1/e, so that a zone to which
+	// linkWaitDecay is the time over which that mean fades to 1/e, so that a zone to which
 	// this node sends no call any more is tried again.
-	linkWaitLife = 2 * time.Second
+	linkWaitDecay = 2 * time.Second
 )
 
 // fullShare is the share of its patience that a long body waits for a link on the average where
@@ -35,7 +35,7 @@
 	if w.mean <= 0 {
 		return 0
 	}
-	return time.Duration(float64(w.mean) * math.Exp(-float64(now.Sub(w.at))/float64(linkWaitLife)))
+	return time.Duration(float64(w.mean) * math.Exp(-float64(now.Sub(w.at))/float64(linkWaitDecay)))
 }
 
 // full reports whether long bodies of the given patience wait for the links of a zone.
@@ -55,6 +55,6 @@
 // expected returns how long a long body is expected to wait for the link of a worker of the
 // zone that told a wait at the given time.
 func (l *linkWaits) expected(zone string, told time.Duration, toldAt, now time.Time) time.Duration {
-	fresh := max(1-float64(now.Sub(toldAt))/float64(reportLife), 0)
+	fresh := max(1-float64(now.Sub(toldAt))/float64(reportDecay), 0)
 	return time.Duration(fresh*float64(told) + (1-fresh)*float64(l.at(zone, now)))
 }
--- a/internal/forwarding/linkwait_test.go
+++ b/internal/forwarding/linkwait_test.go
@@ -15,7 +15,7 @@
 	for range 50 {
 		waits.observe("a", told, now)
 	}
-	if wait := waits.expected("a", 0, now.Add(-2*reportLife), now); wait < told*9/10 || wait > told {
+	if wait := waits.expected("a", 0, now.Add(-2*reportDecay), now); wait < told*9/10 || wait > told {
 		t.Errorf("not heard of: %v", wait)
 	}
 	if wait := waits.expected("a", 0, now, now); wait != 0 {
@@ -24,7 +24,7 @@
 	if wait := waits.expected("b", 0, time.Time{}, now); wait != 0 {
 		t.Errorf("another zone: %v", wait)
 	}
-	later := now.Add(5 * linkWaitLife)
+	later := now.Add(5 * linkWaitDecay)
 	if wait := waits.expected("a", 0, now, later); wait > told/100 {
 		t.Errorf("long after the last word: %v", wait)
 	}
--- a/internal/forwarding/lives_test.go
+++ b/internal/forwarding/lives_test.go
@@ -75,7 +75,7 @@
 		t.Error("a heartbeat of the same life has forgotten what is known")
 	}
 	next := look(200, 1)
-	if next.slowness != 1 || next.outstanding != 0 || next.born.Load() != 200 {
+	if next.slowness != 1 || next.outstanding != 0 || next.startedAt.Load() != 200 {
 		t.Errorf("the next life has %+v", next)
 	}
 }
@@ -92,7 +92,7 @@
 	var calls sync.WaitGroup
 	calls.Go(func() {
 		for range 1000 {
-			if e.life().Instance != "w1" {
+			if e.incarnation().Instance != "w1" {
 				t.Error("another instance")
 			}
 		}
@@ -100,7 +100,7 @@
 	node.beatBorn(t, worker, 100, 2, false)
 	d.refresh(node.table.View(), &steeringTable{})
 	calls.Wait()
-	if same := d.endpoints["a"]; same != e || same.life().StartedAt != 100 {
-		t.Errorf("life %v", same.life())
+	if same := d.endpoints["a"]; same != e || same.incarnation().StartedAt != 100 {
+		t.Errorf("life %v", same.incarnation())
 	}
 }
--- a/internal/forwarding/local.go
+++ b/internal/forwarding/local.go
@@ -12,13 +12,13 @@
 type localWorkers struct {
 	plane *Plane
 	mutex sync.Mutex
-	// legs are by instance, each of one life of it.
-	legs map[string]*workerLeg
+	// connections are by instance, each of one life of it.
+	connections map[string]*workerConnection
 }
 
 // find returns the way to the worker that takes the requests of a service. A life whose
 // instance is not empty must be that worker's.
-func (l *localWorkers) find(service string, life workers.Incarnation) (*workerLeg, error) {
+func (l *localWorkers) find(service string, life workers.Incarnation) (*workerConnection, error) {
 	if l.plane.stopping.Load() {
 		return nil, outcome.New(outcome.Draining)
 	}
@@ -33,8 +33,8 @@
 	defer l.mutex.Unlock()
 	leg, known := l.known(worker)
 	if !known {
-		leg = l.plane.newWorkerLeg(worker)
-		l.legs[worker.Instance] = leg
+		leg = l.plane.newWorkerConnection(worker)
+		l.connections[worker.Instance] = leg
 	}
 	return leg, nil
 }
@@ -42,8 +42,8 @@
 // known returns the way to a worker. One to a former life of the same instance is closed
 // and forgotten: its connections, requests and failures are not the new life's. The mutex
 // is held.
-func (l *localWorkers) known(worker workers.Worker) (*workerLeg, bool) {
-	leg, known := l.legs[worker.Instance]
+func (l *localWorkers) known(worker workers.Worker) (*workerConnection, bool) {
+	leg, known := l.connections[worker.Instance]
 	if !known {
 		return nil, false
 	}
@@ -51,7 +51,7 @@
 		return leg, true
 	}
 	leg.close()
-	delete(l.legs, worker.Instance)
+	delete(l.connections, worker.Instance)
 	return nil, false
 }
 
@@ -61,7 +61,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var sum slotqueue.Load
-	for _, leg := range l.legs {
+	for _, leg := range l.connections {
 		load := leg.load()
 		sum.Running += load.Running
 		sum.Waiting += load.Waiting
@@ -87,7 +87,7 @@
 		if worker.State.DrainCommitted() {
 			if known {
 				leg.close()
-				delete(l.legs, worker.Instance)
+				delete(l.connections, worker.Instance)
 			}
 			continue
 		}
@@ -96,10 +96,10 @@
 			leg.setSlots(worker.Slots)
 		}
 	}
-	for instance, leg := range l.legs {
+	for instance, leg := range l.connections {
 		if !kept[instance] {
 			leg.close()
-			delete(l.legs, instance)
+			delete(l.connections, instance)
 		}
 	}
 }
--- a/internal/forwarding/offer.go
+++ b/internal/forwarding/offer.go
@@ -33,10 +33,10 @@
 	return o.call.plane.localLoad(o.destination.service)
 }
 
-// askLocal asks the worker beside this node.
-func (o *offers) askLocal(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
-	o.crossing = 0
-	leg, err := o.call.plane.local.find(o.destination.service, chosen.endpoint.life())
+// offerLocal asks the worker beside this node.
+func (o *offers) offerLocal(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
+	o.roundTrip = 0
+	leg, err := o.call.plane.local.find(o.destination.service, chosen.endpoint.incarnation())
 	if err != nil {
 		return nil, false, err
 	}
@@ -52,7 +52,7 @@
 		repeat:     o.repeated(),
 	}
 	request.level, _ = o.call.plane.suspicion(&request, 0)
-	answered, err := leg.ask(ctx, &request)
+	answered, err := leg.run(ctx, &request)
 	o.call.plane.countRun(o.destination.service, leg.worker, o.call.request, &request, answered, err)
 	o.call.report.Waited, o.call.report.Ran = request.waited, request.ran
 	return answered, request.arrived, err
@@ -69,27 +69,27 @@
 	return wanted
 }
 
-// askNode asks the node beside another worker.
-func (o *offers) askNode(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
+// offerNode asks the node beside another worker.
+func (o *offers) offerNode(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
 	c, e := o.call, chosen.endpoint
 	header := forwardedHeader(c.request, &c.plane.config.Dialect)
 	now := time.Now()
 	level := c.level()
 	o.setHop(header, chosen, latestStart, now, level)
-	exchange := leg{transport: c.plane.peers, request: newRequest(c.request, e.address, header), body: c.body, questioned: c.body.long(), pace: c.plane.pace}
+	exchange := httpExchange{transport: c.plane.peers, request: newRequest(c.request, e.address, header), body: c.body, expectContinue: c.body.long(), pace: c.plane.pace}
 	ctx, stop := exchange.boundTransfer(ctx, c.began.Add(c.target()))
 	defer stop()
 	response, err := exchange.do(ctx)
-	o.crossing = time.Since(now)
+	o.roundTrip = time.Since(now)
 	if err != nil {
-		c.plane.noteFailure(e.node, err)
+		c.plane.recordFailure(e.node, err)
 		return nil, outcome.Of(err) != outcome.NotRun, err
 	}
 	c.plane.config.Contacts.Reached(e.node)
-	o.crossing -= heldOf(response.Header.Get(hopFailureHeader))
+	o.roundTrip -= heldOf(response.Header.Get(hopFailureHeader))
 	answered, arrived, err := readHopAnswer(ctx, response)
 	if outcome.ReasonOf(err) == outcome.WorkerCrashed {
-		c.crashedElsewhere(e.life(), level)
+		c.crashedElsewhere(e.incarnation(), level)
 	}
 	return answered, arrived, err
 }
@@ -103,13 +103,13 @@
 		wanted = c.claim(latestStart)
 	}
 	offered := hop{
-		service:  o.destination.service,
-		life:     chosen.endpoint.life(),
-		caller:   c.plane.serviceHere(),
-		rank:     wanted.rank,
-		patience: latestStart.Sub(now),
-		left:     c.plane.left(c.began, c.end),
-		level:    level,
+		service:     o.destination.service,
+		incarnation: chosen.endpoint.incarnation(),
+		caller:      c.plane.serviceHere(),
+		rank:        wanted.rank,
+		waitLimit:   latestStart.Sub(now),
+		left:        c.plane.left(c.began, c.end),
+		level:       level,
 	}
 	due := max(wanted.due.Sub(now), time.Microsecond)
 	switch offered.slowest = o.slowest(chosen); {
@@ -130,8 +130,8 @@
 	}
 }
 
-// noteFailure keeps that a node could not be reached.
-func (p *Plane) noteFailure(node string, err error) {
+// recordFailure keeps that a node could not be reached.
+func (p *Plane) recordFailure(node string, err error) {
 	switch outcome.ReasonOf(err) {
 	case outcome.Unreachable, outcome.ConnectionLost:
 		p.config.Contacts.Failed(node, time.Now(), 0)
--- a/internal/forwarding/offers.go
+++ b/internal/forwarding/offers.go
@@ -24,10 +24,10 @@
 	overloaded bool
 	// declines counts the nodes whose workers were slower than was believed.
 	declines int
-	// crossing is how long the last offer was on its way, there and back, without the
+	// roundTrip is how long the last offer was on its way, there and back, without the
 	// time for which the other node had it.
-	crossing time.Duration
-	last     error
+	roundTrip time.Duration
+	last      error
 	// failure is the first answer by which a worker told that it has failed. It is
 	// the answer if no other worker answers.
 	failure *answer
@@ -50,7 +50,7 @@
 			return o.conclude()
 		}
 		result, arrived, err := o.offer(ctx, chosen)
-		if err == nil && !o.askAnother(ctx, result) {
+		if err == nil && !o.mayOfferAnother(ctx, result) {
 			return result, nil
 		}
 		if err == nil {
@@ -63,15 +63,15 @@
 		if arrived {
 			o.arrivals++
 		}
-		if !o.goOn(ctx, err, arrived) {
+		if !o.mayContinue(ctx, err, arrived) {
 			return o.conclude()
 		}
 	}
 }
 
-// askAnother reports whether another worker may do better than one that has answered
+// mayOfferAnother reports whether another worker may do better than one that has answered
 // that it failed, and keeps that answer.
-func (o *offers) askAnother(ctx context.Context, result *answer) bool {
+func (o *offers) mayOfferAnother(ctx context.Context, result *answer) bool {
 	c := o.call
 	if result.status < http.StatusInternalServerError || result.rest != nil || o.failure != nil {
 		return false
@@ -102,7 +102,7 @@
 	if o.failure != nil {
 		return o.failure, nil
 	}
-	return nil, o.giveUp()
+	return nil, o.finalFailure()
 }
 
 func (o *offers) choose() (choice, bool) {
@@ -124,7 +124,7 @@
 	if chosen, ok := o.chooseOf(o.version, tried); ok {
 		return chosen, true
 	}
-	if other, allowed := o.version.other(); allowed {
+	if other, allowed := o.version.alternative(); allowed {
 		return o.chooseOf(other, tried)
 	}
 	return choice{}, false
@@ -133,26 +133,26 @@
 // chooseOf chooses a worker of one version.
 func (o *offers) chooseOf(version versionChoice, tried []string) (choice, bool) {
 	work, answerBytes := o.call.state.expected()
-	return o.destination.choose(wish{
-		version:   version,
-		bytes:     answerBytes + len(o.call.body.held),
-		long:      o.call.body.long(),
-		elsewhere: o.refusals >= maximumRefusals,
-		tried:     tried,
-		work:      work,
-		usual:     o.call.state.atUsualSpeed(),
-		target:    o.call.target(),
-		patience:  o.call.patience(),
-		luck:      rand.Float64(),
-		local:     o.local,
-		reachable: o.call.plane.config.Contacts.Reachable,
+	return o.destination.choose(criteria{
+		version:    version,
+		bytes:      answerBytes + len(o.call.body.held),
+		long:       o.call.body.long(),
+		otherZones: o.refusals >= maximumRefusals,
+		tried:      tried,
+		work:       work,
+		usual:      o.call.state.atUsualSpeed(),
+		target:     o.call.target(),
+		waitLimit:  o.call.waitLimit(),
+		draw:       rand.Float64(),
+		local:      o.local,
+		reachable:  o.call.plane.config.Contacts.Reachable,
 	}, time.Now())
 }
 
 // lastRefusal reports whether the call waits at the next node for as long as it can, in
 // place of asking a further one. A call of a worker goes first wherever it waits.
 func (o *offers) lastRefusal() bool {
-	return o.refusals >= maximumRefusals-1 || o.call.nested || o.destination.further.Tokens(time.Now()) < 1
+	return o.refusals >= maximumRefusals-1 || o.call.nested || o.destination.additionalOffers.Tokens(time.Now()) < 1
 }
 
 // mostRefusals is how many nodes are asked for a slot. A call that all have refused at
@@ -160,10 +160,10 @@
 // all is worse.
 func (o *offers) mostRefusals() int { return maximumRefusals + 1 }
 
-// goOn reports whether a further offer may be made after a failure. Only an
+// mayContinue reports whether a further offer may be made after a failure. Only an
 // offer that has reached a worker costs budget, and only one that may have run
 // is bound to what may be repeated.
-func (o *offers) goOn(ctx context.Context, err error, arrived bool) bool {
+func (o *offers) mayContinue(ctx context.Context, err error, arrived bool) bool {
 	if ctx.Err() != nil || !o.call.body.repeatable() {
 		return false
 	}
@@ -188,15 +188,15 @@
 		if o.refusals >= o.mostRefusals() || !time.Now().Before(o.latestStart) {
 			return false
 		}
-		return !full || o.crossedQuickly() || o.destination.further.Spend(time.Now())
+		return !full || o.hadShortRoundTrip() || o.destination.additionalOffers.Spend(time.Now())
 	}
 	return o.mayArriveAgain()
 }
 
-// crossedQuickly reports whether the last offer took so little time on its way that a
+// hadShortRoundTrip reports whether the last offer took so little time on its way that a
 // further one costs next to nothing: the links between the nodes are not filled.
-func (o *offers) crossedQuickly() bool {
-	return o.crossing < quickCrossing
+func (o *offers) hadShortRoundTrip() bool {
+	return o.roundTrip < shortRoundTrip
 }
 
 // slowest returns the slowness of the chosen worker from which on its node is to decline
@@ -207,12 +207,12 @@
 	if o.declines >= maximumDeclines || o.call.body.long() || !o.call.body.repeatable() || o.lastRefusal() && !o.call.nested {
 		return 0
 	}
-	return chosen.slowestWorth(o.call.state.atUsualSpeed())
+	return chosen.slowestWorthwhile(o.call.state.atUsualSpeed())
 }
 
-// giveUp returns the failure that the caller is told. Once an offer may have run,
+// finalFailure returns the failure that the caller is told. Once an offer may have run,
 // no later refusal can make the call one that has not.
-func (o *offers) giveUp() error {
+func (o *offers) finalFailure() error {
 	switch {
 	case o.unknown != nil:
 		return o.unknown
@@ -229,7 +229,7 @@
 	o.made++
 	o.tried = append(o.tried, endpoint.node)
 	report := &o.call.report
-	report.Node, report.Instance = endpoint.node, endpoint.life().String()
+	report.Node, report.Instance = endpoint.node, endpoint.incarnation().String()
 	report.Running, report.Waiting, report.Slots = chosen.load.Running, chosen.load.Waiting, chosen.load.Slots
 	// Waiting here is worth it for as long as the next best worker is expected
 	// to be later, and at the last node for as long as the call can wait at all.
@@ -237,19 +237,19 @@
 	switch {
 	case o.call.body.long():
 		guest := endpoint.zone != o.destination.zone
-		latestStart = earlier(latestStart, time.Now().Add(longWait(o.call.patience(), guest, o.lastRefusal())))
+		latestStart = earlier(latestStart, time.Now().Add(longWait(o.call.waitLimit(), guest, o.lastRefusal())))
 	case !o.lastRefusal():
-		latestStart = earlier(latestStart, time.Now().Add(chosen.worthWaiting()))
+		latestStart = earlier(latestStart, time.Now().Add(chosen.worthwhileWait()))
 	}
 	var answered *answer
 	var arrived bool
 	var err error
 	if endpoint.node == o.call.plane.config.Node {
-		answered, arrived, err = o.askLocal(ctx, chosen, latestStart)
+		answered, arrived, err = o.offerLocal(ctx, chosen, latestStart)
 	} else {
-		answered, arrived, err = o.askNode(ctx, chosen, latestStart)
+		answered, arrived, err = o.offerNode(ctx, chosen, latestStart)
 	}
-	o.learn(chosen, answered, err)
+	o.recordResult(chosen, answered, err)
 	return answered, arrived, err
 }
 
@@ -260,14 +260,14 @@
 	return b
 }
 
-// learn keeps what an offer has shown.
-func (o *offers) learn(chosen choice, answered *answer, err error) {
+// recordResult keeps what an offer has shown.
+func (o *offers) recordResult(chosen choice, answered *answer, err error) {
 	seen := result{}
 	switch {
 	case err == nil:
-		o.destination.further.Earn()
+		o.destination.additionalOffers.Earn()
 		if o.refusals > 0 {
-			o.destination.further.Succeed()
+			o.destination.additionalOffers.Succeed()
 		}
 		seen.load, seen.hasLoad = answered.load, answered.hasLoad
 		if answered.rest == nil && answered.ran > 0 && answered.status < http.StatusInternalServerError {
--- a/internal/forwarding/patience.go
+++ b/internal/forwarding/patience.go
@@ -6,9 +6,9 @@
 func (c *call) latestStart() time.Time {
 	from := c.offeredFrom()
 	if c.nested {
-		return from.Add(time.Duration(nestedPatienceShare * float64(c.end.Sub(from))))
+		return from.Add(time.Duration(nestedWaitShare * float64(c.end.Sub(from))))
 	}
-	latest := from.Add(c.patience())
+	latest := from.Add(c.waitLimit())
 	if latest.After(c.end) {
 		return c.end
 	}
@@ -23,18 +23,18 @@
 	return c.heldUntil
 }
 
-// patience is how long the call may wait for a slot: never so long that no time would be
+// waitLimit is how long the call may wait for a slot: never so long that no time would be
 // left for the work. A caller that comes back with too little time for a further try waits
 // for as long as this one can still be answered in time. With more time left it is refused
 // sooner: what waits long holds up others, and a later try may find a slot at once.
-func (c *call) patience() time.Duration {
+func (c *call) waitLimit() time.Duration {
 	work, _ := c.state.expected()
 	left := c.end.Sub(c.offeredFrom())
-	first := min(c.usefulWait(work), longestPatience, max(left-work, 0))
-	if !c.back && c.heldUntil.IsZero() || float64(left) > lastTryTargets*float64(c.target()) {
+	first := min(c.usefulWait(work), longestWait, max(left-work, 0))
+	if !c.clientRetry && c.heldUntil.IsZero() || float64(left) > lastAttemptTargets*float64(c.target()) {
 		return first
 	}
-	return max(first, min(time.Duration(lastPatienceShare*float64(left)), left-lastWorkReserve*work))
+	return max(first, min(time.Duration(lastAttemptWaitShare*float64(left)), left-lastWorkReserve*work))
 }
 
 // usefulWait is how long a call may wait and still be answered within the target, if it takes
@@ -42,8 +42,8 @@
 // since most calls take less, and another at most, since what waits longer holds up others.
 func (c *call) usefulWait(work time.Duration) time.Duration {
 	target := c.target()
-	least := time.Duration(leastPatienceShare * float64(target))
-	most := time.Duration(mostPatienceShare * float64(target))
+	least := time.Duration(leastWaitShare * float64(target))
+	most := time.Duration(mostWaitShare * float64(target))
 	return min(max(target-lastWorkReserve*work, least), most)
 }
 
--- a/internal/forwarding/plane.go
+++ b/internal/forwarding/plane.go
@@ -79,7 +79,7 @@
 		pace:         linkPace(config.LinkSpeed),
 		destinations: map[string]*destination{},
 	}
-	p.local = localWorkers{plane: p, legs: map[string]*workerLeg{}}
+	p.local = localWorkers{plane: p, connections: map[string]*workerConnection{}}
 	p.routes.states = map[string]*routeState{}
 	return p
 }
@@ -90,11 +90,11 @@
 	d, known := p.destinations[service]
 	if !known {
 		d = &destination{
-			service: service,
-			self:    p.config.Node,
-			zone:    p.config.Zone,
-			budget:  retry.NewWindowBudget(p.config.Retries),
-			further: newFurtherOffers(),
+			service:          service,
+			self:             p.config.Node,
+			zone:             p.config.Zone,
+			budget:           retry.NewWindowBudget(p.config.Retries),
+			additionalOffers: newAdditionalOffers(),
 		}
 		p.destinations[service] = d
 	}
@@ -110,7 +110,7 @@
 // localLoad returns the load of this node's worker of a service.
 func (p *Plane) localLoad(service string) (slotqueue.Load, bool) {
 	leg, err := p.local.find(service, workers.Incarnation{})
-	if err != nil || leg.quiet() {
+	if err != nil || leg.paused() {
 		return slotqueue.Load{}, false
 	}
 	return leg.load(), true
--- a/internal/forwarding/question_test.go
+++ b/internal/forwarding/question_test.go
@@ -83,7 +83,7 @@
 
 // TestSealedBodyIsNeverSent seals a body before and after its first byte was taken.
 func TestSealedBodyIsNeverSent(t *testing.T) {
-	body := &requestBody{held: make([]byte, questionedBody)}
+	body := &requestBody{held: make([]byte, expectContinueBody)}
 	var out http.Request
 	untouched := body.attach(&out, nil)
 	for range 2 {
@@ -95,7 +95,7 @@
 		t.Error("a sealed body was read")
 	}
 	begun := body.attach(&out, nil)
-	_, _ = out.Body.Read(make([]byte, questionedBody-1))
+	_, _ = out.Body.Read(make([]byte, expectContinueBody-1))
 	if !begun.seal() {
 		t.Error("a body that is held whole before anything begins must seal while a part is missing")
 	}
@@ -103,11 +103,11 @@
 		t.Error("the rest of a sealed body was read")
 	}
 	whole := body.attach(&out, nil)
-	_, _ = out.Body.Read(make([]byte, questionedBody))
+	_, _ = out.Body.Read(make([]byte, expectContinueBody))
 	if whole.seal() {
 		t.Error("a body that was taken whole sealed")
 	}
-	streamed := &requestBody{rest: bytes.NewReader(make([]byte, questionedBody)), length: questionedBody}
+	streamed := &requestBody{rest: bytes.NewReader(make([]byte, expectContinueBody)), length: expectContinueBody}
 	stream := streamed.attach(&out, nil)
 	_, _ = out.Body.Read(make([]byte, 1))
 	if stream.seal() {
--- a/internal/forwarding/rank.go
+++ b/internal/forwarding/rank.go
@@ -9,7 +9,7 @@
 	// stepFirst is that of callers that come for the first time, stepBack that of those
 	// that were refused before.
 	stepFirst
-	stepBack
+	stepRetry
 	rankSteps
 )
 
@@ -41,8 +41,8 @@
 
 // step returns the step of a call of a caller.
 func (c *call) step() step {
-	if c.back {
-		return stepBack
+	if c.clientRetry {
+		return stepRetry
 	}
 	return stepFirst
 }
--- a/internal/forwarding/rank_test.go
+++ b/internal/forwarding/rank_test.go
@@ -12,9 +12,9 @@
 	}
 	public := func(route int) parentCall { return parentCall{rank: rankOf(route, route, stepFirst)} }
 	for _, order := range [][]int{
-		{nestedRank, rankOf(0, 0, stepNested), rankOf(0, 0, stepFirst), rankOf(0, 0, stepBack), rankOf(0, 1, stepNested), rankOf(1, 0, stepNested)},
-		{rankOf(0, 2*routeRanks, stepBack), rankOf(1, 0, stepNested)},
-		{rankOf(0, 2, stepBack), nestedRankOf(parent(1, 2)), rankOf(1, 1, stepFirst), rankOf(1, 2, stepNested)},
+		{nestedRank, rankOf(0, 0, stepNested), rankOf(0, 0, stepFirst), rankOf(0, 0, stepRetry), rankOf(0, 1, stepNested), rankOf(1, 0, stepNested)},
+		{rankOf(0, 2*routeRanks, stepRetry), rankOf(1, 0, stepNested)},
+		{rankOf(0, 2, stepRetry), nestedRankOf(parent(1, 2)), rankOf(1, 1, stepFirst), rankOf(1, 2, stepNested)},
 		{nestedRankOf(parent(1, 1)), rankOf(1, 0, stepFirst), nestedRankOf(parent(1, 2)), rankOf(1, 1, stepFirst)},
 		{nestedRankOf(parent(1, 0)), rankOf(1, 0, stepFirst)},
 		{nestedRankOf(public(2)), rankOf(1, 1, stepFirst), rankOf(2, 2, stepFirst)},
--- a/internal/forwarding/refusals.go
+++ b/internal/forwarding/refusals.go
@@ -68,9 +68,9 @@
 	r.next = (r.next + 1) % rememberedRefusals
 }
 
-// returned reports whether a request is one that was refused before, of a caller that has
+// isRetry reports whether a request is one that was refused before, of a caller that has
 // time until the given end.
-func (r *refusals) returned(request *http.Request, end time.Time) bool {
+func (r *refusals) isRetry(request *http.Request, end time.Time) bool {
 	r.mu.Lock()
 	none := len(r.ends) == 0
 	r.mu.Unlock()
--- a/internal/forwarding/refusals_test.go
+++ b/internal/forwarding/refusals_test.go
@@ -17,7 +17,7 @@
 func TestCallersThatComeBackAreKnownByTheirRequest(t *testing.T) {
 	var r refusals
 	end := time.Now().Add(1130 * time.Millisecond)
-	if r.returned(readOf("/read/1"), end) {
+	if r.isRetry(readOf("/read/1"), end) {
 		t.Error("nobody was refused")
 	}
 	r.remember(readOf("/read/1"), end)
@@ -32,7 +32,7 @@
 		{"/read/1", 300 * time.Millisecond, false}, // another caller, with time of its own
 		{"/read/2", 0, false},
 	} {
-		if got := r.returned(readOf(test.path), end.Add(test.late)); got != test.want {
+		if got := r.isRetry(readOf(test.path), end.Add(test.late)); got != test.want {
 			t.Errorf("%s, %v later: %v", test.path, test.late, got)
 		}
 	}
@@ -47,7 +47,7 @@
 	if len(r.ends) != rememberedRefusals || len(r.order) != rememberedRefusals {
 		t.Errorf("%d refusals are remembered, %d in order", len(r.ends), len(r.order))
 	}
-	if r.returned(readOf("/read/0"), end) || !r.returned(readOf(fmt.Sprintf("/read/%d", 2*rememberedRefusals)), end) {
+	if r.isRetry(readOf("/read/0"), end) || !r.isRetry(readOf(fmt.Sprintf("/read/%d", 2*rememberedRefusals)), end) {
 		t.Error("not the oldest was forgotten")
 	}
 }
--- a/internal/forwarding/repeats.go
+++ b/internal/forwarding/repeats.go
@@ -6,11 +6,11 @@
 // the header take the call for a first one.
 const repeatHeader = "Levertide-Hop-Repeat"
 
-// firstTryShare is the share of the retry budget that callers may use which come for the
+// firstAttemptShare is the share of the retry budget that callers may use which come for the
 // first time. The rest is kept for those that come back, and for calls of workers: these
 // are lost with the next refusal, where a first one can still come back. When all workers of a service
 // turn away 0.55 of what comes, a retry saves 0.45 calls of callers that come back, and 0.25 of the others.
-const firstTryShare = 0.6
+const firstAttemptShare = 0.6
 
 // repeatedCallShare is the share of its part of the retry budget that a node spends at most with the calls
 // of repeated runs counted. They are mostly let through beyond its own part of three quarters, since a
@@ -35,8 +35,8 @@
 
 // retryShare is the share of the retry budget that the call may use.
 func (c *call) retryShare() float64 {
-	if c.back || c.nested {
+	if c.clientRetry || c.nested {
 		return 1
 	}
-	return firstTryShare
+	return firstAttemptShare
 }
--- a/internal/forwarding/repeats_test.go
+++ b/internal/forwarding/repeats_test.go
@@ -130,7 +130,7 @@
 			}
 			before, fewRetries := sheddingDay{nodes, budget(0.3), 1}.play(1)
 			alike, _ := sheddingDay{nodes, budget(0.75), 1}.play(1)
-			now, retries := sheddingDay{nodes, budget(0.75), firstTryShare}.play(1)
+			now, retries := sheddingDay{nodes, budget(0.75), firstAttemptShare}.play(1)
 			t.Logf("lost %.3f with 0.3 of the budget (%.0f retries), %.3f with 0.75, %.3f if a part is kept for those that come back (%.0f)",
 				before, fewRetries, alike, now, retries)
 			if now > 0.8*before || now > alike {
--- a/internal/forwarding/returning_test.go
+++ b/internal/forwarding/returning_test.go
@@ -87,7 +87,7 @@
 		{"too late for an answer", false, 80 * time.Millisecond, 90 * time.Millisecond, 0},
 	} {
 		c := &call{
-			began: began, end: began.Add(test.left), back: test.back,
+			began: began, end: began.Add(test.left), clientRetry: test.back,
 			route: &routing.Route{Config: &model.Route{TargetLatency: target}},
 			state: &routeState{work: test.work},
 		}
--- a/internal/forwarding/routes.go
+++ b/internal/forwarding/routes.go
@@ -138,9 +138,9 @@
 	return s.work
 }
 
-// comesBack counts the timeout of a caller and reports whether the caller was
+// observeTimeout counts the timeout of a caller and reports whether the caller was
 // refused before and comes back.
-func (s *routeState) comesBack(timeout time.Duration) bool {
+func (s *routeState) observeTimeout(timeout time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.timeouts.observe(timeout.Milliseconds())
--- a/internal/forwarding/silent_test.go
+++ b/internal/forwarding/silent_test.go
@@ -15,7 +15,7 @@
 	frozen := &endpoint{node: "frozen", zone: "z", slots: 4, slowness: fastestFactor}
 	slow := &endpoint{node: "slow", zone: "z", slots: 4, slowness: 2}
 	d := &destination{service: "ledger", self: "front", zone: "z", ordered: []*endpoint{frozen, slow}}
-	request := wish{work: work, target: time.Second, patience: work, reachable: func(string) bool { return true }}
+	request := criteria{work: work, target: time.Second, waitLimit: work, reachable: func(string) bool { return true }}
 	choose := func(want *endpoint, what string) choice {
 		t.Helper()
 		chosen, ok := d.choose(request, now)
--- a/internal/forwarding/slowness.go
+++ b/internal/forwarding/slowness.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// lastingTime is the time after which a former slowness has fallen to 1/e in what a
+	// longTermDecay is the time after which a former slowness has fallen to 1/e in what a
 	// worker's usual one is taken to be.
-	lastingTime = 5 * time.Second
-	// unexplained is how many times longer than the told slowness explains requests must
+	longTermDecay = 5 * time.Second
+	// unexplainedFactor is how many times longer than the told slowness explains requests must
 	// take before what was seen of them counts too: requests of a route differ so much
 	// among themselves that less is chance.
-	unexplained = 2.0
+	unexplainedFactor = 2.0
 	// waitWeight is how much more a wait counts than as long a run: about what one more
 	// request costs all others together at a worker that is two thirds full, 1/(1-2/3).
 	waitWeight = 3.0
@@ -26,43 +26,43 @@
 	maximumDeclines = 2
 )
 
-// fadingMean estimates a value that is told now and then. The zero value knows nothing.
-type fadingMean struct {
-	// latest was told last, at latestAt; lasting is the mean over time.
-	latest, lasting float64
-	latestAt        time.Time
+// decayingMean estimates a value that is told now and then. The zero value knows nothing.
+type decayingMean struct {
+	// latest was told last, at latestAt; longTerm is the mean over time.
+	latest, longTerm float64
+	latestAt         time.Time
 }
 
 // observe takes a value told at a time. One from before the latest is ignored.
-func (m *fadingMean) observe(value float64, at time.Time) {
+func (m *decayingMean) observe(value float64, at time.Time) {
 	switch {
 	case at.Before(m.latestAt):
 		return
 	case m.latestAt.IsZero():
-		m.lasting = value
+		m.longTerm = value
 	default:
-		weight := 1 - math.Exp(-float64(at.Sub(m.latestAt))/float64(lastingTime))
-		m.lasting += weight * (value - m.lasting)
+		weight := 1 - math.Exp(-float64(at.Sub(m.latestAt))/float64(longTermDecay))
+		m.longTerm += weight * (value - m.longTerm)
 	}
 	m.latest, m.latestAt = value, at
 }
 
 // at returns the value to be expected at a moment: the latest fades into the lasting one.
-func (m *fadingMean) at(now time.Time) float64 {
-	fresh := max(1-float64(now.Sub(m.latestAt))/float64(reportLife), 0)
-	return m.lasting + min(fresh, 1)*(m.latest-m.lasting)
+func (m *decayingMean) at(now time.Time) float64 {
+	fresh := max(1-float64(now.Sub(m.latestAt))/float64(reportDecay), 0)
+	return m.longTerm + min(fresh, 1)*(m.latest-m.longTerm)
 }
 
 // known reports whether a value was ever told.
-func (m *fadingMean) known() bool { return !m.latestAt.IsZero() }
+func (m *decayingMean) known() bool { return !m.latestAt.IsZero() }
 
 // work returns how long, in nanoseconds, a request is expected to run at the endpoint, whose
 // worker tells the given slowness; zero when it does not tell.
-func (e *endpoint) work(w wish, told float64) float64 {
+func (e *endpoint) work(w criteria, told float64) float64 {
 	if told == 0 {
 		return float64(w.work) * e.slowness
 	}
-	return float64(w.usual) * told * max(e.slowness/unexplained, 1)
+	return float64(w.usual) * told * max(e.slowness/unexplainedFactor, 1)
 }
 
 // waitCost is what the wait for a slot counts in a score, in nanoseconds. It weighs more at
@@ -76,21 +76,21 @@
 	return wait
 }
 
-// slowestWorth returns the slowness of the chosen worker beyond which the next best is
+// slowestWorthwhile returns the slowness of the chosen worker beyond which the next best is
 // expected to answer sooner, although the call must cross once more; zero when the worker
 // tells none or there is no next best.
-func (c choice) slowestWorth(work time.Duration) float64 {
+func (c choice) slowestWorthwhile(work time.Duration) float64 {
 	if c.load.Slowness == 0 || c.lead == longestLead {
 		return 0
 	}
 	// The lead is no more exact than the noise in the scores.
-	return c.load.Slowness*(1+scoreNoise) + float64(c.lead+quickCrossing)/float64(max(work, time.Millisecond))
+	return c.load.Slowness*(1+scoreNoise) + float64(c.lead+shortRoundTrip)/float64(max(work, time.Millisecond))
 }
 
-// worthWaiting returns how long the call may wait for the chosen worker's slot before the
+// worthwhileWait returns how long the call may wait for the chosen worker's slot before the
 // next best is expected to answer sooner.
-func (c choice) worthWaiting() time.Duration {
-	worth := max(c.lead, shallowPatience)
+func (c choice) worthwhileWait() time.Duration {
+	worth := max(c.lead, shallowWait)
 	if c.load.Slowness > 0 {
 		worth += c.load.Wait()
 	}
--- a/internal/forwarding/slowness_test.go
+++ b/internal/forwarding/slowness_test.go
@@ -111,8 +111,8 @@
 }
 
 // steady is a slowness that does not change.
-func steady(slowness float64) fadingMean {
-	return fadingMean{latest: slowness, lasting: slowness, latestAt: time.Now()}
+func steady(slowness float64) decayingMean {
+	return decayingMean{latest: slowness, longTerm: slowness, latestAt: time.Now()}
 }
 
 // TestSlowWorkerDeclinesWhatAnotherAnswersSooner has the nodes of two workers know these to be
@@ -138,13 +138,13 @@
 			introduce(front, first, second)
 			configure(t, ledgerRoutes, front, first, second)
 			d := front.plane.destination("ledger")
-			d.endpoints["first"].told, d.endpoints["second"].told = steady(c.firstBelieved), steady(next)
+			d.endpoints["first"].reportedSlowness, d.endpoints["second"].reportedSlowness = steady(c.firstBelieved), steady(next)
 			for node, slowness := range map[*testNode]float64{first: c.first, second: c.second} {
 				leg, err := node.plane.local.find("ledger", workers.Incarnation{})
 				if err != nil {
 					t.Fatal(err)
 				}
-				leg.told = steady(slowness)
+				leg.reportedSlowness = steady(slowness)
 			}
 			if status, _, _ := post(t, front, "/file/1", "x"); status != http.StatusOK || worker.calls.Load() != 1 {
 				t.Errorf("status %d, the worker had %d calls", status, worker.calls.Load())
@@ -160,7 +160,7 @@
 // TestNewsFadesIntoTheLasting looks at what is expected after news.
 func TestNewsFadesIntoTheLasting(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var m fadingMean
+	var m decayingMean
 	if m.known() || m.at(now) != 0 {
 		t.Errorf("before any news: %v", m.at(now))
 	}
@@ -171,13 +171,13 @@
 	if m.at(now) != 1 {
 		t.Errorf("after old news: %v", m.at(now))
 	}
-	now = now.Add(lastingTime)
+	now = now.Add(longTermDecay)
 	m.observe(3, now)
 	if fresh := m.at(now); fresh != 3 {
 		t.Errorf("after news: %v", fresh)
 	}
-	old := m.at(now.Add(reportLife))
-	if half := m.at(now.Add(reportLife / 2)); half <= old || half >= 3 || old <= 1 || old >= 3 {
+	old := m.at(now.Add(reportDecay))
+	if half := m.at(now.Add(reportDecay / 2)); half <= old || half >= 3 || old <= 1 || old >= 3 {
 		t.Errorf("%v after half of the life of news, %v after all", half, old)
 	}
 }
@@ -186,10 +186,10 @@
 // worker tells and by what was seen.
 func TestWhatIsSeenCountsBeyondWhatIsTold(t *testing.T) {
 	for _, c := range []struct{ seen, told, want float64 }{
-		{0.4, 0, 0.4}, {3, 0, 3}, {1, 0.55, 0.55}, {0.4, 1.2, 1.2}, {1.9, 1.2, 1.2}, {3 * unexplained, 2, 6},
+		{0.4, 0, 0.4}, {3, 0, 3}, {1, 0.55, 0.55}, {0.4, 1.2, 1.2}, {1.9, 1.2, 1.2}, {3 * unexplainedFactor, 2, 6},
 	} {
 		e := &endpoint{slowness: c.seen}
-		if got := e.work(wish{work: 1, usual: 1}, c.told); got != c.want {
+		if got := e.work(criteria{work: 1, usual: 1}, c.told); got != c.want {
 			t.Errorf("seen %v, told %v: %v, want %v", c.seen, c.told, got, c.want)
 		}
 	}
@@ -197,17 +197,17 @@
 
 // TestSlownessBeyondBelief has a worker tell a figure that no work can take.
 func TestSlownessBeyondBelief(t *testing.T) {
-	leg := &workerLeg{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
-	leg.hear(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
+	leg := &workerConnection{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
+	leg.observeLoad(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
 	told := slotqueue.Load{Slots: 4, Slowness: leg.slowness()}
 	if load, _, ok := parseLoad(formatLoad(told, 0)); !ok || load.Slowness != told.Slowness {
 		t.Errorf("a load of %+v reads %+v", told, load)
 	}
-	limit := choice{load: told, lead: time.Second}.slowestWorth(time.Second)
+	limit := choice{load: told, lead: time.Second}.slowestWorthwhile(time.Second)
 	if read, ok := parseHop(hop{service: "s", work: time.Second, slowest: limit}.encode()); !ok || read.slowest <= 0 {
 		t.Errorf("a limit of %v reads %v, %v", limit, read.slowest, ok)
 	}
-	work := (&endpoint{slowness: 1}).work(wish{usual: time.Hour}, told.Slowness)
+	work := (&endpoint{slowness: 1}).work(criteria{usual: time.Hour}, told.Slowness)
 	if time.Duration(work) <= 0 {
 		t.Errorf("an hour of work is expected to take %v", time.Duration(work))
 	}
--- a/internal/forwarding/starting.go
+++ b/internal/forwarding/starting.go
@@ -13,13 +13,13 @@
 // that waits until the node knows workers is answered, mostly in time.
 
 const (
-	// startTime is how long after its start a node is taken to know less than there is:
+	// startPeriod is how long after its start a node is taken to know less than there is:
 	// nodes of a mesh of 985 know all others within a second of a start of all.
-	startTime = 3 * time.Second
-	// startPatienceShare is the share of its time that a call may wait for that: less
+	startPeriod = 3 * time.Second
+	// startWaitShare is the share of its time that a call may wait for that: less
 	// than half, so that one which cannot be served after all hears it while there is time for
 	// another try.
-	startPatienceShare = 0.45
+	startWaitShare = 0.45
 	// firstStartPause and longestStartPause bound the pauses between two looks. The first
 	// is short against the time of an answer; the others grow, since a look may ask some nodes.
 	firstStartPause   = 10 * time.Millisecond
@@ -34,45 +34,45 @@
 // the node has started, how much time the call has and how long its work takes. Zero has it
 // refused at once: the node is not starting, or the call cannot be served.
 func startWait(age, left, work time.Duration) time.Duration {
-	if age >= startTime || left <= lastWorkReserve*work {
+	if age >= startPeriod || left <= lastWorkReserve*work {
 		return 0
 	}
-	return min(time.Duration(startPatienceShare*float64(left)), left-lastWorkReserve*work)
+	return min(time.Duration(startWaitShare*float64(left)), left-lastWorkReserve*work)
 }
 
 // startFailure is how far a failure may be owed to a start.
 type startFailure int
 
 const (
-	// lasting: the failure has another cause.
-	lasting startFailure = iota
-	// metNobody: the call has met no worker.
-	metNobody
-	// crowded: the few workers that are known have no room. When a whole mesh starts all
+	// otherCause: the failure has another cause.
+	otherCause startFailure = iota
+	// noWorkerReached: the call has met no worker.
+	noWorkerReached
+	// allFull: the few workers that are known have no room. When a whole mesh starts all
 	// nodes know the same workers first, and all calls go there.
-	crowded
+	allFull
 )
 
 func startFailureOf(err error) startFailure {
 	if outcome.Of(err) != outcome.NotRun {
-		return lasting
+		return otherCause
 	}
 	switch outcome.ReasonOf(err) {
 	case outcome.NotReady, outcome.NoWorker, outcome.Unreachable:
-		return metNobody
+		return noWorkerReached
 	case outcome.Overloaded:
-		return crowded
+		return allFull
 	}
-	return lasting
+	return otherCause
 }
 
 // awaitWorkers has a call that was refused wait until another try may find a worker. It
 // reports false when the refusal stands.
 func (c *call) awaitWorkers(ctx context.Context, service string, known int, err error, pauses *startPauses) bool {
 	switch startFailureOf(err) {
-	case metNobody:
+	case noWorkerReached:
 		return c.hold(ctx, pauses)
-	case crowded:
+	case allFull:
 		for {
 			now, grewAt := c.plane.destination(service).known()
 			switch {
--- a/internal/forwarding/starting_test.go
+++ b/internal/forwarding/starting_test.go
@@ -101,7 +101,7 @@
 		{"first moments", 10 * ms, 1200 * ms, 100 * ms, 540 * ms},
 		{"long work", 10 * ms, 1200 * ms, 400 * ms, 400 * ms},
 		{"no time for the work", 10 * ms, 200 * ms, 100 * ms, 0},
-		{"node that has run for long", startTime, 1200 * ms, 100 * ms, 0},
+		{"node that has run for long", startPeriod, 1200 * ms, 100 * ms, 0},
 	} {
 		if wait := startWait(test.age, test.left, test.work); wait != test.want {
 			t.Errorf("%s: %v, not %v", test.name, wait, test.want)
--- a/internal/forwarding/steering.go
+++ b/internal/forwarding/steering.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// other returns the choice of the other version, if that may take the call as well.
-func (c versionChoice) other() (versionChoice, bool) {
+// alternative returns the choice of the alternative version, if that may take the call as well.
+func (c versionChoice) alternative() (versionChoice, bool) {
 	return versionChoice{target: c.target, wanted: !c.wanted, strict: true}, c.target != "" && !c.strict
 }
 
--- a/internal/forwarding/suspects.go
+++ b/internal/forwarding/suspects.go
@@ -55,9 +55,9 @@
 	p.config.Evidence([]quarantine.Report{report})
 }
 
-// answeredWhole takes that a worker has answered a request: it is none that crashes
+// answeredComplete takes that a worker has answered a request: it is none that crashes
 // workers.
-func (p *Plane) answeredWhole(call *workerCall) {
+func (p *Plane) answeredComplete(call *workerCall) {
 	if p.config.Quarantine.Empty() {
 		return
 	}
@@ -67,7 +67,7 @@
 }
 
 // isolate waits until the worker has no other suspect in hand.
-func (l *workerLeg) isolate(ctx context.Context, latestStart time.Time) error {
+func (l *workerConnection) isolate(ctx context.Context, latestStart time.Time) error {
 	switch {
 	case l.crashes.Isolate(ctx, latestStart):
 		return nil
@@ -79,10 +79,10 @@
 }
 
 // ended reports whether the worker, of which a connection was lost, has ended.
-func (l *workerLeg) ended(ctx context.Context) bool {
+func (l *workerConnection) ended(ctx context.Context) bool {
 	ended := l.crashes.Ended(ctx, l.worker.Address)
 	if ended {
-		l.quietUntil.Store(time.Now().Add(unreachablePause).UnixNano())
+		l.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 	}
 	return ended
 }
--- a/internal/forwarding/suspects_test.go
+++ b/internal/forwarding/suspects_test.go
@@ -188,7 +188,7 @@
 
 // TestHopOfAnOlderNodeIsRead reads a hop that tells nothing of crashes.
 func TestHopOfAnOlderNodeIsRead(t *testing.T) {
-	told := hop{service: "s", life: workers.Incarnation{Instance: "i"}, caller: "c", rank: 2, patience: time.Second, left: 2 * time.Second, level: 1}
+	told := hop{service: "s", incarnation: workers.Incarnation{Instance: "i"}, caller: "c", rank: 2, waitLimit: time.Second, left: 2 * time.Second, level: 1}
 	read, ok := parseHop(told.encode())
 	if !ok || read != told {
 		t.Errorf("read %+v, %v", read, ok)
@@ -199,7 +199,7 @@
 	if !ok || older != told {
 		t.Errorf("of an older node: %+v, %v", older, ok)
 	}
-	told.level, told.life.StartedAt = 1, 1790722800123
+	told.level, told.incarnation.StartedAt = 1, 1790722800123
 	if born, ok := parseHop(told.encode()); !ok || born != told {
 		t.Errorf("with a birth: %+v, %v", born, ok)
 	}
--- a/internal/forwarding/transfer_test.go
+++ b/internal/forwarding/transfer_test.go
@@ -70,7 +70,7 @@
 	}
 	d := &destination{service: "ledger", self: "front", zone: "z"}
 	e := &endpoint{node: "back", zone: "z", slowness: 1}
-	long, short := wish{long: true, target: time.Second}, wish{target: time.Second}
+	long, short := criteria{long: true, target: time.Second}, criteria{target: time.Second}
 	if d.score(e, load, long, true)-d.score(e, load, short, true) < float64(60*time.Millisecond) {
 		t.Error("a busy link does not count for a long body")
 	}
--- a/internal/forwarding/uneven_test.go
+++ b/internal/forwarding/uneven_test.go
@@ -40,7 +40,7 @@
 	running         int
 	waiting         []*unevenRequest
 	// told is what its node knows.
-	told fadingMean
+	told decayingMean
 }
 
 type unevenRequest struct {
@@ -152,16 +152,16 @@
 	for {
 		work, _ := u.routes[r.node].expected()
 		usual := u.routes[r.node].atUsualSpeed()
-		chosen, _ := u.nodes[r.node].choose(wish{
-			work: work, usual: usual, target: unevenTarget, patience: unevenPatience, tried: tried, reachable: func(string) bool { return true },
+		chosen, _ := u.nodes[r.node].choose(criteria{
+			work: work, usual: usual, target: unevenTarget, waitLimit: unevenPatience, tried: tried, reachable: func(string) bool { return true },
 		}, u.now)
 		w := u.byNode[chosen.endpoint.node]
 		last := len(tried) >= maximumRefusals-1
 		switch {
-		case u.declines && declined < maximumDeclines && !last && declines(w.told.at(u.now), chosen.slowestWorth(usual)):
+		case u.declines && declined < maximumDeclines && !last && declines(w.told.at(u.now), chosen.slowestWorthwhile(usual)):
 			declined++
 			u.declined++
-		case !last && u.load(w).Wait() > min(chosen.worthWaiting(), unevenPatience):
+		case !last && u.load(w).Wait() > min(chosen.worthwhileWait(), unevenPatience):
 			tried = append(tried, chosen.endpoint.node)
 		default:
 			r.choice = chosen
--- a/internal/forwarding/work_test.go
+++ b/internal/forwarding/work_test.go
@@ -10,10 +10,10 @@
 	now := time.Now()
 	c := claim{rank: 1, work: time.Second, due: now.Add(3 * time.Second), latestStart: now.Add(time.Second)}
 	want := claim{rank: 1, due: now.Add(2 * time.Second), latestStart: now.Add(time.Second)}
-	if got := c.onLink(); got != want {
+	if got := c.forTransfer(); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
-	if got := (claim{}).onLink(); !got.due.IsZero() {
+	if got := (claim{}).forTransfer(); !got.due.IsZero() {
 		t.Errorf("a claim that is never due is due at %v", got.due)
 	}
 }
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -36,14 +36,14 @@
 	connectionsPerSlot = 2
 )
 
-// workerLeg is the way from this node to one life of a worker beside it.
-type workerLeg struct {
+// workerConnection is the way from this node to one life of a worker beside it.
+type workerConnection struct {
 	dialect *Dialect
 	queue   *slotqueue.Queue
 	// failures is the share of requests that fail at the worker.
 	failures failureShare
-	// make returns a transport to the worker.
-	make func(idle time.Duration, slots int) *http.Transport
+	// makeTransport returns a transport to the worker.
+	makeTransport func(idle time.Duration, slots int) *http.Transport
 	// unshared carries long bodies, each over a connection that is not used again: a
 	// worker may answer before it has read the body and read on much later, and a
 	// request that followed on the connection would wait behind it. The worker is not
@@ -54,19 +54,19 @@
 	worker    workers.Worker
 	transport *http.Transport
 	idle      time.Duration
-	// told is the slowness that the worker tells in its answers.
-	told fadingMean
-	// foreign is how many requests the worker is known to have from a former life of the
+	// reportedSlowness is the slowness that the worker tells in its answers.
+	reportedSlowness decayingMean
+	// inheritedRequests is how many requests the worker is known to have from a former life of the
 	// node. They take slots: some workers that are given more than they can hold stop
 	// answering.
-	foreign int
+	inheritedRequests int
 	// slots is how many slots the worker has.
 	slots int
-	// quietUntil, in nanoseconds, is until when the worker is left alone after
+	// pausedUntil, in nanoseconds, is until when the worker is left alone after
 	// it took no connection.
-	quietUntil atomic.Int64
-	// born is when the life of the worker began, as far as it is known.
-	born atomic.Int64
+	pausedUntil atomic.Int64
+	// startedAt is when the life of the worker began, as far as it is known.
+	startedAt atomic.Int64
 	// replaced is set when another worker answered at the address.
 	replaced atomic.Bool
 
@@ -75,41 +75,41 @@
 	plane   *Plane
 }
 
-func (p *Plane) newWorkerLeg(worker workers.Worker) *workerLeg {
-	leg := &workerLeg{
-		dialect: &p.config.Dialect,
-		queue:   slotqueue.New(worker.Slots - worker.Busy),
-		worker:  worker,
-		foreign: worker.Busy,
-		slots:   worker.Slots,
-		idle:    workerIdle,
-		plane:   p,
-		crashes: crashwatch.New(p.config.Dial),
-		make: func(idle time.Duration, slots int) *http.Transport {
+func (p *Plane) newWorkerConnection(worker workers.Worker) *workerConnection {
+	leg := &workerConnection{
+		dialect:           &p.config.Dialect,
+		queue:             slotqueue.New(worker.Slots - worker.Busy),
+		worker:            worker,
+		inheritedRequests: worker.Busy,
+		slots:             worker.Slots,
+		idle:              workerIdle,
+		plane:             p,
+		crashes:           crashwatch.New(p.config.Dial),
+		makeTransport: func(idle time.Duration, slots int) *http.Transport {
 			return newWorkerTransport(p.config.Dial, idle, slots)
 		},
 	}
-	leg.born.Store(worker.StartedAt)
-	leg.transport = leg.make(workerIdle, worker.Slots)
+	leg.startedAt.Store(worker.StartedAt)
+	leg.transport = leg.makeTransport(workerIdle, worker.Slots)
 	leg.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
 	return leg
 }
 
 // isOf reports whether the way is to a life of the worker. One that did not know when its
 // life began learns it.
-func (l *workerLeg) isOf(life workers.Incarnation) bool {
-	if !l.life().Same(life) {
+func (l *workerConnection) isOf(life workers.Incarnation) bool {
+	if !l.incarnation().Same(life) {
 		return false
 	}
 	if life.StartedAt != 0 {
-		l.born.Store(life.StartedAt)
+		l.startedAt.Store(life.StartedAt)
 	}
 	return true
 }
 
-// life returns the name of the life that the way is to.
-func (l *workerLeg) life() workers.Incarnation {
-	return workers.Incarnation{Instance: l.worker.Instance, StartedAt: l.born.Load()}
+// incarnation returns the name of the incarnation that the way is to.
+func (l *workerConnection) incarnation() workers.Incarnation {
+	return workers.Incarnation{Instance: l.worker.Instance, StartedAt: l.startedAt.Load()}
 }
 
 // workerCall is one request for the worker.
@@ -136,8 +136,8 @@
 
 // check returns the failure of a request that would be refused now; nil for one
 // that would be admitted or could wait.
-func (l *workerLeg) check(ctx context.Context, wanted claim) error {
-	if l.quiet() {
+func (l *workerConnection) check(ctx context.Context, wanted claim) error {
+	if l.paused() {
 		return outcome.New(outcome.NoWorker)
 	}
 	if err := l.queue.Check(wanted.request()); err != nil {
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// ask admits a request and sends it to the worker.
-func (l *workerLeg) ask(ctx context.Context, call *workerCall) (*answer, error) {
-	if l.quiet() {
+// run admits a request and sends it to the worker.
+func (l *workerConnection) run(ctx context.Context, call *workerCall) (*answer, error) {
+	if l.paused() {
 		return nil, outcome.New(outcome.NoWorker)
 	}
 	came := time.Now()
@@ -179,7 +179,7 @@
 	call.ran = time.Since(began)
 	if outcome.ReasonOf(err) == outcome.ConnectionLost && l.ended(ctx) {
 		err = outcome.Wrap(outcome.WorkerCrashed, err)
-		l.plane.crashed(l.life(), call)
+		l.plane.crashed(l.incarnation(), call)
 	}
 	failed := failedAtWorker(result, err)
 	l.failures.observe(failed, time.Now())
@@ -193,15 +193,15 @@
 }
 
 // releaseAfter gives the slot of a call back once its answer was read whole, or broke off.
-func (l *workerLeg) releaseAfter(result *answer, call *workerCall, permit slotqueue.Permit, failed bool) {
+func (l *workerConnection) releaseAfter(result *answer, call *workerCall, permit slotqueue.Permit, failed bool) {
 	if result.rest == nil {
-		l.plane.answeredWhole(call)
+		l.plane.answeredComplete(call)
 		permit.Release(!failed)
 		return
 	}
 	result.finish = func(whole bool) {
 		if whole {
-			l.plane.answeredWhole(call)
+			l.plane.answeredComplete(call)
 		}
 		permit.Release(false)
 	}
@@ -221,17 +221,17 @@
 }
 
 // send hands an admitted request to the worker and sorts out answers that are none.
-func (l *workerLeg) send(ctx context.Context, call *workerCall) (*answer, error) {
+func (l *workerConnection) send(ctx context.Context, call *workerCall) (*answer, error) {
 	transport := l.current()
 	if call.body.long() {
 		transport = l.unshared
 	}
-	exchange := leg{transport: transport, request: l.request(call), body: call.body}
+	exchange := httpExchange{transport: transport, request: l.request(call), body: call.body}
 	response, err := exchange.do(ctx)
 	if err != nil {
 		call.arrived = outcome.Of(err) != outcome.NotRun
 		if outcome.ReasonOf(err) == outcome.Unreachable {
-			l.quietUntil.Store(time.Now().Add(unreachablePause).UnixNano())
+			l.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 		}
 		return nil, err
 	}
@@ -242,7 +242,7 @@
 		_ = response.Body.Close()
 		return nil, outcome.New(outcome.InvalidAnswer)
 	}
-	l.hear(response.Header)
+	l.observeLoad(response.Header)
 	if l.dialect.refused(response) {
 		_ = response.Body.Close()
 		if response.StatusCode == http.StatusMisdirectedRequest {
@@ -253,7 +253,7 @@
 	return readAnswer(ctx, response)
 }
 
-func (l *workerLeg) request(call *workerCall) *http.Request {
+func (l *workerConnection) request(call *workerCall) *http.Request {
 	header := forwardedHeader(call.inbound, l.dialect)
 	if call.principal.tenant != "" {
 		header[l.dialect.Tenant] = []string{call.principal.tenant}
@@ -265,14 +265,14 @@
 	return newRequest(call.inbound, l.worker.Address, header)
 }
 
-func (l *workerLeg) current() *http.Transport {
+func (l *workerConnection) current() *http.Transport {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.transport
 }
 
-// hear takes what the worker tells of itself in an answer.
-func (l *workerLeg) hear(header http.Header) {
+// observeLoad takes what the worker tells of itself in an answer.
+func (l *workerConnection) observeLoad(header http.Header) {
 	told, ok := l.dialect.workerLoad(header)
 	if !ok {
 		return
@@ -280,44 +280,44 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if told.Slowness > 0 {
-		l.told.observe(min(told.Slowness, highestSlowness), time.Now())
+		l.reportedSlowness.observe(min(told.Slowness, highestSlowness), time.Now())
 	}
-	if l.foreign > 0 {
+	if l.inheritedRequests > 0 {
 		own := l.queue.Load().Running
-		l.foreign = min(l.foreign, max(told.Running+told.Waiting-own, 0))
-		l.queue.SetSlots(l.slots - l.foreign)
+		l.inheritedRequests = min(l.inheritedRequests, max(told.Running+told.Waiting-own, 0))
+		l.queue.SetSlots(l.slots - l.inheritedRequests)
 	}
 }
 
 // setSlots changes the number of slots of the worker.
-func (l *workerLeg) setSlots(slots int) {
+func (l *workerConnection) setSlots(slots int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if slots != l.slots {
 		l.renew(l.idle, slots)
 	}
-	l.queue.SetSlots(slots - l.foreign)
+	l.queue.SetSlots(slots - l.inheritedRequests)
 }
 
 // renew has further requests use a new transport. Requests under way keep theirs. The mutex
 // is held.
-func (l *workerLeg) renew(idle time.Duration, slots int) {
+func (l *workerConnection) renew(idle time.Duration, slots int) {
 	former := l.transport
 	l.idle, l.slots = idle, slots
-	l.transport = l.make(idle, slots)
+	l.transport = l.makeTransport(idle, slots)
 	former.CloseIdleConnections()
 }
 
 // slowness returns how long work takes at the worker at present; zero when it does not
 // tell.
-func (l *workerLeg) slowness() float64 {
+func (l *workerConnection) slowness() float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.told.at(time.Now())
+	return l.reportedSlowness.at(time.Now())
 }
 
 // followKeepAlive keeps unused connections for less long than the worker says.
-func (l *workerLeg) followKeepAlive(header http.Header) {
+func (l *workerConnection) followKeepAlive(header http.Header) {
 	idle, ok := keepAliveOf(header)
 	if !ok {
 		return
@@ -344,7 +344,7 @@
 }
 
 // load returns the load of the worker as this node knows it.
-func (l *workerLeg) load() slotqueue.Load {
+func (l *workerConnection) load() slotqueue.Load {
 	load := l.queue.Load()
 	load.Failing = l.failures.now(time.Now())
 	load.Slowness = l.slowness()
@@ -352,12 +352,12 @@
 }
 
 // close ends the admission. Requests that run are not touched.
-func (l *workerLeg) close() {
+func (l *workerConnection) close() {
 	l.queue.Close()
 	l.current().CloseIdleConnections()
 }
 
-// quiet reports whether the worker is left alone for now.
-func (l *workerLeg) quiet() bool {
-	return l.replaced.Load() || time.Now().UnixNano() < l.quietUntil.Load()
+// paused reports whether the worker is left alone for now.
+func (l *workerConnection) paused() bool {
+	return l.replaced.Load() || time.Now().UnixNano() < l.pausedUntil.Load()
 }
--- a/internal/forwarding/zones.go
+++ b/internal/forwarding/zones.go
@@ -13,14 +13,14 @@
 	otherZoneMost = 1.0
 	// otherZoneDelay is the distance of another zone.
 	otherZoneDelay = 3 * time.Millisecond
-	// leastStay is the least share of its patience that a long body waits in its own zone
+	// leastOwnZoneWaitShare is the least share of its patience that a long body waits in its own zone
 	// rather than cross to another. The share is drawn for each body, up to the whole
 	// patience: not all leave a zone, nor come to another, at the same time.
-	leastStay = 0.5
-	// guestShare is the share of its patience for which a long body may wait in another
+	leastOwnZoneWaitShare = 0.5
+	// otherZoneWaitShare is the share of its patience for which a long body may wait in another
 	// zone. It is less than leastStay: where all links are full nothing is gained by
 	// crossing, and bodies of the other zone would be refused for it.
-	guestShare = 0.25
+	otherZoneWaitShare = 0.25
 )
 
 // longWait returns for how long a call with a long body may wait at a worker, of the
@@ -29,26 +29,26 @@
 func longWait(patience time.Duration, guest, last bool) time.Duration {
 	switch {
 	case guest:
-		return time.Duration(guestShare * float64(patience))
+		return time.Duration(otherZoneWaitShare * float64(patience))
 	case last:
 		return patience
 	default:
-		return time.Duration((1 - guestShare) * float64(patience))
+		return time.Duration((1 - otherZoneWaitShare) * float64(patience))
 	}
 }
 
 // otherZonePrice is the delay, in nanoseconds, that a request may rather have in its own
 // zone than cross to another one. Where links are full a long body never prefers a wait that
 // is longer than it may wait at all: its own zone would refuse it, and other links are free.
-func otherZonePrice(w wish) float64 {
-	if w.elsewhere {
+func otherZonePrice(w criteria) float64 {
+	if w.otherZones {
 		return 0
 	}
 	kibibytes := float64(w.bytes+headBytes) / 1024
 	price := min(otherZoneShare*kibibytes, otherZoneMost) * float64(w.target)
-	if !w.linksFull || w.patience <= 0 {
+	if !w.linksFull || w.waitLimit <= 0 {
 		return price
 	}
-	stay := leastStay + (1-leastStay)*w.luck
-	return min(price, stay*float64(w.patience))
+	stay := leastOwnZoneWaitShare + (1-leastOwnZoneWaitShare)*w.draw
+	return min(price, stay*float64(w.waitLimit))
 }
--- a/internal/forwarding/zones_replay_test.go
+++ b/internal/forwarding/zones_replay_test.go
@@ -114,9 +114,9 @@
 	served := false
 	crossed := 0
 	for refusals := 0; refusals <= maximumRefusals && !served && time.Since(began) < r.patience; refusals++ {
-		asked := wish{
-			bytes: r.bytes, long: r.linkSpeed > 0, elsewhere: refusals >= maximumRefusals, tried: tried, work: r.work,
-			target: r.target, patience: r.patience, luck: rand.Float64(), reachable: func(string) bool { return true },
+		asked := criteria{
+			bytes: r.bytes, long: r.linkSpeed > 0, otherZones: refusals >= maximumRefusals, tried: tried, work: r.work,
+			target: r.target, waitLimit: r.patience, draw: rand.Float64(), reachable: func(string) bool { return true },
 		}
 		chosen, ok := d.choose(asked, time.Now())
 		if !ok {
@@ -128,7 +128,7 @@
 		case r.linkSpeed > 0:
 			latest = earlier(latest, time.Now().Add(longWait(r.patience, chosen.endpoint.zone != d.zone, last)))
 		case !last:
-			latest = earlier(latest, time.Now().Add(max(chosen.lead, shallowPatience)))
+			latest = earlier(latest, time.Now().Add(max(chosen.lead, shallowWait)))
 		}
 		var load slotqueue.Load
 		served, load = r.run(chosen.endpoint.node, latest)
--- a/internal/forwarding/zones_test.go
+++ b/internal/forwarding/zones_test.go
@@ -43,7 +43,7 @@
 	if status, _, _ := ask(t, short); status != http.StatusOK || far.calls.Load() != 1 {
 		t.Errorf("a short call: status %d, %d calls in the other zone", status, far.calls.Load())
 	}
-	long := callerRequest(t, front, http.MethodPost, "/short/1", bytes.NewReader(make([]byte, 2*questionedBody)))
+	long := callerRequest(t, front, http.MethodPost, "/short/1", bytes.NewReader(make([]byte, 2*expectContinueBody)))
 	if status, _, _ := ask(t, long); status != http.StatusOK || far.calls.Load() != 2 {
 		t.Errorf("a long one: status %d, %d calls in the other zone", status, far.calls.Load())
 	}
@@ -52,12 +52,12 @@
 // TestLongBodiesStayWhereLinksAreFree has a long body prefer its own zone as much as its bytes
 // cost, unless bodies wait for the links of that zone.
 func TestLongBodiesStayWhereLinksAreFree(t *testing.T) {
-	w := wish{long: true, bytes: 60 << 10, target: time.Second, patience: 200 * time.Millisecond}
+	w := criteria{long: true, bytes: 60 << 10, target: time.Second, waitLimit: 200 * time.Millisecond}
 	if price := otherZonePrice(w); price != float64(w.target) {
 		t.Errorf("free links: a price of %v", time.Duration(price))
 	}
 	w.linksFull = true
-	if price := otherZonePrice(w); price > float64(w.patience) {
-		t.Errorf("full links: a price of %v, with a patience of %v", time.Duration(price), w.patience)
+	if price := otherZonePrice(w); price > float64(w.waitLimit) {
+		t.Errorf("full links: a price of %v, with a patience of %v", time.Duration(price), w.waitLimit)
 	}
 }
