--- a/internal/forwarding/admission_test.go
+++ b/internal/forwarding/admission_test.go
@@ -14,12 +14,12 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-func TestPromisedWorkerGetsNothingNew(t *testing.T) {
+func TestDrainingWorkerGetsNoNewCalls(t *testing.T) {
 	front, back, worker := twoNodes(t)
 	if status, _, _ := get(t, front, "/read/1"); status != http.StatusOK {
 		t.Fatal("the worker is not reached")
 	}
-	back.beat(t, "w-back", "ledger", worker, 2, true)
+	back.heartbeat(t, "w-back", "ledger", worker, 2, true)
 	before := worker.calls.Load()
 	// The node in front does not know yet.
 	for _, node := range []*testNode{front, back} {
@@ -47,7 +47,7 @@
 func TestWeightsAreKept(t *testing.T) {
 	one, two := startWorker(t), startWorker(t)
 	front, first, second := startNode(t, "front", "desk", nil), startNode(t, "first", "ledger", one), startNode(t, "second", "archive", two)
-	introduce(front, first, second)
+	exchangeRecords(front, first, second)
 	configure(t, []routeSpec{{
 		prefix: "/read/", service: "ledger", safe: true, timeout: 5 * time.Second,
 		backends: []model.Backend{{Service: "ledger", Weight: 90}, {Service: "archive", Weight: 10}},
@@ -69,7 +69,7 @@
 		nodes = append(nodes, startNode(t, id, "ledger", worker))
 	}
 	all := append(nodes, front)
-	introduce(all...)
+	exchangeRecords(all...)
 	configure(t, ledgerRoutes, all...)
 	const calls = 100
 	for range calls {
@@ -114,7 +114,7 @@
 		nodes = append(nodes, startNode(t, fmt.Sprint("back-", n), "ledger", worker))
 	}
 	front, backs := nodes[0], nodes[1:]
-	introduce(nodes...)
+	exchangeRecords(nodes...)
 	configure(t, ledgerRoutes, nodes...)
 	var filled []slotqueue.Permit
 	for _, back := range backs {
@@ -143,13 +143,13 @@
 // fill takes all slots of the worker beside a node.
 func fill(t *testing.T, node *testNode) []slotqueue.Permit {
 	t.Helper()
-	leg, err := node.plane.local.find("ledger", workers.Incarnation{})
+	connection, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var permits []slotqueue.Permit
-	for range leg.load().Slots {
-		permit, err := leg.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(patience)})
+	for range connection.load().Slots {
+		permit, err := connection.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -202,16 +202,16 @@
 func TestOverloadedCallersAreSpread(t *testing.T) {
 	const target = 400 * time.Millisecond
 	c := &call{route: &routing.Route{Config: &model.Route{TargetLatency: target}}}
-	told := map[time.Duration]bool{}
+	waits := map[time.Duration]bool{}
 	for range 50 {
 		wait := c.retryAfter(outcome.WithRetryAfter(outcome.Overloaded, time.Millisecond))
 		if wait < 3*target/2 || wait > 3*target {
 			t.Fatalf("told to wait %v", wait)
 		}
-		told[wait] = true
+		waits[wait] = true
 	}
-	if len(told) < 25 {
-		t.Errorf("only %d different times", len(told))
+	if len(waits) < 25 {
+		t.Errorf("only %d different times", len(waits))
 	}
 	if wait := c.retryAfter(outcome.New(outcome.NotReady)); wait > defaultRetryAfter {
 		t.Errorf("told to wait %v for a node that starts", wait)
--- a/internal/forwarding/answers_test.go
+++ b/internal/forwarding/answers_test.go
@@ -74,7 +74,7 @@
 			_, _ = conn.Write(make([]byte, length/2))
 			_ = conn.Close()
 		})
-		client := &http.Client{Timeout: patience}
+		client := &http.Client{Timeout: testTimeout}
 		response, err := client.Do(callerRequest(t, front, http.MethodPost, "/file/1", strings.NewReader("vat")))
 		if err != nil {
 			continue
--- a/internal/forwarding/authentication_test.go
+++ b/internal/forwarding/authentication_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func holding(keys ...string) *model.Tenant {
+func tenantWithKeys(keys ...string) *model.Tenant {
 	tenant := &model.Tenant{}
 	for _, key := range keys {
 		tenant.Keys = append(tenant.Keys, model.DigestKey(key))
@@ -84,8 +84,8 @@
 func TestWhoMayCall(t *testing.T) {
 	worker := startWorker(t)
 	beside, distant := startTenantNode(t, "a", "ledger", worker), startTenantNode(t, "b", "other", nil)
-	configureTenants(t, 1, map[string]*model.Tenant{"acme": holding(markedKey), "other": holding("k2")}, beside, distant)
-	introduce(beside, distant)
+	configureTenants(t, 1, map[string]*model.Tenant{"acme": tenantWithKeys(markedKey), "other": tenantWithKeys("k2")}, beside, distant)
+	exchangeRecords(beside, distant)
 	cases := []struct {
 		path   string
 		values []string
@@ -141,7 +141,7 @@
 func TestOtherCredentialsReachTheWorker(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
-	configureTenants(t, 1, map[string]*model.Tenant{"acme": holding(markedKey)}, node)
+	configureTenants(t, 1, map[string]*model.Tenant{"acme": tenantWithKeys(markedKey)}, node)
 	seen := headersSeen(worker)
 	if status, _, body := askWith(t, node, "/open/1", "Basic b", "Token "+markedKey); status != http.StatusOK {
 		t.Fatalf("%d %q", status, body)
@@ -155,7 +155,7 @@
 func TestWithoutTenantsNothingChanges(t *testing.T) {
 	worker := startWorker(t)
 	beside, distant := startTenantNode(t, "a", "ledger", worker), startTenantNode(t, "b", "other", nil)
-	introduce(beside, distant)
+	exchangeRecords(beside, distant)
 	for _, node := range []*testNode{beside, distant} {
 		if status, _, _ := askWith(t, node, "/file/1"); status != http.StatusServiceUnavailable {
 			t.Errorf("without a configuration: %d", status)
@@ -183,13 +183,13 @@
 	}
 }
 
-// TestKeysComeAndGo sends requests over one connection while versions give and take a key.
-func TestKeysComeAndGo(t *testing.T) {
+// TestKeysAreAddedAndRemoved sends requests over one connection while versions give and take a key.
+func TestKeysAreAddedAndRemoved(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	for version, keys := range [][]string{{"old"}, {"old", markedKey}, {markedKey}, {"old"}, {}} {
-		configureTenants(t, uint64(version+1), map[string]*model.Tenant{"acme": holding(keys...)}, node)
+		configureTenants(t, uint64(version+1), map[string]*model.Tenant{"acme": tenantWithKeys(keys...)}, node)
 		request := callerRequest(t, node, http.MethodGet, "/read/1", nil)
 		request.Header.Set("Authorization", "Token "+markedKey)
 		response, err := client.Do(request)
@@ -222,8 +222,8 @@
 func TestCallsOfWorkersInherit(t *testing.T) {
 	worker := startWorker(t)
 	front, back := startTenantNode(t, "front", "other", nil), startTenantNode(t, "back", "ledger", worker)
-	introduce(front, back)
-	acme := holding(markedKey)
+	exchangeRecords(front, back)
+	acme := tenantWithKeys(markedKey)
 	acme.Rank = 1
 	configureTenants(t, 1, map[string]*model.Tenant{"acme": acme}, front, back)
 	var mu sync.Mutex
@@ -256,7 +256,7 @@
 func TestMadeUpParentsGainNothing(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
-	configureTenants(t, 1, map[string]*model.Tenant{"acme": holding(markedKey)}, node)
+	configureTenants(t, 1, map[string]*model.Tenant{"acme": tenantWithKeys(markedKey)}, node)
 	if status, _ := nestedCall(t, node, "nobody/1"); status != http.StatusServiceUnavailable {
 		t.Errorf("while a run of a former life may go on: %d", status)
 	}
@@ -349,7 +349,7 @@
 // nobody holds on one connection, before the first is answered.
 func TestPipelinedRequestsAreEachTheirOwn(t *testing.T) {
 	node := startTenantNode(t, "a", "ledger", startWorker(t))
-	configureTenants(t, 1, map[string]*model.Tenant{"acme": holding(markedKey)}, node)
+	configureTenants(t, 1, map[string]*model.Tenant{"acme": tenantWithKeys(markedKey)}, node)
 	conn, err := net.Dial("tcp", node.caller.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -377,8 +377,8 @@
 func TestNodesOfDifferentVersions(t *testing.T) {
 	worker := startWorker(t)
 	front, back := startTenantNode(t, "front", "other", nil), startTenantNode(t, "back", "ledger", worker)
-	introduce(front, back)
-	acme := map[string]*model.Tenant{"acme": holding(markedKey)}
+	exchangeRecords(front, back)
+	acme := map[string]*model.Tenant{"acme": tenantWithKeys(markedKey)}
 	configureTenants(t, 2, acme, front)
 	configureTenants(t, 1, nil, back)
 	seen := headersSeen(worker)
@@ -405,7 +405,7 @@
 	node := startTenantNode(t, "a", "ledger", worker)
 	configureTenants(t, 1, nil, node)
 	worker.answer(func(_ http.ResponseWriter, r *http.Request) {
-		configureTenants(t, 2, map[string]*model.Tenant{"acme": holding(markedKey)}, node)
+		configureTenants(t, 2, map[string]*model.Tenant{"acme": tenantWithKeys(markedKey)}, node)
 		if status, body := nestedCall(t, node, "id-1/1"); status != http.StatusServiceUnavailable {
 			t.Errorf("%d %q", status, body)
 		}
--- a/internal/forwarding/bench_test.go
+++ b/internal/forwarding/bench_test.go
@@ -17,7 +17,7 @@
 	beside := startNode(b, "a", "ledger", worker)
 	distant := startNode(b, "b", "other", nil)
 	configure(b, ledgerRoutes, beside, distant)
-	introduce(beside, distant)
+	exchangeRecords(beside, distant)
 	for _, way := range []struct{ name, url string }{
 		{"direct", worker.server.URL},
 		{"beside", beside.caller.URL},
@@ -63,10 +63,10 @@
 	beside, distant := startTenantNode(b, "a", "ledger", startWorker(b)), startTenantNode(b, "b", "other", nil)
 	tenants := map[string]*model.Tenant{}
 	for n := range 1000 {
-		tenants[fmt.Sprint("tenant-", n)] = holding(fmt.Sprint("key-", n))
+		tenants[fmt.Sprint("tenant-", n)] = tenantWithKeys(fmt.Sprint("key-", n))
 	}
 	configureTenants(b, 1, tenants, beside, distant)
-	introduce(beside, distant)
+	exchangeRecords(beside, distant)
 	for _, way := range []struct{ name, url, key string }{
 		{"beside", beside.caller.URL, "key-7"},
 		{"two-nodes", distant.caller.URL, "key-7"},
--- a/internal/forwarding/busy_test.go
+++ b/internal/forwarding/busy_test.go
@@ -10,9 +10,9 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// TestWorkOfAFormerLifeKeepsItsSlots restarts a node beside a worker of four slots that still
+// TestInheritedRequestsKeepTheirSlots restarts a node beside a worker of four slots that still
 // has three requests of the node's former life, and two of these a while later.
-func TestWorkOfAFormerLifeKeepsItsSlots(t *testing.T) {
+func TestInheritedRequestsKeepTheirSlots(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	configure(t, ledgerRoutes, node)
--- a/internal/forwarding/calls_test.go
+++ b/internal/forwarding/calls_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	worker := startWorker(t)
 	front, back := startNode(t, "front", "desk", nil), startNode(t, "back", "ledger", worker)
-	introduce(front, back)
+	exchangeRecords(front, back)
 	configure(t, ledgerRoutes, front, back)
 	return front, back, worker
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestFailuresThatPromiseNotRun(t *testing.T) {
+func TestFailuresBeforeAnyRun(t *testing.T) {
 	alone := startNode(t, "alone", "desk", nil)
 	if status, header, _ := get(t, alone, "/read/1"); status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 		t.Errorf("without a configuration: %d %v", status, header)
@@ -85,7 +85,7 @@
 	})
 	front := startNode(t, "front", "desk", nil)
 	first, second := startNode(t, "first", "ledger", refusing), startNode(t, "second", "ledger", running)
-	introduce(front, first, second)
+	exchangeRecords(front, first, second)
 	configure(t, ledgerRoutes, front, first, second)
 	for range 20 {
 		if status, _, body := post(t, front, "/file/1", "vat"); status != http.StatusOK || body != "POST /file/1 vat" {
@@ -115,7 +115,7 @@
 	broken.answer(func(w http.ResponseWriter, _ *http.Request) { reset(hijack(t, w)) })
 	front := startNode(t, "front", "desk", nil)
 	first, second := startNode(t, "first", "ledger", broken), startNode(t, "second", "ledger", sound)
-	introduce(front, first, second)
+	exchangeRecords(front, first, second)
 	configure(t, ledgerRoutes, front, first, second)
 	for range 20 {
 		if status, _, _ := get(t, front, "/read/1"); status != http.StatusOK {
@@ -155,7 +155,7 @@
 	cancel()
 	select {
 	case <-left:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the worker still works for a caller that has left")
 	}
 }
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestHopFromNobodyIsRefused(t *testing.T) {
+func TestRequestWithoutHopHeaderIsRefused(t *testing.T) {
 	_, back, worker := twoNodes(t)
 	address := back.table.View().Self().CallAddress
 	conn, err := net.Dial("tcp", address)
@@ -204,7 +204,7 @@
 	})
 	front := startNode(t, "front", "desk", nil)
 	first, second := startNode(t, "first", "ledger", broken), startNode(t, "second", "ledger", refusing)
-	introduce(front, first, second)
+	exchangeRecords(front, first, second)
 	configure(t, ledgerRoutes, front, first, second)
 	for call := range 20 {
 		before := broken.calls.Load()
--- a/internal/forwarding/charge_test.go
+++ b/internal/forwarding/charge_test.go
@@ -40,15 +40,15 @@
 	q.given++
 }
 
-// TestQuotaIsAsked counts what calls take from the limit of their tenant.
-func TestQuotaIsAsked(t *testing.T) {
+// TestCallsAreCharged counts what calls take from the limit of their tenant.
+func TestCallsAreCharged(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
 	limits := &testQuota{left: 2, retryAfterTime: 700 * time.Millisecond}
 	node.plane.config.Quota = limits
-	acme := holding(markedKey)
+	acme := tenantWithKeys(markedKey)
 	acme.Rate, acme.Burst = 5, 3
-	configureTenants(t, 1, map[string]*model.Tenant{"acme": acme, "free": holding("k2")}, node)
+	configureTenants(t, 1, map[string]*model.Tenant{"acme": acme, "free": tenantWithKeys("k2")}, node)
 	expect := func(what string, status, wantStatus, taken, given int) {
 		t.Helper()
 		limits.mu.Lock()
@@ -95,7 +95,7 @@
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
 	node.plane.config.Quota = &testQuota{left: 1}
-	acme := holding(markedKey)
+	acme := tenantWithKeys(markedKey)
 	acme.Rate = 1
 	configureTenants(t, 1, map[string]*model.Tenant{"acme": acme}, node)
 	worker.answer(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/forwarding/claim_test.go
+++ b/internal/forwarding/claim_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestTurnOnALinkIsNotTheWork has a body that must be there when 260 ms of the 500 ms that
+// TestTransferClaimLeavesOutTheWork has a body that must be there when 260 ms of the 500 ms that
 // are left are needed for the work.
-func TestTurnOnALinkIsNotTheWork(t *testing.T) {
+func TestTransferClaimLeavesOutTheWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := claim{rank: 3, work: 260 * time.Millisecond, due: now.Add(500 * time.Millisecond), latestStart: now.Add(100 * time.Millisecond)}
 	want := claim{rank: 3, due: now.Add(240 * time.Millisecond), latestStart: now.Add(100 * time.Millisecond)}
@@ -16,8 +16,8 @@
 	}
 }
 
-// TestBodyThatHasCrossedWaitsUntilItIsDue has the patience of a call go by on the link.
-func TestBodyThatHasCrossedWaitsUntilItIsDue(t *testing.T) {
+// TestTransferredBodyWaitsUntilItIsDue has the patience of a call go by on the link.
+func TestTransferredBodyWaitsUntilItIsDue(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := claim{work: 260 * time.Millisecond, due: now.Add(1200 * time.Millisecond), latestStart: now.Add(480 * time.Millisecond)}
 	if left := wanted.afterTransfer().latestStart.Sub(now); left != 940*time.Millisecond {
--- a/internal/forwarding/failed_answer_test.go
+++ b/internal/forwarding/failed_answer_test.go
@@ -21,7 +21,7 @@
 	front = startNode(t, "front", "other", nil)
 	one, two := startNode(t, "one", "ledger", first), startNode(t, "two", "ledger", second)
 	configure(t, routes, front, one, two)
-	introduce(front, one, two)
+	exchangeRecords(front, one, two)
 	return front, first, second
 }
 
--- a/internal/forwarding/failures_test.go
+++ b/internal/forwarding/failures_test.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-func TestShareOfFailuresRisesFallsAndFades(t *testing.T) {
+func TestFailureShareRisesFallsAndDecays(t *testing.T) {
 	var f failureShare
 	at := time.Now()
 	for range 50 {
@@ -38,7 +38,7 @@
 	})
 	grey.answer(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	front, a, b := startNode(t, "front", "desk", nil), startNode(t, "a", "ledger", good), startNode(t, "b", "ledger", grey)
-	introduce(front, a, b)
+	exchangeRecords(front, a, b)
 	configure(t, ledgerRoutes, front, a, b)
 	const calls = 300
 	for range calls {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestShareOfFailuresIsTold(t *testing.T) {
+func TestFailureShareIsReported(t *testing.T) {
 	load, _, ok := parseLoad(formatLoad(slotqueue.Load{Slots: 4, Failing: 0.25}, 0))
 	if !ok || load.Failing != 0.25 {
 		t.Fatalf("%+v, %v", load, ok)
--- a/internal/forwarding/fixture_test.go
+++ b/internal/forwarding/fixture_test.go
@@ -21,8 +21,8 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// patience bounds waits for what comes much sooner.
-const patience = 20 * time.Second
+// testTimeout bounds waits for what comes much sooner.
+const testTimeout = 20 * time.Second
 
 var testDialect = Dialect{RequestID: "X-Id", Timeout: "X-Timeout", CallerService: "X-Caller", ExpectInstance: "X-Expect", NotRun: "X-Not-Run"}
 
@@ -130,13 +130,13 @@
 	t.Cleanup(func() { _ = hops.Close() })
 	node.caller = startServer(t, node.plane.CallerServer())
 	if worker != nil {
-		node.beat(t, "w-"+id, service, worker, 1, false)
+		node.heartbeat(t, "w-"+id, service, worker, 1, false)
 	}
 	return node
 }
 
-// beat registers a worker.
-func (n *testNode) beat(t testing.TB, instance, service string, worker *testWorker, sequence uint64, draining bool) {
+// heartbeat registers a worker.
+func (n *testNode) heartbeat(t testing.TB, instance, service string, worker *testWorker, sequence uint64, draining bool) {
 	t.Helper()
 	_, err := n.registry.Heartbeat(workers.Heartbeat{
 		Instance: instance, Service: service, Address: worker.address(), Slots: 4, Sequence: sequence, Draining: draining,
@@ -148,8 +148,8 @@
 	n.table.Update(func(own *fleet.Node) { own.Workers = n.registry.Workers() })
 }
 
-// introduce tells each node of all others.
-func introduce(nodes ...*testNode) {
+// exchangeRecords tells each node of all others.
+func exchangeRecords(nodes ...*testNode) {
 	for _, node := range nodes {
 		for _, other := range nodes {
 			node.table.Merge([]fleet.Node{other.table.View().Self()})
@@ -229,7 +229,7 @@
 // ask sends a request and returns status, headers and body.
 func ask(t *testing.T, request *http.Request) (int, http.Header, string) {
 	t.Helper()
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true, ExpectContinueTimeout: patience}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true, ExpectContinueTimeout: testTimeout}}
 	response, err := client.Do(request)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/forwarding/further_test.go
+++ b/internal/forwarding/further_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestFurtherOffersEndUnderOverload lets all further offers be refused: they come down
+// TestAdditionalOffersEndUnderOverload lets all further offers be refused: they come down
 // to a share of what is answered, and go on freely where they are answered.
-func TestFurtherOffersEndUnderOverload(t *testing.T) {
+func TestAdditionalOffersEndUnderOverload(t *testing.T) {
 	const calls = 1000
 	now := time.Now()
 	refused, answered := newAdditionalOffers(), newAdditionalOffers()
--- a/internal/forwarding/hop.go
+++ b/internal/forwarding/hop.go
@@ -70,10 +70,10 @@
 }
 
 // claim returns the call's claim at this node, to which it came at the given time.
-func (h hop) claim(came time.Time) claim {
-	wanted := claim{rank: h.rank, work: h.work, latestStart: came.Add(h.waitLimit)}
+func (h hop) claim(arrivedAt time.Time) claim {
+	wanted := claim{rank: h.rank, work: h.work, latestStart: arrivedAt.Add(h.waitLimit)}
 	if h.due > 0 {
-		wanted.due = came.Add(h.due)
+		wanted.due = arrivedAt.Add(h.due)
 	}
 	return wanted
 }
@@ -101,15 +101,15 @@
 		return hop{}, false
 	}
 	rank, rankErr := strconv.Atoi(fields[3])
-	patience, patienceOK := parseMicroseconds(fields[4])
+	waitLimit, waitLimitOK := parseMicroseconds(fields[4])
 	left, leftOK := parseMicroseconds(fields[5])
-	parsed := hop{service: fields[0], incarnation: workers.Incarnation{Instance: fields[1]}, caller: fields[2], rank: rank, waitLimit: patience, left: left}
-	var levelErr, bornErr error
+	parsed := hop{service: fields[0], incarnation: workers.Incarnation{Instance: fields[1]}, caller: fields[2], rank: rank, waitLimit: waitLimit, left: left}
+	var levelErr, startedAtErr error
 	if len(fields) >= hopFieldsLevel {
 		parsed.level, levelErr = strconv.Atoi(fields[hopFieldsLevel-1])
 	}
 	if len(fields) >= hopFieldsStartedAt {
-		parsed.incarnation.StartedAt, bornErr = strconv.ParseInt(fields[hopFieldsStartedAt-1], 10, 64)
+		parsed.incarnation.StartedAt, startedAtErr = strconv.ParseInt(fields[hopFieldsStartedAt-1], 10, 64)
 	}
 	workOK, dueOK := true, true
 	if len(fields) >= hopFieldsWork {
@@ -120,7 +120,7 @@
 	if len(fields) == hopFieldsSlowest {
 		parsed.slowest, slowestOK = parseSlowness(fields[hopFieldsSlowest-1])
 	}
-	return parsed, slowestOK && rankErr == nil && patienceOK && leftOK && levelErr == nil && bornErr == nil && workOK && dueOK
+	return parsed, slowestOK && rankErr == nil && waitLimitOK && leftOK && levelErr == nil && startedAtErr == nil && workOK && dueOK
 }
 
 // formatWork writes the expected work of a call and the time until its answer is due.
--- a/internal/forwarding/inbound.go
+++ b/internal/forwarding/inbound.go
@@ -17,8 +17,8 @@
 	connection *workerConnection
 	body       *requestBody
 	began      time.Time
-	// request that the worker was asked with; its zero value until then.
-	asked workerCall
+	// request that the worker was sent with; its zero value until then.
+	sent workerCall
 }
 
 func (p *Plane) serveHop(w http.ResponseWriter, r *http.Request) {
@@ -41,12 +41,12 @@
 
 // run has the worker answer.
 func (c *hopCall) run(ctx context.Context, w http.ResponseWriter) (*answer, error) {
-	leg, err := c.plane.local.find(c.hop.service, c.hop.incarnation)
+	connection, err := c.plane.local.find(c.hop.service, c.hop.incarnation)
 	if err != nil {
 		return nil, err
 	}
-	c.connection = leg
-	if declines(leg.slowness(), c.hop.slowest) {
+	c.connection = connection
+	if declines(connection.slowness(), c.hop.slowest) {
 		return nil, outcome.New(outcome.Declined)
 	}
 	authenticated := principalOf(c.request.Header[principalHeader])
@@ -54,7 +54,7 @@
 	wanted.tenant = authenticated.tenant
 	// The other node sends a long body only when it is read here: one that would
 	// be refused must not fill the links of machines that are busy already.
-	if err := leg.check(ctx, wanted); err != nil {
+	if err := connection.check(ctx, wanted); err != nil {
 		return nil, err
 	}
 	end := c.began.Add(c.hop.left)
@@ -64,16 +64,16 @@
 	if c.body.long() {
 		wanted = wanted.afterTransfer()
 	}
-	if !authenticated.checked && leg.slowness() == 0 {
+	if !authenticated.checked && connection.slowness() == 0 {
 		wanted = wanted.byArrival()
 	}
-	c.asked = c.workerCall(wanted, authenticated, end)
+	c.sent = c.workerCall(wanted, authenticated, end)
 	quarantined := false
-	if c.asked.level, quarantined = c.plane.suspicion(&c.asked, c.hop.level); quarantined {
+	if c.sent.level, quarantined = c.plane.suspicion(&c.sent, c.hop.level); quarantined {
 		return nil, outcome.New(outcome.Quarantined)
 	}
-	result, err := leg.run(ctx, &c.asked)
-	c.plane.countRun(c.hop.service, leg.worker, c.request, &c.asked, result, err)
+	result, err := connection.run(ctx, &c.sent)
+	c.plane.countRun(c.hop.service, connection.worker, c.request, &c.sent, result, err)
 	return result, err
 }
 
@@ -126,8 +126,8 @@
 		load = c.connection.load()
 		report.Running, report.Waiting, report.Slots = load.Running, load.Waiting, load.Slots
 	}
-	report.Waited, report.Ran = c.asked.waited, c.asked.ran
-	if c.asked.arrived {
+	report.Waited, report.Ran = c.sent.waited, c.sent.ran
+	if c.sent.arrived {
 		report.Arrivals = 1
 	}
 	var ran time.Duration
@@ -142,7 +142,7 @@
 		w.Header()[hopFailureHeader] = []string{formatFailure(err, time.Since(c.began))}
 		report.Outcome, report.Reason, report.Cause = outcome.Of(err), outcome.ReasonOf(err), err
 		if c.body != nil && (outcome.Of(err) == outcome.Unknown || report.Reason == outcome.Quarantined) {
-			report.Fingerprint = c.asked.fingerprint()
+			report.Fingerprint = c.sent.fingerprint()
 		}
 		report.Status, report.RetryAfter = writeFailure(w, err, retryAfter(err), c.plane.stopping.Load())
 		c.finish(report)
--- a/internal/forwarding/linkwait.go
+++ b/internal/forwarding/linkwait.go
@@ -39,22 +39,22 @@
 }
 
 // full reports whether long bodies of the given patience wait for the links of a zone.
-func (l *linkWaits) full(zone string, patience time.Duration, now time.Time) bool {
-	return float64(l.at(zone, now)) > fullShare*float64(patience)
+func (l *linkWaits) full(zone string, waitLimit time.Duration, now time.Time) bool {
+	return float64(l.at(zone, now)) > fullShare*float64(waitLimit)
 }
 
 // observe adds what a worker of the zone has told.
-func (l *linkWaits) observe(zone string, told time.Duration, now time.Time) {
+func (l *linkWaits) observe(zone string, reported time.Duration, now time.Time) {
 	if l.byZone == nil {
 		l.byZone = map[string]linkWait{}
 	}
 	mean := l.at(zone, now)
-	l.byZone[zone] = linkWait{mean: mean + time.Duration(linkWaitWeight*float64(told-mean)), at: now}
+	l.byZone[zone] = linkWait{mean: mean + time.Duration(linkWaitWeight*float64(reported-mean)), at: now}
 }
 
 // expected returns how long a long body is expected to wait for the link of a worker of the
 // zone that told a wait at the given time.
-func (l *linkWaits) expected(zone string, told time.Duration, toldAt, now time.Time) time.Duration {
-	fresh := max(1-float64(now.Sub(toldAt))/float64(reportDecay), 0)
-	return time.Duration(fresh*float64(told) + (1-fresh)*float64(l.at(zone, now)))
+func (l *linkWaits) expected(zone string, reported time.Duration, reportedAt, now time.Time) time.Duration {
+	fresh := max(1-float64(now.Sub(reportedAt))/float64(reportDecay), 0)
+	return time.Duration(fresh*float64(reported) + (1-fresh)*float64(l.at(zone, now)))
 }
--- a/internal/forwarding/lives_test.go
+++ b/internal/forwarding/lives_test.go
@@ -10,11 +10,11 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// beatBorn sends the heartbeat of a life of a worker to the node beside it.
-func (n *testNode) beatBorn(t *testing.T, w *testWorker, born int64, sequence uint64, draining bool) {
+// heartbeatOfIncarnation sends the heartbeat of a life of a worker to the node beside it.
+func (n *testNode) heartbeatOfIncarnation(t *testing.T, w *testWorker, startedAt int64, sequence uint64, draining bool) {
 	t.Helper()
 	_, err := n.registry.Heartbeat(workers.Heartbeat{
-		Instance: "w1", StartedAt: born, Service: "ledger", Address: w.address(), Slots: 4, Sequence: sequence, Draining: draining,
+		Instance: "w1", StartedAt: startedAt, Service: "ledger", Address: w.address(), Slots: 4, Sequence: sequence, Draining: draining,
 	}, time.Now())
 	if err != nil {
 		t.Fatal(err)
@@ -23,23 +23,23 @@
 	n.table.Update(func(own *fleet.Node) { own.Workers = n.registry.Workers() })
 }
 
-// TestNextLifeOfAnInstanceBeginsAnew has a worker fill its slots, fail, drain and end, and start
+// TestNewIncarnationOfAnInstanceStartsAfresh has a worker fill its slots, fail, drain and end, and start
 // again under its instance: what the former life held is not the new one's.
-func TestNextLifeOfAnInstanceBeginsAnew(t *testing.T) {
+func TestNewIncarnationOfAnInstanceStartsAfresh(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	configure(t, []routeSpec{{prefix: "/read/", service: "ledger", safe: true, timeout: time.Second}}, node)
-	node.beatBorn(t, worker, 100, 7, false)
+	node.heartbeatOfIncarnation(t, worker, 100, 7, false)
 	former, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
 	held := fill(t, node)
-	node.beatBorn(t, worker, 100, 8, true)
+	node.heartbeatOfIncarnation(t, worker, 100, 8, true)
 	if _, err := node.plane.local.find("ledger", workers.Incarnation{}); err == nil {
 		t.Fatal("a worker that drains is given work")
 	}
-	node.beatBorn(t, worker, 200, 1, false)
+	node.heartbeatOfIncarnation(t, worker, 200, 1, false)
 	next, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 200})
 	if err != nil {
 		t.Fatal(err)
@@ -58,14 +58,14 @@
 	}
 }
 
-// TestWhatIsKnownOfAFormerLifeIsNotTheNextOnes looks at an endpoint before and after its worker
+// TestEndpointStateIsNotKeptForTheNextIncarnation looks at an endpoint before and after its worker
 // has started again under its instance, and when its birth becomes known.
-func TestWhatIsKnownOfAFormerLifeIsNotTheNextOnes(t *testing.T) {
+func TestEndpointStateIsNotKeptForTheNextIncarnation(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	d := &destination{service: "ledger", self: "a", zone: "z"}
-	look := func(born int64, sequence uint64) *endpoint {
-		node.beatBorn(t, worker, born, sequence, false)
+	look := func(startedAt int64, sequence uint64) *endpoint {
+		node.heartbeatOfIncarnation(t, worker, startedAt, sequence, false)
 		d.refresh(node.table.View(), &steeringTable{})
 		return d.endpoints["a"]
 	}
@@ -86,7 +86,7 @@
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	d := &destination{service: "ledger", self: "a", zone: "z"}
-	node.beatBorn(t, worker, 0, 1, false)
+	node.heartbeatOfIncarnation(t, worker, 0, 1, false)
 	d.refresh(node.table.View(), &steeringTable{})
 	e := d.endpoints["a"]
 	var calls sync.WaitGroup
@@ -97,7 +97,7 @@
 			}
 		}
 	})
-	node.beatBorn(t, worker, 100, 2, false)
+	node.heartbeatOfIncarnation(t, worker, 100, 2, false)
 	d.refresh(node.table.View(), &steeringTable{})
 	calls.Wait()
 	if same := d.endpoints["a"]; same != e || same.incarnation().StartedAt != 100 {
--- a/internal/forwarding/local.go
+++ b/internal/forwarding/local.go
@@ -18,7 +18,7 @@
 
 // find returns the way to the worker that takes the requests of a service. A life whose
 // instance is not empty must be that worker's.
-func (l *localWorkers) find(service string, life workers.Incarnation) (*workerConnection, error) {
+func (l *localWorkers) find(service string, incarnation workers.Incarnation) (*workerConnection, error) {
 	if l.plane.stopping.Load() {
 		return nil, outcome.New(outcome.Draining)
 	}
@@ -26,31 +26,31 @@
 		return nil, outcome.New(outcome.NotReady)
 	}
 	worker, ok := l.plane.config.Workers.Ready(service)
-	if !ok || life.Instance != "" && !life.Same(worker.Incarnation()) {
+	if !ok || incarnation.Instance != "" && !incarnation.Same(worker.Incarnation()) {
 		return nil, outcome.New(outcome.NoWorker)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	leg, known := l.known(worker)
+	connection, known := l.known(worker)
 	if !known {
-		leg = l.plane.newWorkerConnection(worker)
-		l.connections[worker.Instance] = leg
+		connection = l.plane.newWorkerConnection(worker)
+		l.connections[worker.Instance] = connection
 	}
-	return leg, nil
+	return connection, nil
 }
 
 // known returns the way to a worker. One to a former life of the same instance is closed
 // and forgotten: its connections, requests and failures are not the new life's. The mutex
 // is held.
 func (l *localWorkers) known(worker workers.Worker) (*workerConnection, bool) {
-	leg, known := l.connections[worker.Instance]
+	connection, known := l.connections[worker.Instance]
 	if !known {
 		return nil, false
 	}
-	if leg.isOf(worker.Incarnation()) {
-		return leg, true
+	if connection.isOf(worker.Incarnation()) {
+		return connection, true
 	}
-	leg.close()
+	connection.close()
 	delete(l.connections, worker.Instance)
 	return nil, false
 }
@@ -61,8 +61,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var sum slotqueue.Load
-	for _, leg := range l.connections {
-		load := leg.load()
+	for _, connection := range l.connections {
+		load := connection.load()
 		sum.Running += load.Running
 		sum.Waiting += load.Waiting
 		sum.Slots += load.Slots
@@ -83,22 +83,22 @@
 	defer l.mutex.Unlock()
 	kept := make(map[string]bool, len(registered))
 	for _, worker := range registered {
-		leg, known := l.known(worker)
+		connection, known := l.known(worker)
 		if worker.State.DrainCommitted() {
 			if known {
-				leg.close()
+				connection.close()
 				delete(l.connections, worker.Instance)
 			}
 			continue
 		}
 		kept[worker.Instance] = true
 		if known {
-			leg.setSlots(worker.Slots)
+			connection.setSlots(worker.Slots)
 		}
 	}
-	for instance, leg := range l.connections {
+	for instance, connection := range l.connections {
 		if !kept[instance] {
-			leg.close()
+			connection.close()
 			delete(l.connections, instance)
 		}
 	}
--- a/internal/forwarding/offers.go
+++ b/internal/forwarding/offers.go
@@ -262,24 +262,24 @@
 
 // recordResult keeps what an offer has shown.
 func (o *offers) recordResult(chosen choice, answered *answer, err error) {
-	seen := result{}
+	observed := result{}
 	switch {
 	case err == nil:
 		o.destination.additionalOffers.Earn()
 		if o.refusals > 0 {
 			o.destination.additionalOffers.Succeed()
 		}
-		seen.load, seen.hasLoad = answered.load, answered.hasLoad
+		observed.load, observed.hasLoad = answered.load, answered.hasLoad
 		if answered.rest == nil && answered.ran > 0 && answered.status < http.StatusInternalServerError {
-			seen.relative = o.call.state.observe(answered.ran, answered.load.Slowness, len(answered.held))
+			observed.relative = o.call.state.observe(answered.ran, answered.load.Slowness, len(answered.held))
 		}
 	default:
 		if load, ok := loadOfRefusal(err); ok {
-			seen.load, seen.hasLoad = load, true
+			observed.load, observed.hasLoad = load, true
 		}
-		seen.failed = pausesEndpoint(outcome.ReasonOf(err))
+		observed.failed = pausesEndpoint(outcome.ReasonOf(err))
 	}
-	o.destination.done(chosen, seen, time.Now())
+	o.destination.done(chosen, observed, time.Now())
 }
 
 // pausesEndpoint reports whether a failure speaks against the endpoint.
--- a/internal/forwarding/plane.go
+++ b/internal/forwarding/plane.go
@@ -109,11 +109,11 @@
 
 // localLoad returns the load of this node's worker of a service.
 func (p *Plane) localLoad(service string) (slotqueue.Load, bool) {
-	leg, err := p.local.find(service, workers.Incarnation{})
-	if err != nil || leg.paused() {
+	connection, err := p.local.find(service, workers.Incarnation{})
+	if err != nil || connection.paused() {
 		return slotqueue.Load{}, false
 	}
-	return leg.load(), true
+	return connection.load(), true
 }
 
 // WorkerLoad returns the load of all workers beside this node together.
--- a/internal/forwarding/question_test.go
+++ b/internal/forwarding/question_test.go
@@ -45,7 +45,7 @@
 		}()
 	}
 	testwait.Eventually(t, "the worker is full", func() bool { return worker.calls.Load() == 4 })
-	crowd(t, back)
+	fillQueue(t, back)
 	before := written.Load()
 	const size = 200_000
 	status, header, _ := ask(t, callerRequest(t, front, http.MethodPost, "/short/1", bytes.NewReader(make([]byte, size))))
@@ -57,18 +57,20 @@
 	}
 }
 
-// crowd has requests wait for the worker beside a node.
-func crowd(t *testing.T, node *testNode) {
+// fillQueue has requests wait for the worker beside a node.
+func fillQueue(t *testing.T, node *testNode) {
 	t.Helper()
-	leg, err := node.plane.local.find("ledger", workers.Incarnation{})
+	connection, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	const waiting = 100
 	for range waiting {
-		go func() { _, _ = leg.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(patience)}) }()
+		go func() {
+			_, _ = connection.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)})
+		}()
 	}
-	testwait.Eventually(t, "requests wait", func() bool { return leg.load().Waiting == waiting })
+	testwait.Eventually(t, "requests wait", func() bool { return connection.load().Waiting == waiting })
 }
 
 func counting(dial func(ctx context.Context, network, address string) (net.Conn, error), written *atomic.Int64) func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/forwarding/refusal_test.go
+++ b/internal/forwarding/refusal_test.go
@@ -12,13 +12,13 @@
 func TestRefusalKeepsTheConnection(t *testing.T) {
 	front := startNode(t, "front", "desk", nil)
 	refusing := startNode(t, "refusing", "ledger", startWorker(t))
-	introduce(front, refusing)
+	exchangeRecords(front, refusing)
 	configure(t, ledgerRoutes, front, refusing)
-	leg, err := refusing.plane.local.find("ledger", workers.Incarnation{})
+	connection, err := refusing.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	leg.replaced.Store(true)
+	connection.replaced.Store(true)
 	const calls = 20
 	for range calls {
 		if status, _, _ := ask(t, callerRequest(t, front, http.MethodGet, "/short/1", nil)); status != http.StatusServiceUnavailable {
--- a/internal/forwarding/refusals.go
+++ b/internal/forwarding/refusals.go
@@ -80,6 +80,6 @@
 	key := keyOf(request)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	former, known := r.ends[key]
-	return known && end.Sub(former).Abs() <= returnTolerance
+	previous, known := r.ends[key]
+	return known && end.Sub(previous).Abs() <= returnTolerance
 }
--- a/internal/forwarding/repeats_test.go
+++ b/internal/forwarding/repeats_test.go
@@ -30,7 +30,7 @@
 	}
 	routes := append([]routeSpec{{prefix: "/tax/", service: "tax", safe: true, timeout: 5 * time.Second, attempts: 3}}, ledgerRoutes...)
 	configure(t, routes, nodes...)
-	introduce(nodes...)
+	exchangeRecords(nodes...)
 	second.answer(func(w http.ResponseWriter, r *http.Request) {
 		call := callerRequest(t, two, http.MethodGet, "/tax/1", nil)
 		call.Header.Set("X-Id", r.Header.Get("X-Id")+"/1")
--- a/internal/forwarding/returning_test.go
+++ b/internal/forwarding/returning_test.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/routing"
 )
 
-func TestCallersThatComeBackHaveRareTimeouts(t *testing.T) {
+func TestRetryingCallersHaveRareTimeouts(t *testing.T) {
 	var c commonTimeouts
 	for range 2 * commonCount {
 		c.observe(3000)
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestSecondCommonTimeoutIsNotTakenForAReturn(t *testing.T) {
+func TestSecondCommonTimeoutIsNotTakenForARetry(t *testing.T) {
 	var c commonTimeouts
 	wrong := 0
 	for i := range 200 {
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestCommonTimeoutOutlivesManyReturns(t *testing.T) {
+func TestCommonTimeoutOutlivesManyRetries(t *testing.T) {
 	var c commonTimeouts
 	for range 50 {
 		c.observe(3000)
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestReturnsAreKnownWhereCallsAreFew has a node see two calls of a route, and then a
+// TestRetriesAreRecognizedWhereCallsAreFew has a node see two calls of a route, and then a
 // caller that comes back: one of a thousand nodes gets few calls.
-func TestReturnsAreKnownWhereCallsAreFew(t *testing.T) {
+func TestRetriesAreRecognizedWhereCallsAreFew(t *testing.T) {
 	var c commonTimeouts
 	for i, item := range []struct {
 		milliseconds int64
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestLastTryWaitsWhileAnAnswerCanBeInTime compares how long a call may
+// TestLastAttemptWaitsWhileAnAnswerCanBeInTime compares how long a call may
 // wait for a slot at its first try and when its caller has been refused before.
-func TestLastTryWaitsWhileAnAnswerCanBeInTime(t *testing.T) {
+func TestLastAttemptWaitsWhileAnAnswerCanBeInTime(t *testing.T) {
 	const target = 400 * time.Millisecond
 	began := time.Now()
 	for _, test := range []struct {
--- a/internal/forwarding/slowness.go
+++ b/internal/forwarding/slowness.go
@@ -58,11 +58,11 @@
 
 // work returns how long, in nanoseconds, a request is expected to run at the endpoint, whose
 // worker tells the given slowness; zero when it does not tell.
-func (e *endpoint) work(w criteria, told float64) float64 {
-	if told == 0 {
+func (e *endpoint) work(w criteria, reported float64) float64 {
+	if reported == 0 {
 		return float64(w.work) * e.slowness
 	}
-	return float64(w.usual) * told * max(e.slowness/unexplainedFactor, 1)
+	return float64(w.usual) * reported * max(e.slowness/unexplainedFactor, 1)
 }
 
 // waitCost is what the wait for a slot counts in a score, in nanoseconds. It weighs more at
--- a/internal/forwarding/slowness_test.go
+++ b/internal/forwarding/slowness_test.go
@@ -21,14 +21,14 @@
 const headerTestLoad = "X-Load"
 
 func testWorkerLoad(header http.Header) (slotqueue.Load, bool) {
-	told, err := strconv.Atoi(header.Get(headerTestLoad))
-	return slotqueue.Load{Slots: 4, Slowness: float64(told) / 100}, err == nil
+	reported, err := strconv.Atoi(header.Get(headerTestLoad))
+	return slotqueue.Load{Slots: 4, Slowness: float64(reported) / 100}, err == nil
 }
 
-// tellSlowness has a worker tell its slowness.
-func tellSlowness(worker *testWorker, told string) {
+// reportSlowness has a worker tell its slowness.
+func reportSlowness(worker *testWorker, reported string) {
 	worker.answer(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(headerTestLoad, told)
+		w.Header().Set(headerTestLoad, reported)
 		_, _ = w.Write([]byte("ok"))
 	})
 }
@@ -39,7 +39,7 @@
 	text strings.Builder
 }
 
-func (r *record) keep(p []byte) {
+func (r *record) add(p []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.text.Write(p)
@@ -57,8 +57,8 @@
 	return strings.Join(counts, " ")
 }
 
-// tells reports whether a header has crossed since the last call of fields.
-func (r *record) tells(header string) bool {
+// contains reports whether a header has crossed since the last call of fields.
+func (r *record) contains(header string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Contains(r.text.String(), header+": ")
@@ -70,19 +70,19 @@
 }
 
 func (c recordedConn) Write(p []byte) (int, error) {
-	c.record.keep(p)
+	c.record.add(p)
 	return c.Conn.Write(p)
 }
 
 func (c recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.record.keep(p[:n])
+	c.record.add(p[:n])
 	return n, err
 }
 
-// TestOnlyWorkersThatTellChangeTheWire looks at the headers between two nodes before and
+// TestOnlyReportedSlownessChangesTheHopHeaders looks at the headers between two nodes before and
 // after the worker tells its slowness.
-func TestOnlyWorkersThatTellChangeTheWire(t *testing.T) {
+func TestOnlyReportedSlownessChangesTheHopHeaders(t *testing.T) {
 	front, back, worker := twoNodes(t)
 	back.plane.config.Dialect.WorkerLoad = testWorkerLoad
 	crossed := &record{}
@@ -93,19 +93,19 @@
 	}
 	get(t, front, "/read/1")
 	get(t, front, "/read/1")
-	if crossed.tells(workHeader) {
+	if crossed.contains(workHeader) {
 		t.Error("the work of a call is told where the worker tells nothing")
 	}
 	if got, want := crossed.fields(), fmt.Sprint(hopFieldsLevel, " ", loadFields, " ", hopFieldsLevel, " ", loadFields); got != want {
 		t.Errorf("fields where the worker tells nothing: %s, want %s", got, want)
 	}
-	tellSlowness(worker, "120")
+	reportSlowness(worker, "120")
 	get(t, front, "/read/1")
 	if got, want := crossed.fields(), fmt.Sprint(hopFieldsLevel, " ", loadFieldsSlowness); got != want {
 		t.Errorf("fields where it tells: %s, want %s", got, want)
 	}
 	get(t, front, "/read/1")
-	if !crossed.tells(workHeader) {
+	if !crossed.contains(workHeader) {
 		t.Error("the work of a call is not told where the worker tells its slowness")
 	}
 }
@@ -135,16 +135,16 @@
 			worker := startWorker(t)
 			front := startNode(t, "front", "desk", nil)
 			first, second := startNode(t, "first", "ledger", worker), startNode(t, "second", "ledger", worker)
-			introduce(front, first, second)
+			exchangeRecords(front, first, second)
 			configure(t, ledgerRoutes, front, first, second)
 			d := front.plane.destination("ledger")
 			d.endpoints["first"].reportedSlowness, d.endpoints["second"].reportedSlowness = steady(c.firstBelieved), steady(next)
 			for node, slowness := range map[*testNode]float64{first: c.first, second: c.second} {
-				leg, err := node.plane.local.find("ledger", workers.Incarnation{})
+				connection, err := node.plane.local.find("ledger", workers.Incarnation{})
 				if err != nil {
 					t.Fatal(err)
 				}
-				leg.reportedSlowness = steady(slowness)
+				connection.reportedSlowness = steady(slowness)
 			}
 			if status, _, _ := post(t, front, "/file/1", "x"); status != http.StatusOK || worker.calls.Load() != 1 {
 				t.Errorf("status %d, the worker had %d calls", status, worker.calls.Load())
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestNewsFadesIntoTheLasting looks at what is expected after news.
-func TestNewsFadesIntoTheLasting(t *testing.T) {
+// TestLatestValueDecaysToTheLongTermMean looks at what is expected after news.
+func TestLatestValueDecaysToTheLongTermMean(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var m decayingMean
 	if m.known() || m.at(now) != 0 {
@@ -182,32 +182,32 @@
 	}
 }
 
-// TestWhatIsSeenCountsBeyondWhatIsTold compares what a request is expected to take by what the
+// TestObservationsCountBeyondReportedSlowness compares what a request is expected to take by what the
 // worker tells and by what was seen.
-func TestWhatIsSeenCountsBeyondWhatIsTold(t *testing.T) {
-	for _, c := range []struct{ seen, told, want float64 }{
+func TestObservationsCountBeyondReportedSlowness(t *testing.T) {
+	for _, c := range []struct{ seen, reported, want float64 }{
 		{0.4, 0, 0.4}, {3, 0, 3}, {1, 0.55, 0.55}, {0.4, 1.2, 1.2}, {1.9, 1.2, 1.2}, {3 * unexplainedFactor, 2, 6},
 	} {
 		e := &endpoint{slowness: c.seen}
-		if got := e.work(criteria{work: 1, usual: 1}, c.told); got != c.want {
-			t.Errorf("seen %v, told %v: %v, want %v", c.seen, c.told, got, c.want)
+		if got := e.work(criteria{work: 1, usual: 1}, c.reported); got != c.want {
+			t.Errorf("seen %v, told %v: %v, want %v", c.seen, c.reported, got, c.want)
 		}
 	}
 }
 
-// TestSlownessBeyondBelief has a worker tell a figure that no work can take.
-func TestSlownessBeyondBelief(t *testing.T) {
-	leg := &workerConnection{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
-	leg.observeLoad(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
-	told := slotqueue.Load{Slots: 4, Slowness: leg.slowness()}
-	if load, _, ok := parseLoad(formatLoad(told, 0)); !ok || load.Slowness != told.Slowness {
-		t.Errorf("a load of %+v reads %+v", told, load)
+// TestImplausibleSlownessIsBounded has a worker tell a figure that no work can take.
+func TestImplausibleSlownessIsBounded(t *testing.T) {
+	connection := &workerConnection{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
+	connection.observeLoad(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
+	reported := slotqueue.Load{Slots: 4, Slowness: connection.slowness()}
+	if load, _, ok := parseLoad(formatLoad(reported, 0)); !ok || load.Slowness != reported.Slowness {
+		t.Errorf("a load of %+v reads %+v", reported, load)
 	}
-	limit := choice{load: told, lead: time.Second}.slowestWorthwhile(time.Second)
+	limit := choice{load: reported, lead: time.Second}.slowestWorthwhile(time.Second)
 	if read, ok := parseHop(hop{service: "s", work: time.Second, slowest: limit}.encode()); !ok || read.slowest <= 0 {
 		t.Errorf("a limit of %v reads %v, %v", limit, read.slowest, ok)
 	}
-	work := (&endpoint{slowness: 1}).work(criteria{usual: time.Hour}, told.Slowness)
+	work := (&endpoint{slowness: 1}).work(criteria{usual: time.Hour}, reported.Slowness)
 	if time.Duration(work) <= 0 {
 		t.Errorf("an hour of work is expected to take %v", time.Duration(work))
 	}
--- a/internal/forwarding/starting_test.go
+++ b/internal/forwarding/starting_test.go
@@ -33,7 +33,7 @@
 	testwait.Eventually(t, "the calls wait for a configuration", func() bool { return front.plane.calls.Load() == calls })
 	configure(t, ledgerRoutes, front)
 	testwait.Eventually(t, "the calls wait for a worker", func() bool { return front.plane.knows("ledger") })
-	introduce(front, back)
+	exchangeRecords(front, back)
 	for range calls {
 		if status := <-statuses; status != http.StatusOK {
 			t.Errorf("status %d", status)
@@ -69,7 +69,7 @@
 	front.plane.started = time.Now()
 	first, second := startNode(t, "first", "ledger", full), startNode(t, "second", "ledger", free)
 	configure(t, ledgerRoutes, front, first, second)
-	introduce(front, first)
+	exchangeRecords(front, first)
 	for range 4 { // the slots of a worker
 		go func() {
 			if response, err := http.DefaultClient.Do(callerRequest(t, front, http.MethodGet, "/read/1", nil)); err == nil {
@@ -85,7 +85,7 @@
 		answered <- status
 	}()
 	testwait.Eventually(t, "the call was refused once", func() bool { return first.refusedHops.Load() > 0 })
-	introduce(front, second)
+	exchangeRecords(front, second)
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
--- a/internal/forwarding/steering_test.go
+++ b/internal/forwarding/steering_test.go
@@ -32,7 +32,7 @@
 			nodes = append(nodes, node)
 		}
 	}
-	introduce(nodes...)
+	exchangeRecords(nodes...)
 	configure(t, ledgerRoutes, nodes...)
 	return front, former, next
 }
@@ -109,10 +109,10 @@
 // TestRunsAreCountedByRoute has a worker fail on one route only.
 func TestRunsAreCountedByRoute(t *testing.T) {
 	front := startNode(t, "front", "ledger", startWorker(t))
-	introduce(front)
+	exchangeRecords(front)
 	configure(t, ledgerRoutes, front)
 	front.plane.Steer(order(canary.Running, 1))
-	leg, err := front.plane.local.find("ledger", workers.Incarnation{})
+	connection, err := front.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 		if path == "/file/1" {
 			answered.status = http.StatusInternalServerError
 		}
-		front.plane.countRun("ledger", leg.worker, request, &call, answered, nil)
+		front.plane.countRun("ledger", connection.worker, request, &call, answered, nil)
 	}
 	runs := front.plane.Runs("ledger")
 	if len(runs) != 2 {
@@ -146,7 +146,7 @@
 func TestRunsBeforeTheFirstConfiguration(t *testing.T) {
 	worker := startWorker(t)
 	front, back := startNode(t, "front", "desk", nil), startNode(t, "back", "ledger", worker)
-	introduce(front, back)
+	exchangeRecords(front, back)
 	configure(t, ledgerRoutes, front)
 	back.plane.Steer(order(canary.Running, 1))
 	front.callOften(t, 3)
--- a/internal/forwarding/suspects.go
+++ b/internal/forwarding/suspects.go
@@ -35,23 +35,23 @@
 // crashedElsewhere takes that the worker beside another node has ended with the call, which
 // was offered with the given level: the next offer must tell, and the other node may not
 // live to.
-func (c *call) crashedElsewhere(life workers.Incarnation, level int) {
-	c.plane.config.Quarantine.Crashed(c.fingerprint(), life.String(), level, time.Now())
+func (c *call) crashedElsewhere(incarnation workers.Incarnation, level int) {
+	c.plane.config.Quarantine.Crashed(c.fingerprint(), incarnation.String(), level, time.Now())
 }
 
 // suspicion returns how many crashes speak against a request for a worker, by what is
 // known here and at the node where it began, and whether it is quarantined.
-func (p *Plane) suspicion(call *workerCall, told int) (level int, quarantined bool) {
+func (p *Plane) suspicion(call *workerCall, reported int) (level int, quarantined bool) {
 	if p.config.Quarantine.Empty() {
-		return told, false
+		return reported, false
 	}
 	level, quarantined = p.config.Quarantine.Level(call.fingerprint(), time.Now())
-	return max(level, told), quarantined
+	return max(level, reported), quarantined
 }
 
 // crashed takes that a worker has ended with a request in hand.
-func (p *Plane) crashed(life workers.Incarnation, call *workerCall) {
-	report, _ := p.config.Quarantine.Crashed(call.fingerprint(), life.String(), call.level, time.Now())
+func (p *Plane) crashed(incarnation workers.Incarnation, call *workerCall) {
+	report, _ := p.config.Quarantine.Crashed(call.fingerprint(), incarnation.String(), call.level, time.Now())
 	p.config.Evidence([]quarantine.Report{report})
 }
 
@@ -61,7 +61,7 @@
 	if p.config.Quarantine.Empty() {
 		return
 	}
-	if report, news := p.config.Quarantine.Answered(call.fingerprint(), time.Now()); news {
+	if report, updated := p.config.Quarantine.Answered(call.fingerprint(), time.Now()); updated {
 		p.config.Evidence([]quarantine.Report{report})
 	}
 }
--- a/internal/forwarding/suspects_test.go
+++ b/internal/forwarding/suspects_test.go
@@ -46,7 +46,7 @@
 	}
 	mesh := append([]*testNode{front}, nodes...)
 	configure(t, ledgerRoutes, mesh...)
-	introduce(mesh...)
+	exchangeRecords(mesh...)
 	return front, nodes, all
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestLostAnswersSpeakAgainstNoRequest has a worker break off answers and run on.
-func TestLostAnswersSpeakAgainstNoRequest(t *testing.T) {
+// TestLostAnswersMakeNoRequestSuspect has a worker break off answers and run on.
+func TestLostAnswersMakeNoRequestSuspect(t *testing.T) {
 	front, nodes, all := meshOf(t, 1)
 	all[0].answer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for range 5 {
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestWholeAnswerClearsASuspect has a request be in hand where a worker ends, and be
+// TestCompleteAnswerClearsASuspect has a request be in hand where a worker ends, and be
 // answered afterwards.
-func TestWholeAnswerClearsASuspect(t *testing.T) {
+func TestCompleteAnswerClearsASuspect(t *testing.T) {
 	_, nodes, _ := meshOf(t, 1)
 	suspect := quarantine.Request{Method: http.MethodGet, Host: "mesh.example", Target: "/read/1", Credentials: noCredentials}.Fingerprint()
 	table := nodes[0].plane.config.Quarantine
@@ -188,36 +188,36 @@
 
 // TestHopOfAnOlderNodeIsRead reads a hop that tells nothing of crashes.
 func TestHopOfAnOlderNodeIsRead(t *testing.T) {
-	told := hop{service: "s", incarnation: workers.Incarnation{Instance: "i"}, caller: "c", rank: 2, waitLimit: time.Second, left: 2 * time.Second, level: 1}
-	read, ok := parseHop(told.encode())
-	if !ok || read != told {
+	sent := hop{service: "s", incarnation: workers.Incarnation{Instance: "i"}, caller: "c", rank: 2, waitLimit: time.Second, left: 2 * time.Second, level: 1}
+	read, ok := parseHop(sent.encode())
+	if !ok || read != sent {
 		t.Errorf("read %+v, %v", read, ok)
 	}
-	encoded := told.encode()
+	encoded := sent.encode()
 	older, ok := parseHop(encoded[:strings.LastIndex(encoded, hopSeparator)])
-	told.level = 0
-	if !ok || older != told {
+	sent.level = 0
+	if !ok || older != sent {
 		t.Errorf("of an older node: %+v, %v", older, ok)
 	}
-	told.level, told.incarnation.StartedAt = 1, 1790722800123
-	if born, ok := parseHop(told.encode()); !ok || born != told {
-		t.Errorf("with a birth: %+v, %v", born, ok)
+	sent.level, sent.incarnation.StartedAt = 1, 1790722800123
+	if withStart, ok := parseHop(sent.encode()); !ok || withStart != sent {
+		t.Errorf("with a birth: %+v, %v", withStart, ok)
 	}
-	if _, ok := parseHop(told.encode() + hopSeparator + "1"); ok {
+	if _, ok := parseHop(sent.encode() + hopSeparator + "1"); ok {
 		t.Error("a hop with too many fields is taken")
 	}
-	told.work, told.due = 40*time.Millisecond, time.Second
-	if whole, ok := parseHop(told.encode()); !ok || whole != told {
+	sent.work, sent.due = 40*time.Millisecond, time.Second
+	if whole, ok := parseHop(sent.encode()); !ok || whole != sent {
 		t.Errorf("with the work: %+v, %v", whole, ok)
 	}
-	if _, ok := parseHop(told.encode() + hopSeparator + "x"); ok {
+	if _, ok := parseHop(sent.encode() + hopSeparator + "x"); ok {
 		t.Error("a hop with a slowness that is no number is taken")
 	}
-	told.slowest = 1.37
-	if whole, ok := parseHop(told.encode()); !ok || whole != told {
+	sent.slowest = 1.37
+	if whole, ok := parseHop(sent.encode()); !ok || whole != sent {
 		t.Errorf("with the slowness: %+v, %v", whole, ok)
 	}
-	if _, ok := parseHop(told.encode() + hopSeparator + "1"); ok {
+	if _, ok := parseHop(sent.encode() + hopSeparator + "1"); ok {
 		t.Error("a hop with a field beyond the slowness is taken")
 	}
 }
--- a/internal/forwarding/transfer_test.go
+++ b/internal/forwarding/transfer_test.go
@@ -61,8 +61,8 @@
 	testwait.Eventually(t, "the upload is served", func() bool { return served.Load() == 1 })
 }
 
-// TestLinkThatIsBusyIsTold has a node tell how long an upload would wait.
-func TestLinkThatIsBusyIsTold(t *testing.T) {
+// TestBusyLinkIsReported has a node tell how long an upload would wait.
+func TestBusyLinkIsReported(t *testing.T) {
 	text := formatLoad(slotqueue.Load{Running: 1, Slots: 4, Hold: time.Second, Transfer: 70 * time.Millisecond}, time.Millisecond)
 	load, _, ok := parseLoad(text)
 	if !ok || load.Transfer != 70*time.Millisecond {
--- a/internal/forwarding/uneven_test.go
+++ b/internal/forwarding/uneven_test.go
@@ -21,12 +21,12 @@
 	unevenLoad    = 0.75
 	unevenWork    = 220 * time.Millisecond
 	unevenTarget  = 800 * time.Millisecond
-	// unevenPatience is how long a request may wait for a slot at a worker that is not the last.
-	unevenPatience = 300 * time.Millisecond
-	unevenTime     = 20 * time.Second
-	spellTime      = 600 * time.Millisecond
-	spellShare     = 0.15
-	spellFactor    = 2.5
+	// unevenWaitLimit is how long a request may wait for a slot at a worker that is not the last.
+	unevenWaitLimit  = 300 * time.Millisecond
+	unevenTime       = 20 * time.Second
+	slowPeriod       = 600 * time.Millisecond
+	slowPeriodShare  = 0.15
+	slowPeriodFactor = 2.5
 	// unevenSpread, and the share and factor of long requests, tell how requests of the
 	// route differ.
 	unevenSpread = 0.8
@@ -39,8 +39,8 @@
 	usual, slowness float64
 	running         int
 	waiting         []*unevenRequest
-	// told is what its node knows.
-	told decayingMean
+	// reported is what its node knows.
+	reported decayingMean
 }
 
 type unevenRequest struct {
@@ -60,9 +60,9 @@
 	nodes    []*destination
 	routes   []*routeState
 	byNode   map[string]*unevenWorker
-	tells    bool
+	reports  bool
 	declines bool
-	best     bool
+	optimal  bool
 	hold     time.Duration
 
 	asked, inTime, declined int
@@ -78,7 +78,7 @@
 		w.slowness = w.usual
 		u.workers = append(u.workers, w)
 		u.byNode[fmt.Sprint("w", n)] = w
-		u.after(time.Duration(u.random.Float64()*float64(spellTime)), func() { u.spell(w) })
+		u.after(time.Duration(u.random.Float64()*float64(slowPeriod)), func() { u.changeSpeed(w) })
 	}
 	for range unevenNodes {
 		d := &destination{links: linkWaits{}, service: "s", self: "front", zone: "z", draw: u.random.Float64}
@@ -95,7 +95,7 @@
 func (u *uneven) capacity() float64 {
 	var sum float64
 	for _, w := range u.workers {
-		sum += unevenSlots / (w.usual * (1 + spellShare*(spellFactor-1)) * unevenWork.Seconds())
+		sum += unevenSlots / (w.usual * (1 + slowPeriodShare*(slowPeriodFactor-1)) * unevenWork.Seconds())
 	}
 	return sum
 }
@@ -133,17 +133,17 @@
 	return time.Duration(factor * float64(unevenWork))
 }
 
-func (u *uneven) spell(w *unevenWorker) {
+func (u *uneven) changeSpeed(w *unevenWorker) {
 	w.slowness = w.usual
-	if u.random.Float64() < spellShare {
-		w.slowness *= spellFactor
+	if u.random.Float64() < slowPeriodShare {
+		w.slowness *= slowPeriodFactor
 	}
-	u.after(spellTime, func() { u.spell(w) })
+	u.after(slowPeriod, func() { u.changeSpeed(w) })
 }
 
 // place offers a request until a worker's node takes it.
 func (u *uneven) place(r *unevenRequest) {
-	if u.best {
+	if u.optimal {
 		u.take(r, u.fastest())
 		return
 	}
@@ -153,15 +153,15 @@
 		work, _ := u.routes[r.node].expected()
 		usual := u.routes[r.node].atUsualSpeed()
 		chosen, _ := u.nodes[r.node].choose(criteria{
-			work: work, usual: usual, target: unevenTarget, waitLimit: unevenPatience, tried: tried, reachable: func(string) bool { return true },
+			work: work, usual: usual, target: unevenTarget, waitLimit: unevenWaitLimit, tried: tried, reachable: func(string) bool { return true },
 		}, u.now)
 		w := u.byNode[chosen.endpoint.node]
 		last := len(tried) >= maximumRefusals-1
 		switch {
-		case u.declines && declined < maximumDeclines && !last && declines(w.told.at(u.now), chosen.slowestWorthwhile(usual)):
+		case u.declines && declined < maximumDeclines && !last && declines(w.reported.at(u.now), chosen.slowestWorthwhile(usual)):
 			declined++
 			u.declined++
-		case !last && u.load(w).Wait() > min(chosen.worthwhileWait(), unevenPatience):
+		case !last && u.load(w).Wait() > min(chosen.worthwhileWait(), unevenWaitLimit):
 			tried = append(tried, chosen.endpoint.node)
 		default:
 			r.choice = chosen
@@ -191,8 +191,8 @@
 	r.worker = w
 	w.waiting = append(w.waiting, r)
 	u.start(w)
-	if !u.best && r.began.IsZero() {
-		u.after(unevenPatience, func() { u.refuse(r) })
+	if !u.optimal && r.began.IsZero() {
+		u.after(unevenWaitLimit, func() { u.refuse(r) })
 	}
 }
 
@@ -218,14 +218,14 @@
 func (u *uneven) finish(r *unevenRequest) {
 	w := r.worker
 	w.running--
-	if u.tells {
-		w.told.observe(w.slowness, u.now)
+	if u.reports {
+		w.reported.observe(w.slowness, u.now)
 	}
 	u.start(w)
 	if u.now.Sub(r.came) <= unevenTarget {
 		u.inTime++
 	}
-	if u.best {
+	if u.optimal {
 		return
 	}
 	load := u.load(w)
@@ -235,7 +235,7 @@
 
 // load is what a worker's node tells.
 func (u *uneven) load(w *unevenWorker) slotqueue.Load {
-	return slotqueue.Load{Running: w.running, Waiting: len(w.waiting), Slots: unevenSlots, Hold: time.Duration(w.usual * float64(u.hold)), Slowness: w.told.at(u.now)}
+	return slotqueue.Load{Running: w.running, Waiting: len(w.waiting), Slots: unevenSlots, Hold: time.Duration(w.usual * float64(u.hold)), Slowness: w.reported.at(u.now)}
 }
 
 type unevenEvent struct {
@@ -260,7 +260,7 @@
 // 0.55 of the usual time and the others 1.2 times that, and each 2.5 times its own for
 // 600 ms at a time, 0.15 of the time. The best possible is the choice by what no node can know.
 func TestUnevenWorkers(t *testing.T) {
-	var untold, told, declining, best float64
+	var withoutReports, withReports, declining, best float64
 	const seeds = 2
 	for seed := range uint64(seeds) {
 		play := func(set func(u *uneven)) (float64, *uneven) {
@@ -269,21 +269,21 @@
 			return u.run() / seeds, u
 		}
 		share, _ := play(func(*uneven) {})
-		untold += share
-		share, _ = play(func(u *uneven) { u.tells = true })
-		told += share
-		share, played := play(func(u *uneven) { u.tells, u.declines = true, true })
+		withoutReports += share
+		share, _ = play(func(u *uneven) { u.reports = true })
+		withReports += share
+		share, played := play(func(u *uneven) { u.reports, u.declines = true, true })
 		declining += share
 		t.Logf("seed %d: %d of %d offers declined", seed, played.declined, played.asked+played.declined)
-		share, _ = play(func(u *uneven) { u.best = true })
+		share, _ = play(func(u *uneven) { u.optimal = true })
 		best += share
 	}
-	t.Logf("in time: %.4f where workers tell nothing, %.4f where they do, %.4f with declines, best possible %.4f", untold, told, declining, best)
-	if told <= untold || declining <= told {
+	t.Logf("in time: %.4f where workers tell nothing, %.4f where they do, %.4f with declines, best possible %.4f", withoutReports, withReports, declining, best)
+	if withReports <= withoutReports || declining <= withReports {
 		t.Error("what workers tell, or declining, is of no use")
 	}
 	// Half of what the best possible would gain.
-	if declining-untold < (best-untold)/2 {
-		t.Errorf("%.4f gained of %.4f", declining-untold, best-untold)
+	if declining-withoutReports < (best-withoutReports)/2 {
+		t.Errorf("%.4f gained of %.4f", declining-withoutReports, best-withoutReports)
 	}
 }
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -76,7 +76,7 @@
 }
 
 func (p *Plane) newWorkerConnection(worker workers.Worker) *workerConnection {
-	leg := &workerConnection{
+	connection := &workerConnection{
 		dialect:           &p.config.Dialect,
 		queue:             slotqueue.New(worker.Slots - worker.Busy),
 		worker:            worker,
@@ -89,20 +89,20 @@
 			return newWorkerTransport(p.config.Dial, idle, slots)
 		},
 	}
-	leg.startedAt.Store(worker.StartedAt)
-	leg.transport = leg.makeTransport(workerIdle, worker.Slots)
-	leg.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
-	return leg
+	connection.startedAt.Store(worker.StartedAt)
+	connection.transport = connection.makeTransport(workerIdle, worker.Slots)
+	connection.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
+	return connection
 }
 
 // isOf reports whether the way is to a life of the worker. One that did not know when its
 // life began learns it.
-func (l *workerConnection) isOf(life workers.Incarnation) bool {
-	if !l.incarnation().Same(life) {
+func (l *workerConnection) isOf(incarnation workers.Incarnation) bool {
+	if !l.incarnation().Same(incarnation) {
 		return false
 	}
-	if life.StartedAt != 0 {
-		l.startedAt.Store(life.StartedAt)
+	if incarnation.StartedAt != 0 {
+		l.startedAt.Store(incarnation.StartedAt)
 	}
 	return true
 }
@@ -151,16 +151,16 @@
 	if l.paused() {
 		return nil, outcome.New(outcome.NoWorker)
 	}
-	came := time.Now()
+	arrivedAt := time.Now()
 	if call.level > 0 {
 		if err := l.isolate(ctx, call.claim.latestStart); err != nil {
-			call.waited = time.Since(came)
+			call.waited = time.Since(arrivedAt)
 			return nil, err
 		}
 		defer l.crashes.EndIsolation()
 	}
 	permit, err := l.queue.Admit(ctx, call.claim.request())
-	call.waited = time.Since(came)
+	call.waited = time.Since(arrivedAt)
 	if err != nil {
 		return nil, admissionFailure(ctx, err)
 	}
@@ -273,18 +273,18 @@
 
 // observeLoad takes what the worker tells of itself in an answer.
 func (l *workerConnection) observeLoad(header http.Header) {
-	told, ok := l.dialect.workerLoad(header)
+	reported, ok := l.dialect.workerLoad(header)
 	if !ok {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if told.Slowness > 0 {
-		l.reportedSlowness.observe(min(told.Slowness, highestSlowness), time.Now())
+	if reported.Slowness > 0 {
+		l.reportedSlowness.observe(min(reported.Slowness, highestSlowness), time.Now())
 	}
 	if l.inheritedRequests > 0 {
 		own := l.queue.Load().Running
-		l.inheritedRequests = min(l.inheritedRequests, max(told.Running+told.Waiting-own, 0))
+		l.inheritedRequests = min(l.inheritedRequests, max(reported.Running+reported.Waiting-own, 0))
 		l.queue.SetSlots(l.slots - l.inheritedRequests)
 	}
 }
--- a/internal/forwarding/zones.go
+++ b/internal/forwarding/zones.go
@@ -26,14 +26,14 @@
 // longWait returns for how long a call with a long body may wait at a worker, of the
 // patience that it has left: as a guest in another zone for little, and in its own zone so
 // long that it can still be a guest afterwards. last tells that no other worker is asked.
-func longWait(patience time.Duration, guest, last bool) time.Duration {
+func longWait(waitLimit time.Duration, otherZone, last bool) time.Duration {
 	switch {
-	case guest:
-		return time.Duration(otherZoneWaitShare * float64(patience))
+	case otherZone:
+		return time.Duration(otherZoneWaitShare * float64(waitLimit))
 	case last:
-		return patience
+		return waitLimit
 	default:
-		return time.Duration((1 - otherZoneWaitShare) * float64(patience))
+		return time.Duration((1 - otherZoneWaitShare) * float64(waitLimit))
 	}
 }
 
--- a/internal/forwarding/zones_replay_test.go
+++ b/internal/forwarding/zones_replay_test.go
@@ -23,9 +23,9 @@
 	perSecond, swing float64
 	period, length   time.Duration
 	// phase is by which part of the period each next zone is later.
-	phase                  float64
-	work, target, patience time.Duration
-	bytes                  int
+	phase                   float64
+	work, target, waitLimit time.Duration
+	bytes                   int
 	// linkSpeed is what the link of a worker's machine carries, in bytes a second; zero
 	// where bodies are short.
 	linkSpeed float64
@@ -113,20 +113,20 @@
 	var tried []string
 	served := false
 	crossed := 0
-	for refusals := 0; refusals <= maximumRefusals && !served && time.Since(began) < r.patience; refusals++ {
+	for refusals := 0; refusals <= maximumRefusals && !served && time.Since(began) < r.waitLimit; refusals++ {
 		asked := criteria{
 			bytes: r.bytes, long: r.linkSpeed > 0, otherZones: refusals >= maximumRefusals, tried: tried, work: r.work,
-			target: r.target, waitLimit: r.patience, draw: rand.Float64(), reachable: func(string) bool { return true },
+			target: r.target, waitLimit: r.waitLimit, draw: rand.Float64(), reachable: func(string) bool { return true },
 		}
 		chosen, ok := d.choose(asked, time.Now())
 		if !ok {
 			break
 		}
-		latest := began.Add(r.patience)
+		latest := began.Add(r.waitLimit)
 		last := refusals >= maximumRefusals-1
 		switch {
 		case r.linkSpeed > 0:
-			latest = earlier(latest, time.Now().Add(longWait(r.patience, chosen.endpoint.zone != d.zone, last)))
+			latest = earlier(latest, time.Now().Add(longWait(r.waitLimit, chosen.endpoint.zone != d.zone, last)))
 		case !last:
 			latest = earlier(latest, time.Now().Add(max(chosen.lead, shallowWait)))
 		}
@@ -191,7 +191,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		load := zoneLoad{
 			workers: []int{1, 4}, slots: 12, perSecond: 35, period: 15 * time.Second, length: 2 * time.Minute,
-			work: 260 * time.Millisecond, target: 1200 * time.Millisecond, patience: 480 * time.Millisecond,
+			work: 260 * time.Millisecond, target: 1200 * time.Millisecond, waitLimit: 480 * time.Millisecond,
 			bytes: 60_000, linkSpeed: 11e6 / 8,
 		}
 		tallies := load.play(1)
@@ -213,7 +213,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		load := zoneLoad{
 			workers: []int{4, 4}, slots: 12, perSecond: 175, swing: 0.55, phase: 0.5, period: 15 * time.Second, length: 30 * time.Second,
-			work: 220 * time.Millisecond, target: 800 * time.Millisecond, patience: 320 * time.Millisecond, bytes: 5000,
+			work: 220 * time.Millisecond, target: 800 * time.Millisecond, waitLimit: 320 * time.Millisecond, bytes: 5000,
 		}
 		const best, margin = 0.974, 0.04
 		for _, tally := range load.play(1) {
--- a/internal/forwarding/zones_test.go
+++ b/internal/forwarding/zones_test.go
@@ -25,19 +25,21 @@
 	other := startNode(t, "far", "ledger", far)
 	other.table.Update(func(own *fleet.Node) { own.Zone = "elsewhere" })
 	nodes = append(nodes, other)
-	introduce(nodes...)
+	exchangeRecords(nodes...)
 	configure(t, ledgerRoutes, nodes...)
 	for _, node := range nodes[1 : 1+maximumRefusals] {
-		leg, err := node.plane.local.find("ledger", workers.Incarnation{})
+		connection, err := node.plane.local.find("ledger", workers.Incarnation{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		fill(t, node)
 		// So many wait that a call is refused at once.
 		for range waiters {
-			go func() { _, _ = leg.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(patience)}) }()
+			go func() {
+				_, _ = connection.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)})
+			}()
 		}
-		testwait.Eventually(t, "others wait", func() bool { return leg.load().Waiting == waiters })
+		testwait.Eventually(t, "others wait", func() bool { return connection.load().Waiting == waiters })
 	}
 	short := callerRequest(t, front, http.MethodGet, "/short/1", nil)
 	if status, _, _ := ask(t, short); status != http.StatusOK || far.calls.Load() != 1 {
