--- a/internal/forwarding/further_test.go
+++ b/internal/forwarding/additionaloffers_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestAdditionalOffersEndUnderOverload lets all further offers be refused: they come down
-// to a share of what is answered, and go on freely where they are answered.
+// TestAdditionalOffersEndUnderOverload refuses all additional offers: they decrease to a share of
+// the answered calls, and continue without limit where they are answered.
 func TestAdditionalOffersEndUnderOverload(t *testing.T) {
 	const calls = 1000
 	now := time.Now()
@@ -19,11 +19,11 @@
 		refused.Earn()
 	}
 	if most := additionalOfferBurst + int(additionalOfferShare*calls) + 1; made > most {
-		t.Errorf("%d further offers for %d answers, at most %d", made, calls, most)
+		t.Errorf("%d additional offers for %d answers, at most %d", made, calls, most)
 	}
 	for i := range calls {
 		if !answered.Spend(now) {
-			t.Fatalf("the further offer of call %d was not allowed, though all were answered", i)
+			t.Fatalf("the additional offer of call %d was not allowed, though all were answered", i)
 		}
 		answered.Earn()
 		answered.Succeed()
--- a/internal/forwarding/admission_test.go
+++ b/internal/forwarding/admission_test.go
@@ -21,7 +21,7 @@
 	}
 	back.heartbeat(t, "w-back", "ledger", worker, 2, true)
 	before := worker.calls.Load()
-	// The node in front does not know yet.
+	// The node where the call begins does not know of the drain yet.
 	for _, node := range []*testNode{front, back} {
 		if status, _, _ := get(t, node, "/read/1"); status != http.StatusServiceUnavailable {
 			t.Errorf("status %d", status)
@@ -105,8 +105,8 @@
 	close(release)
 }
 
-// TestCallThatAllRefuseWaitsWhereItIsLeastBusy fills the workers of more nodes than
-// a call asks: it waits at the last one until a slot is free.
+// TestCallThatAllRefuseWaitsWhereItIsLeastBusy fills the workers of more nodes than a call is
+// offered to: it waits at the last one until a slot is free.
 func TestCallThatAllRefuseWaitsWhereItIsLeastBusy(t *testing.T) {
 	worker := startWorker(t)
 	nodes := []*testNode{startNode(t, "front", "desk", nil)}
@@ -158,8 +158,8 @@
 	return permits
 }
 
-// TestNestedCallWaitsLongerAndGoesFirst fills a worker and lets a call of a caller
-// and one that a worker made for another call wait for it.
+// TestNestedCallWaitsLongerAndGoesFirst fills a worker and makes a call of a caller and a nested
+// call wait for it.
 func TestNestedCallWaitsLongerAndGoesFirst(t *testing.T) {
 	front, back, worker := twoNodes(t)
 	for _, node := range []*testNode{front, back} {
@@ -197,8 +197,8 @@
 	}
 }
 
-// TestOverloadedCallersAreSpread checks when callers are told to come back: by the
-// target of their route after an overload, soon after anything else.
+// TestOverloadedCallersAreSpread checks the retry times reported to callers: by the target of
+// their route after an overload, short ones after anything else.
 func TestOverloadedCallersAreSpread(t *testing.T) {
 	const target = 400 * time.Millisecond
 	c := &call{route: &routing.Route{Config: &model.Route{TargetLatency: target}}}
@@ -206,7 +206,7 @@
 	for range 50 {
 		wait := c.retryAfter(outcome.WithRetryAfter(outcome.Overloaded, time.Millisecond))
 		if wait < 3*target/2 || wait > 3*target {
-			t.Fatalf("told to wait %v", wait)
+			t.Fatalf("retry after %v", wait)
 		}
 		waits[wait] = true
 	}
@@ -214,10 +214,10 @@
 		t.Errorf("only %d different times", len(waits))
 	}
 	if wait := c.retryAfter(outcome.New(outcome.NotReady)); wait > defaultRetryAfter {
-		t.Errorf("told to wait %v for a node that starts", wait)
+		t.Errorf("retry after %v for a node that starts", wait)
 	}
 	c.route.Config.TargetLatency = time.Hour
 	if wait := c.retryAfter(outcome.New(outcome.Overloaded)); wait > longestRetryAfter {
-		t.Errorf("told to wait %v", wait)
+		t.Errorf("retry after %v", wait)
 	}
 }
--- a/internal/forwarding/answer.go
+++ b/internal/forwarding/answer.go
@@ -13,25 +13,25 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// answer is what a worker answered: whole when rest is nil.
+// answer is the answer of a worker: complete when rest is nil.
 type answer struct {
 	status int
 	header http.Header
 	held   []byte
-	// rest is what follows a long answer's beginning.
+	// rest is the part of a long answer that is not buffered in held.
 	rest   io.ReadCloser
 	length int64 // -1 when it is not known
-	// load is that of the worker's node after the call.
+	// load is the load of the worker's node after the call.
 	load    slotqueue.Load
 	hasLoad bool
 	// ran is how long the worker had the call; zero when it is not known.
 	ran time.Duration
-	// finish gives back what a streamed answer holds.
+	// finish releases the resources that a streamed answer holds.
 	finish func(whole bool)
 }
 
-// readAnswer reads the body of an answer, whole if it is short. An error is
-// unknown: the call has run and its answer is not whole.
+// readAnswer reads the body of an answer, completely if it is short. An error has the outcome
+// unknown: the call has run, but its answer is not complete.
 func readAnswer(ctx context.Context, response *http.Response) (*answer, error) {
 	a := &answer{status: response.StatusCode, header: response.Header, length: response.ContentLength}
 	if response.ContentLength > bufferedAnswer {
@@ -72,7 +72,7 @@
 		held = make([]byte, response.ContentLength)
 		_, err = io.ReadFull(response.Body, held)
 		if err == nil {
-			// Seeing the end lets the connection be used again.
+			// The connection can be used again only after the end of the body was read.
 			_, _ = response.Body.Read(make([]byte, 1))
 		}
 		return held, true, err
@@ -85,7 +85,8 @@
 	return buffer.Bytes(), false, err
 }
 
-// release ends an answer that is not passed on to its end.
+// release closes the rest of an answer and releases what it holds. whole reports whether the
+// answer was written completely.
 func (a *answer) release(whole bool) {
 	if a.rest != nil {
 		_ = a.rest.Close()
@@ -95,8 +96,8 @@
 	}
 }
 
-// write passes an answer on. An error means that it did not arrive whole: the
-// handler must then be aborted.
+// write forwards an answer. An error means that it did not arrive completely: the handler must
+// then be aborted.
 func (a *answer) write(w http.ResponseWriter, closing bool) error {
 	target := w.Header()
 	for name, values := range a.header {
--- a/internal/forwarding/answers_test.go
+++ b/internal/forwarding/answers_test.go
@@ -82,7 +82,7 @@
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		if response.StatusCode == http.StatusOK && err == nil {
-			t.Errorf("%d of %d bytes looked whole", len(body), length)
+			t.Errorf("%d of %d bytes looked like a complete answer", len(body), length)
 		}
 	}
 }
@@ -111,8 +111,8 @@
 	for _, node := range []*testNode{front, back} {
 		testwait.Eventually(t, "the memory of bodies is given back", func() bool { return node.plane.memory.used.Load() == 0 })
 	}
-	// The caller waits to be asked for its body, so that the answer meets no body
-	// on its way.
+	// The caller waits for 100-continue before it sends its body, so that no part of the body is
+	// in transit when the answer arrives.
 	tooLarge := callerRequest(t, front, http.MethodPost, "/file/1", bytes.NewReader(make([]byte, 8<<20+1)))
 	tooLarge.Header.Set("Expect", "100-continue")
 	if status, _, _ := ask(t, tooLarge); status != http.StatusRequestEntityTooLarge {
--- a/internal/forwarding/attempts.go
+++ b/internal/forwarding/attempts.go
@@ -7,15 +7,15 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// attempts offers the call to workers until one has answered or no further offer
-// is allowed. While the node starts and knows no worker that could have the call, the call waits.
+// attempts offers the call to workers until one has answered or no further offer is allowed.
+// While the node starts and knows no worker that could run the call, the call waits.
 func (c *call) attempts(ctx context.Context) (*answer, error) {
 	service := c.state.pickService(c.route)
 	c.report.Route, c.report.Service = c.route.Name, service
 	destination := c.plane.destination(service)
 	if !c.repeat {
-		// The call of a repeated run was a first attempt of the run before: counted
-		// again, it would allow retries that the bound over all nodes does not.
+		// The call of a repeated run was counted as a first attempt in the earlier run: counting
+		// it again would allow retries beyond the limit that holds over all nodes.
 		destination.budget.AddFirstAttempt(c.began)
 	} else if !c.spend(destination, repeatedCallShare) {
 		return nil, outcome.WithRetryAfter(outcome.Overloaded, defaultRetryAfter)
--- a/internal/forwarding/authentication.go
+++ b/internal/forwarding/authentication.go
@@ -11,19 +11,20 @@
 	"github.com/levertide/levertide/pkg/routing"
 )
 
-// principalHeader goes with a hop of a call whose caller was authenticated where it began:
-// its tenant, or nothing. Other nodes are trusted; from callers the header is not taken.
+// principalHeader is sent with the hop of a call whose caller was authenticated by the node where
+// it began: it holds the tenant, or is empty. It is trusted from other nodes and ignored from
+// callers.
 const principalHeader = "Levertide-Hop-Tenant"
 
-// principal is whose a call is, as the node has found where it began.
+// principal is the authenticated owner of a call, as determined by the node where the call began.
 type principal struct {
-	// checked tells that the version in force there has tenants.
+	// checked is set when the configuration version in force at that node has tenants.
 	checked bool
 	// tenant is empty for a call without a key, whose route is public.
 	tenant string
 }
 
-// principalOf returns what another node has told of a call.
+// principalOf returns the principal that another node sent with a call.
 func principalOf(values []string) principal {
 	if len(values) == 0 {
 		return principal{}
@@ -42,8 +43,8 @@
 	return p
 }
 
-// authenticate finds whose the call is, by its key or, for a call of a worker, by the one
-// that it is made for. Errors are those of package outcome.
+// authenticate determines the tenant of the call by its key or, for a nested call, by its parent.
+// Errors are those of package outcome.
 func (c *call) authenticate(table *routing.Table) error {
 	if !table.HasTenants() {
 		c.plane.tenantsSince.reset()
@@ -57,7 +58,7 @@
 		parent, _ := c.plane.config.Dialect.parent(c.report.RequestID)
 		c.parent = c.plane.running.parent(parent, c.began)
 	}
-	// An id alone says nothing of a call whose parent does not run here.
+	// An id alone proves nothing about a call whose parent does not run here.
 	c.nested = c.parent != nil
 	c.repeat = c.repeat && c.nested
 	if c.nested {
@@ -69,16 +70,16 @@
 		c.tenant = tenant
 		return nil
 	case nested && since < table.LongestCall():
-		// The parent may have begun in a former life of this node, or when there were no
-		// tenants: its run was not noted.
+		// The parent may have begun in a previous incarnation of this node, or when there were no
+		// tenants: its run was then not recorded.
 		return outcome.New(outcome.ParentUnknown)
 	default:
 		return outcome.New(outcome.Unauthenticated)
 	}
 }
 
-// takeKey returns the key of the caller and removes it from the request: it must go on to
-// nobody. What the caller says of its tenant goes, too.
+// takeKey returns the key of the caller and removes it from the request: it must not be forwarded
+// to anyone. The tenant that the caller states for itself is removed, too.
 func (c *call) takeKey() (key string, given bool) {
 	dialect := &c.plane.config.Dialect
 	key, given = dialect.Key.Read(c.request.Header)
@@ -88,11 +89,11 @@
 }
 
 // tenantsSince is the age of the node, in nanoseconds, when the first call came under a
-// version with tenants. Setting the clock does not change an age.
+// configuration version with tenants. Setting the clock does not change an age.
 type tenantsSince struct{ age atomic.Int64 }
 
-// mark returns how long ago the first call came, at the given age of the node; zero when this
-// is the first one.
+// mark returns how long ago the first such call came, given the current age of the node; zero
+// when this is the first one.
 func (s *tenantsSince) mark(age time.Duration) time.Duration {
 	// Zero stands for no call.
 	if s.age.CompareAndSwap(0, max(int64(age), 1)) {
@@ -101,15 +102,15 @@
 	return age - time.Duration(s.age.Load())
 }
 
-// reset forgets the call: the version in force has no tenants.
+// reset forgets the first call: the version in force has no tenants.
 func (s *tenantsSince) reset() {
 	if s.age.Load() != 0 {
 		s.age.Store(0)
 	}
 }
 
-// charge takes the call from the limit of its tenant. Calls of workers take nothing, since
-// the one that they are made for has.
+// charge counts the call against the limit of its tenant. Nested calls are not counted, since
+// their parent has been.
 func (c *call) charge(ctx context.Context) error {
 	if c.plane.config.Quota == nil || c.tenant == nil {
 		return nil
@@ -126,18 +127,19 @@
 	return nil
 }
 
-// spareTime is how much later the call could have come with its answer still in time.
+// spareTime returns how much later the call could have arrived and still be answered within its
+// target.
 func (c *call) spareTime() time.Duration {
 	work, _ := c.state.expected()
-	// A caller that comes back has less time left than the route gives.
+	// A retrying caller has less time left than the route's timeout.
 	spent := max(c.route.Timeout-c.end.Sub(c.began), 0)
 	return c.target() - spent - lastWorkReserve*work
 }
 
-// quotaRetryAfter returns after which time a caller beyond its tenant's limit is to come back.
-// While a tenant stays beyond its limit, a caller that waited for its turn would be late and
-// would take a token from one that could be in time. Where the turn comes too late, callers
-// are therefore spread over the time within which their answers can still be in time.
+// quotaRetryAfter returns after which time a caller beyond its tenant's limit is to retry. While
+// a tenant stays beyond its limit, a caller that waited for its turn would be late and would take
+// a token from one that could be answered in time. If the turn comes too late, the retries are
+// therefore spread over the time within which their answers can still be in time.
 func quotaRetryAfter(turn, spare time.Duration, draw float64) time.Duration {
 	if turn <= spare || spare <= shortestRetryAfter {
 		return turn
@@ -145,7 +147,7 @@
 	return shortestRetryAfter + time.Duration(draw*float64(spare-shortestRetryAfter))
 }
 
-// refund gives back what a call took that no worker has run.
+// refund gives the call back to the limit of its tenant if no worker has run it.
 func (c *call) refund(err error) {
 	if c.charged && outcome.Of(err) == outcome.NotRun {
 		c.charged = false
@@ -153,8 +155,9 @@
 	}
 }
 
-// authenticatedRank is the rank of a call in a version with tenants. A call of a worker has
-// that of the one it is made for, raised by what is lost when it fails.
+// authenticatedRank returns the rank of a call under a configuration version with tenants. A
+// nested call has that of its parent, raised because the parent's work is lost when the nested
+// call fails.
 func (c *call) authenticatedRank() int {
 	if c.parent != nil {
 		return nestedRankOf(*c.parent)
--- a/internal/forwarding/authentication_test.go
+++ b/internal/forwarding/authentication_test.go
@@ -19,7 +19,7 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// markedKey is the key of the tenant "acme". Nothing but the caller's node may see it.
+// markedKey is the key of the tenant "acme". Only the node where the call begins may receive it.
 const markedKey = "marked-key-of-acme"
 
 // startTenantNode starts a node whose callers have keys.
@@ -32,8 +32,8 @@
 	return node
 }
 
-// configureTenants puts in force, beside the routes of ledgerRoutes and a public one, the
-// tenants with their keys.
+// configureTenants puts in force the tenants with their keys, and in addition to ledgerRoutes a
+// public route.
 func configureTenants(t testing.TB, version uint64, tenants map[string]*model.Tenant, nodes ...*testNode) {
 	t.Helper()
 	resources := []model.Resource{{Key: model.Key{Kind: model.KindService, Name: "ledger"}, Service: &model.Service{}}}
@@ -60,7 +60,8 @@
 	return tenant
 }
 
-// askWith sends a request with the given values of Authorization.
+// askWith sends a request with the given values of Authorization, and a tenant header that
+// callers must not set.
 func askWith(t *testing.T, node *testNode, path string, values ...string) (int, http.Header, string) {
 	t.Helper()
 	request := callerRequest(t, node, http.MethodPost, path, strings.NewReader("body"))
@@ -70,7 +71,7 @@
 	return ask(t, request)
 }
 
-// headersSeen has the worker keep the headers of the last request.
+// headersSeen makes the worker record the headers of the last request.
 func headersSeen(worker *testWorker) *atomic.Pointer[http.Header] {
 	var seen atomic.Pointer[http.Header]
 	worker.answer(func(_ http.ResponseWriter, r *http.Request) {
@@ -80,7 +81,8 @@
 	return &seen
 }
 
-// TestWhoMayCall asks a node beside the worker and one beside another worker.
+// TestWhoMayCall sends calls with various keys to a node beside the worker and to one beside
+// another worker.
 func TestWhoMayCall(t *testing.T) {
 	worker := startWorker(t)
 	beside, distant := startTenantNode(t, "a", "ledger", worker), startTenantNode(t, "b", "other", nil)
@@ -121,7 +123,7 @@
 			}
 			if status != http.StatusOK {
 				if seen.Load() != nil {
-					t.Errorf("%s: the worker got it", name)
+					t.Errorf("%s: the worker received the call", name)
 				}
 				continue
 			}
@@ -136,7 +138,7 @@
 	}
 }
 
-// TestOtherCredentialsReachTheWorker has a public route whose callers authenticate at the
+// TestOtherCredentialsReachTheWorker uses a public route whose callers authenticate at the
 // worker.
 func TestOtherCredentialsReachTheWorker(t *testing.T) {
 	worker := startWorker(t)
@@ -151,7 +153,8 @@
 	}
 }
 
-// TestWithoutTenantsNothingChanges has a version without tenants, and one before there is any.
+// TestWithoutTenantsNothingChanges sends calls before there is a configuration and under a
+// version without tenants.
 func TestWithoutTenantsNothingChanges(t *testing.T) {
 	worker := startWorker(t)
 	beside, distant := startTenantNode(t, "a", "ledger", worker), startTenantNode(t, "b", "other", nil)
@@ -179,11 +182,12 @@
 		}
 	}
 	if len(beside.plane.running.runs) != 0 {
-		t.Error("runs are noted")
+		t.Error("runs are recorded")
 	}
 }
 
-// TestKeysAreAddedAndRemoved sends requests over one connection while versions give and take a key.
+// TestKeysAreAddedAndRemoved sends requests over one connection while configuration versions add
+// and remove a key.
 func TestKeysAreAddedAndRemoved(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
@@ -208,7 +212,7 @@
 	}
 }
 
-// nestedCall sends what a worker calls for another call.
+// nestedCall sends a call as a worker does while it runs another call.
 func nestedCall(t *testing.T, node *testNode, id string) (int, string) {
 	t.Helper()
 	request := callerRequest(t, node, http.MethodPost, "/file/nested", strings.NewReader("n"))
@@ -217,8 +221,8 @@
 	return status, body
 }
 
-// TestCallsOfWorkersInherit has a call run at a worker that calls another one for it, which
-// calls a third time.
+// TestCallsOfWorkersInherit runs a call at a worker that makes a nested call, which makes a third
+// one.
 func TestCallsOfWorkersInherit(t *testing.T) {
 	worker := startWorker(t)
 	front, back := startTenantNode(t, "front", "other", nil), startTenantNode(t, "back", "ledger", worker)
@@ -244,21 +248,21 @@
 		t.Fatalf("%d %q", status, body)
 	}
 	if fmt.Sprint(tenants) != "[acme acme acme]" {
-		t.Errorf("workers were told %q", tenants)
+		t.Errorf("workers received the tenants %q", tenants)
 	}
 	parent := &parentCall{tenant: "acme", rank: rankOf(1, 2, stepFirst)}
 	if got, want := (&call{checked: true, parent: parent}).rank(), rankOf(1, 1, stepNested); got != want {
-		t.Errorf("a call of a worker has rank %d, want %d: first within the next lower rank of its parent's route", got, want)
+		t.Errorf("a nested call has rank %d, want %d: first within the next lower rank of its parent's route", got, want)
 	}
 }
 
-// TestMadeUpParentsGainNothing has ids that say that a worker makes the call.
+// TestMadeUpParentsGainNothing sends calls whose ids claim a parent that does not run.
 func TestMadeUpParentsGainNothing(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
 	configureTenants(t, 1, map[string]*model.Tenant{"acme": tenantWithKeys(markedKey)}, node)
 	if status, _ := nestedCall(t, node, "nobody/1"); status != http.StatusServiceUnavailable {
-		t.Errorf("while a run of a former life may go on: %d", status)
+		t.Errorf("while a run under a previous incarnation may go on: %d", status)
 	}
 	if report := <-node.reports; report.Reason != outcome.ParentUnknown || report.Outcome != outcome.NotRun {
 		t.Errorf("%+v", report)
@@ -268,7 +272,7 @@
 		t.Errorf("later: %d", status)
 	}
 	<-node.reports
-	// A call with a key is its holder's, whatever its id.
+	// A call with a key belongs to the holder of the key, whatever its id.
 	request := callerRequest(t, node, http.MethodPost, "/file/1", strings.NewReader("n"))
 	request.Header.Set("X-Id", "nobody/1")
 	request.Header.Set("Authorization", "Token "+markedKey)
@@ -278,7 +282,7 @@
 	}
 }
 
-// TestParentsAreForgotten plays runs of two calls under one id, and their end.
+// TestParentsAreForgotten runs two calls with the same id, and ends them.
 func TestParentsAreForgotten(t *testing.T) {
 	var calls runningCalls
 	now := time.Unix(9000, 0)
@@ -296,7 +300,7 @@
 		t.Error("a worker whose call was given up has no time to notice")
 	}
 	if calls.parent("id", now.Add(time.Second)) != nil || calls.parent("other", now) != nil {
-		t.Error("a call is its parent's longer than that runs")
+		t.Error("calls inherit from a parent that no longer runs")
 	}
 	const many = 10 * leastSweep
 	for i := range many {
@@ -310,8 +314,8 @@
 	}
 }
 
-// TestBothNodesKnowTheRequestByOneFingerprint compares what the caller's node takes with what
-// the worker's node does, which sees no key.
+// TestBothNodesKnowTheRequestByOneFingerprint compares the fingerprint computed by the node where
+// the call begins with that of the worker's node, which does not receive the key.
 func TestBothNodesKnowTheRequestByOneFingerprint(t *testing.T) {
 	dialect := &Dialect{Key: httpleg.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant"}
 	prints := map[quarantine.Fingerprint]bool{}
@@ -345,8 +349,8 @@
 	}
 }
 
-// TestPipelinedRequestsAreEachTheirOwn sends requests with a key, without and with one that
-// nobody holds on one connection, before the first is answered.
+// TestPipelinedRequestsAreEachTheirOwn sends, on one connection and before the first is answered,
+// requests with a key, without one and with an unknown one.
 func TestPipelinedRequestsAreEachTheirOwn(t *testing.T) {
 	node := startTenantNode(t, "a", "ledger", startWorker(t))
 	configureTenants(t, 1, map[string]*model.Tenant{"acme": tenantWithKeys(markedKey)}, node)
@@ -373,7 +377,8 @@
 	}
 }
 
-// TestNodesOfDifferentVersions has a caller's and a worker's node of which one has tenants.
+// TestNodesOfDifferentVersions runs the node where the call begins and the worker's node with
+// different configuration versions, of which only one has tenants.
 func TestNodesOfDifferentVersions(t *testing.T) {
 	worker := startWorker(t)
 	front, back := startTenantNode(t, "front", "other", nil), startTenantNode(t, "back", "ledger", worker)
@@ -395,11 +400,12 @@
 		t.Fatalf("%d %q", status, body)
 	}
 	if got := *seen.Load(); got.Get("Authorization") != "Token other" {
-		t.Errorf("without tenants all goes on: the worker got %v", got)
+		t.Errorf("without tenants all headers are forwarded: the worker got %v", got)
 	}
 }
 
-// TestFirstVersionWithTenants comes while a worker runs a request, for which it calls another.
+// TestFirstVersionWithTenants puts the first version with tenants in force while a worker runs a
+// request, during which it makes a nested call.
 func TestFirstVersionWithTenants(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
--- a/internal/forwarding/bench_test.go
+++ b/internal/forwarding/bench_test.go
@@ -9,9 +9,8 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// BenchmarkCall compares a call to a worker without a node between, with the worker
-// beside the caller's node, and through two nodes. The ratios of one run tell what
-// a node costs.
+// BenchmarkCall compares a call sent directly to a worker, with the worker beside the caller's
+// node, and through two nodes. The ratios within one run show the cost of a node.
 func BenchmarkCall(b *testing.B) {
 	worker := startWorker(b)
 	beside := startNode(b, "a", "ledger", worker)
@@ -57,8 +56,8 @@
 	}
 }
 
-// BenchmarkAuthenticatedCall compares calls with a key of one of 1,000 tenants, beside the
-// worker and through two nodes, with refused ones.
+// BenchmarkAuthenticatedCall compares calls with a key of one of 1,000 tenants, beside the worker
+// and through two nodes, with refused calls.
 func BenchmarkAuthenticatedCall(b *testing.B) {
 	beside, distant := startTenantNode(b, "a", "ledger", startWorker(b)), startTenantNode(b, "b", "other", nil)
 	tenants := map[string]*model.Tenant{}
--- a/internal/forwarding/body.go
+++ b/internal/forwarding/body.go
@@ -14,8 +14,8 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// linkPace returns the pace at which this node sends long bodies to other nodes; nil
-// when it does not know its link.
+// linkPace returns a limiter for the rate at which this node sends long bodies to other nodes;
+// nil when the speed of its link is not known.
 func linkPace(bitsPerSecond float64) *rate.Limiter {
 	if bitsPerSecond <= 0 {
 		return nil
@@ -24,24 +24,24 @@
 	return rate.NewLimiter(rate.Limit(bitsPerSecond/bitsPerByte), pacedPart)
 }
 
-// chunkedEncoding keeps the transport from probing a body of unknown length.
+// chunkedEncoding prevents the transport from probing a body of unknown length.
 var chunkedEncoding = []string{"chunked"}
 
-// requestBody is the body of one call. One of up to bufferedBody bytes is held
-// whole and can be sent any number of times. A longer one is held up to there
-// and streamed from then on, and can be sent once.
+// requestBody is the body of one call. A body of up to bufferedBody bytes is buffered completely
+// and can be sent any number of times. Of a longer one, that many bytes are buffered and the rest
+// is streamed; it can be sent once.
 type requestBody struct {
 	held   []byte
-	rest   io.Reader // nil when the whole body is held
+	rest   io.Reader // nil when the body is buffered completely
 	length int64     // -1 when it is not known
-	// sent is set once anything of the body was taken to be sent.
+	// sent is set once any part of the body was read for sending.
 	sent atomic.Bool
 }
 
-// bodyMemory counts the bytes of the bodies that a node holds.
+// bodyMemory counts the bytes of the bodies that a node buffers.
 type bodyMemory struct{ used atomic.Int64 }
 
-// reserve takes memory for a body; it reports false when there is too little.
+// reserve reserves memory for a body; it reports false when there is too little.
 func (m *bodyMemory) reserve(bytes int64) bool {
 	if m.used.Add(bytes) > maximumBodyBytes {
 		m.used.Add(-bytes)
@@ -52,8 +52,8 @@
 
 func (m *bodyMemory) release(bytes int64) { m.used.Add(-bytes) }
 
-// holdBody reads the body of a request within the memory for bodies. Give it back
-// with releaseBody. Errors are those of package outcome.
+// holdBody reads the body of a request within the memory limit for bodies. Release it with
+// releaseBody. Errors are those of package outcome.
 func (p *Plane) holdBody(w http.ResponseWriter, r *http.Request, limit int64, end time.Time) (*requestBody, error) {
 	reserved := min(max(r.ContentLength, 0), bufferedBody)
 	if !p.memory.reserve(reserved) {
@@ -68,15 +68,15 @@
 	return body, nil
 }
 
-// releaseBody gives the memory of a body back; nil is none.
+// releaseBody releases the memory of a body, which may be nil.
 func (p *Plane) releaseBody(body *requestBody) {
 	if body != nil {
 		p.memory.release(int64(len(body.held)))
 	}
 }
 
-// readBody reads the body of a request, up to what is held, until the given end.
-// Errors are those of package outcome; nothing of the call has run.
+// readBody reads the part of a request's body that is buffered, until the given end. Errors are
+// those of package outcome; nothing of the call has run.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, end time.Time) (*requestBody, error) {
 	if r.ContentLength == 0 {
 		return &requestBody{}, nil
@@ -94,24 +94,24 @@
 	body.held = held
 	if !whole {
 		body.rest = r.Body
-		// An answer that begins before the body has ended must not wait for it.
+		// An answer that begins before the body has ended must not wait for the rest of it.
 		_ = control.EnableFullDuplex()
 		return body, nil
 	}
 	body.length = int64(len(held))
-	// A deadline would look like a caller that left.
+	// Clear the deadline: when it passed, the server would report that the caller has left.
 	_ = control.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// readHead reads up to bufferedBody bytes, and tells whether that was all.
+// readHead reads up to bufferedBody bytes, and reports whether that was the complete body.
 func readHead(source io.Reader, length int64) (held []byte, whole bool, err error) {
 	if length > 0 && length <= bufferedBody {
 		held = make([]byte, length)
 		if _, err = io.ReadFull(source, held); err != nil {
 			return nil, false, err
 		}
-		// The end must have been seen, too, for the server to watch the caller.
+		// The server watches for the caller to leave only after the end of the body was read.
 		_, err = source.Read(make([]byte, 1))
 		if err == io.EOF {
 			err = nil
@@ -129,22 +129,23 @@
 // repeatable reports whether the body can be sent from its beginning.
 func (b *requestBody) repeatable() bool { return b.rest == nil || !b.sent.Load() }
 
-// long reports whether the body is worth a question before it is sent to another node.
+// long reports whether the body is long enough to ask another node for permission before it is
+// sent there.
 func (b *requestBody) long() bool { return b.rest != nil || len(b.held) >= expectContinueBody }
 
-// sending is the body on its way over one connection.
+// sending is the transmission of a body over one connection.
 type sending struct {
 	body *requestBody
 
 	mu     sync.Mutex
 	source io.Reader
-	// left is how much of the body was not taken yet, in bytes; -1 when the other
-	// side may begin before it has all of it.
+	// left is how many bytes of the body were not read for sending yet; -1 when the other side
+	// may begin before it has received all of it.
 	left  int
 	begun bool
-	// sealed tells that nothing more of the body will be taken.
+	// sealed is set when nothing more of the body will be sent.
 	sealed bool
-	// pace bounds how fast the body is taken; nil sets no bound.
+	// pace limits how fast the body is sent; nil sets no limit.
 	pace *rate.Limiter
 }
 
@@ -168,12 +169,12 @@
 	return n, err
 }
 
-// seal keeps the body from being sent any more. It reports whether the other side
-// lacks so much of it that it begins nothing: all, or, of a body that is held whole
-// there first, any part.
+// seal prevents the body from being sent any further. It reports whether the other side lacks so
+// much of it that it begins nothing: all of it, or any part of a body that the other side buffers
+// completely before it begins.
 func (s *sending) seal() bool {
 	if !s.mu.TryLock() {
-		return false // it is being taken just now
+		return false // the body is being read right now
 	}
 	defer s.mu.Unlock()
 	if !s.begun || s.left > 0 {
@@ -182,9 +183,9 @@
 	return s.sealed
 }
 
-// attach gives the body to an outgoing request in a form that http.Transport
-// cannot send twice by itself: a body that is there and has no GetBody. It returns
-// a long body on its way, at the given pace; nil for others.
+// attach sets the body of an outgoing request in a form that http.Transport cannot send twice by
+// itself: a non-nil body without GetBody. For a long body it returns the transmission, limited to
+// the given pace; otherwise nil.
 func (b *requestBody) attach(out *http.Request, pace *rate.Limiter) *sending {
 	switch {
 	case b.rest != nil:
@@ -198,7 +199,7 @@
 		if b.long() {
 			return b.send(out, bytes.NewReader(b.held), len(b.held), pace)
 		}
-		// The transport writes a reader of this kind together with the head.
+		// The transport writes the body of a reader of this kind together with the head.
 		out.Body = io.NopCloser(bytes.NewReader(b.held))
 	case httpleg.NeedsContentLength(out.Method):
 		out.Body = nil
--- a/internal/forwarding/caller.go
+++ b/internal/forwarding/caller.go
@@ -19,25 +19,27 @@
 	state   *routeState
 	body    *requestBody
 	began   time.Time
-	// heldUntil is until when the call waited for its node to start; zero when it did not.
+	// heldUntil is when the call last stopped waiting for its node to start; zero when it did not
+	// wait.
 	heldUntil time.Time
-	// end is when the caller or the route has no more use of an answer.
+	// end is when an answer is no longer of use to the caller, or the timeout of the route is
+	// over.
 	end time.Time
-	// nested tells that a worker made the call for another one.
+	// nested is set when a worker made the call while it ran another call, its parent.
 	nested bool
-	// repeat tells that the call was made before, for an earlier run of the other one.
+	// repeat is set when the call was made before, during an earlier run of its parent.
 	repeat bool
-	// checked tells that the version in force has tenants: the call then has a tenant, or a
-	// parent that it inherits from, or neither on a public route.
+	// checked is set when the configuration version in force has tenants: the call then has a
+	// tenant, or a parent that it inherits from, or neither on a public route.
 	checked bool
 	tenant  *routing.Tenant
 	parent  *parentCall
-	// charged tells that the call was taken from the limit of its tenant.
+	// charged is set when the call was counted against the limit of its tenant.
 	charged bool
-	// clientRetry tells that the caller was refused before and comes clientRetry.
+	// clientRetry is set when the caller was refused before and retries the call.
 	clientRetry bool
 	report      CallReport
-	// identified is the fingerprint of the request, once it was needed.
+	// identified caches the fingerprint of the request.
 	identified identity
 }
 
@@ -53,7 +55,7 @@
 	c.conclude(w, result, err)
 }
 
-// answer has a worker answer the call. Errors are those of package outcome.
+// answer obtains an answer from a worker. Errors are those of package outcome.
 func (c *call) answer(w http.ResponseWriter) (*answer, error) {
 	timeout := c.callerTimeout()
 	configuration := c.awaitConfiguration(timeout)
@@ -87,8 +89,8 @@
 	return result, nil
 }
 
-// accept finds the route of the call, whose the call is, and whether the limit of its tenant
-// allows it. Errors are those of package outcome.
+// accept finds the route of the call, authenticates the caller and charges the limit of its
+// tenant. Errors are those of package outcome.
 func (c *call) accept(table *routing.Table, timeout time.Duration) error {
 	c.report.Version = table.Version()
 	route, matched := table.Match(c.request.Host, c.request.URL.Path, c.request.Method)
@@ -105,7 +107,8 @@
 	return c.charge(c.request.Context())
 }
 
-// callerTimeout is how long the caller will wait; the longest time if it does not say.
+// callerTimeout returns how long the caller will wait, or one hour if the caller does not state a
+// valid timeout.
 func (c *call) callerTimeout() time.Duration {
 	const longest = time.Hour
 	milliseconds, err := strconv.ParseInt(c.request.Header.Get(c.plane.config.Dialect.Timeout), 10, 64)
@@ -115,7 +118,7 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// conclude answers the caller and reports.
+// conclude writes the answer or the failure to the caller and reports the call to the observer.
 func (c *call) conclude(w http.ResponseWriter, result *answer, err error) {
 	closing := c.plane.leaving.Load()
 	c.refund(err)
@@ -145,10 +148,10 @@
 	}
 }
 
-// retryAfter returns when the caller is to come back. After an overload that is one
-// and a half to three targets: spread, so that callers who were refused together do
-// not meet again, and long enough that a short overload is over. The causes of other
-// refusals end sooner.
+// retryAfter returns after which time the caller is to retry. After an overload that is one and a
+// half to three targets: spread, so that callers that were refused together do not retry at the
+// same time, and long enough that a short overload is over. The causes of other refusals end
+// sooner.
 func (c *call) retryAfter(err error) time.Duration {
 	switch {
 	case outcome.ReasonOf(err) == outcome.QuotaExceeded:
--- a/internal/forwarding/calls_test.go
+++ b/internal/forwarding/calls_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// twoNodes returns a node without a worker and one beside a worker of the ledger.
+// twoNodes returns a node without a worker, and one beside a worker of the service "ledger", with
+// that worker.
 func twoNodes(t *testing.T) (*testNode, *testNode, *testWorker) {
 	t.Helper()
 	worker := startWorker(t)
@@ -193,8 +194,9 @@
 	}
 }
 
-// TestCallThatMayHaveRunIsNeverToldNotRun lets a first attempt break off after the
-// worker had it, and a second one be refused.
+// TestCallThatMayHaveRunIsNeverToldNotRun makes a first attempt break off after the worker
+// received it, and a second one be refused: the caller must not be told that the call did not
+// run.
 func TestCallThatMayHaveRunIsNeverToldNotRun(t *testing.T) {
 	broken, refusing := startWorker(t), startWorker(t)
 	broken.answer(func(w http.ResponseWriter, _ *http.Request) { reset(hijack(t, w)) })
@@ -210,7 +212,7 @@
 		before := broken.calls.Load()
 		status, _, _ := get(t, front, "/read/1")
 		if broken.calls.Load() > before && status == http.StatusServiceUnavailable {
-			t.Fatalf("call %d ran and was told not to have run", call)
+			t.Fatalf("call %d ran and was reported as not run", call)
 		}
 	}
 }
--- a/internal/forwarding/charge_test.go
+++ b/internal/forwarding/charge_test.go
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// testQuota admits as many requests as it is told.
+// testQuota admits as many requests as left says.
 type testQuota struct {
 	mu             sync.Mutex
 	left           int
@@ -40,7 +40,7 @@
 	q.given++
 }
 
-// TestCallsAreCharged counts what calls take from the limit of their tenant.
+// TestCallsAreCharged counts the calls charged to the limit of their tenant.
 func TestCallsAreCharged(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestWorkersCallsTakeNoQuota has a worker call while the limit of the tenant is used up.
+// TestWorkersCallsTakeNoQuota makes a worker send a nested call while the limit of the tenant is
+// used up.
 func TestWorkersCallsTakeNoQuota(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestRefusedCallersReturnInTime has callers of a tenant refused whose turn is too late for
-// them: each is told to come back while its answer can still be in time.
+// TestRefusedCallersReturnInTime refuses callers of a tenant whose turn comes too late for them:
+// each is given a retry time with which its answer can still be in time.
 func TestRefusedCallersReturnInTime(t *testing.T) {
 	const spare = 140 * time.Millisecond
 	for _, draw := range []float64{0, 0.5, 0.999} {
@@ -121,9 +122,9 @@
 		}
 	}
 	if wait := quotaRetryAfter(spare/2, spare, 0.5); wait != spare/2 {
-		t.Errorf("a turn in time is told as %v", wait)
+		t.Errorf("retry after %v for a turn that is in time", wait)
 	}
 	if wait := quotaRetryAfter(time.Second, 0, 0.5); wait != time.Second {
-		t.Errorf("a caller that cannot be in time is told %v", wait)
+		t.Errorf("retry after %v for a caller that cannot be in time", wait)
 	}
 }
--- a/internal/forwarding/choose_bench_test.go
+++ b/internal/forwarding/choose_bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// BenchmarkChoose chooses among as many workers as a node sends requests of one service to.
+// BenchmarkChoose chooses among the largest number of workers to which a node sends requests of
+// one service.
 func BenchmarkChoose(b *testing.B) {
 	for _, tells := range []bool{false, true} {
 		b.Run(fmt.Sprint("tells=", tells), func(b *testing.B) {
--- a/internal/forwarding/claim.go
+++ b/internal/forwarding/claim.go
@@ -6,37 +6,38 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// claim is what decides for a call wherever calls compete: for a slot, for a turn on a
-// link, for a worker. It is made where the call begins and goes with it to the worker's
+// claim holds what decides the order of a call wherever calls compete: for a slot, for a turn on
+// a link, for a worker. It is made where the call begins and is sent with it to the worker's
 // node.
 type claim struct {
-	// tenant names the tenant whose call it is; empty where there are no tenants.
+	// tenant is the tenant of the call; empty where there are no tenants.
 	tenant string
 	// rank orders calls: the lowest goes first.
 	rank int
 	// work is how long the call is expected to hold a slot of a worker of usual speed.
 	work time.Duration
-	// due is until when the answer is worth most to the caller.
+	// due is until when the answer has its full value for the caller.
 	due time.Time
-	// latestStart is until when a start is useful.
+	// latestStart is the latest time at which starting the call is useful.
 	latestStart time.Time
 }
 
-// byArrival returns the claim without work and due time: only rank and arrival order it.
+// byArrival returns the claim without work and due time, so that only rank and arrival order it.
 func (c claim) byArrival() claim {
 	c.work, c.due = 0, time.Time{}
 	return c
 }
 
-// request returns what the claim asks of a queue.
+// request returns the queue request for the claim.
 func (c claim) request() slotqueue.Request {
 	return slotqueue.Request{
 		Tenant: c.tenant, Rank: c.rank, Work: c.work, Due: c.due, LatestStart: c.latestStart,
 	}
 }
 
-// afterTransfer returns the claim of a call whose long body has afterTransfer. What has afterTransfer is lost
-// when it gets no slot, so it may wait for one for as long as its answer can be due.
+// afterTransfer returns the claim of a call whose long body has been transferred. The transfer is
+// wasted when the call gets no slot, so the call may wait for one for as long as its answer can
+// be in time.
 func (c claim) afterTransfer() claim {
 	if c.due.IsZero() {
 		return c
@@ -47,8 +48,9 @@
 	return c
 }
 
-// forTransfer returns the claim of a call to the turn of its long body on a link: the body has to
-// be there by when the work must begin, and how long it crosses is not how long it works.
+// forTransfer returns the claim for transferring the call's long body over a link: the body has
+// to be there by the time the work must begin, and how long the transfer takes does not depend on
+// how long the work takes.
 func (c claim) forTransfer() claim {
 	if !c.due.IsZero() {
 		c.due = c.due.Add(-c.work)
--- a/internal/forwarding/claim_test.go
+++ b/internal/forwarding/claim_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestTransferClaimLeavesOutTheWork has a body that must be there when 260 ms of the 500 ms that
-// are left are needed for the work.
+// TestTransferClaimLeavesOutTheWork uses a body that must be transferred by the time when 260 ms
+// of the 500 ms that are left are needed for the work.
 func TestTransferClaimLeavesOutTheWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := claim{rank: 3, work: 260 * time.Millisecond, due: now.Add(500 * time.Millisecond), latestStart: now.Add(100 * time.Millisecond)}
@@ -16,7 +16,7 @@
 	}
 }
 
-// TestTransferredBodyWaitsUntilItIsDue has the patience of a call go by on the link.
+// TestTransferredBodyWaitsUntilItIsDue uses up the wait limit of a call on the link.
 func TestTransferredBodyWaitsUntilItIsDue(t *testing.T) {
 	now := time.Unix(1000, 0)
 	wanted := claim{work: 260 * time.Millisecond, due: now.Add(1200 * time.Millisecond), latestStart: now.Add(480 * time.Millisecond)}
--- a/internal/forwarding/connections_test.go
+++ b/internal/forwarding/connections_test.go
@@ -11,7 +11,7 @@
 
 // TestWorkerIsGivenFewConnections guards against calls that are lost because the worker resets
 // connections beyond those that it accepts: two requests are in flight at a time, and while a
-// connection is opened for each, an older one serves it first.
+// connection is being opened for each, an older one serves it first.
 func TestWorkerIsGivenFewConnections(t *testing.T) {
 	const calls = 60
 	running, release := make(chan struct{}), make(chan struct{})
--- a/internal/forwarding/dialect.go
+++ b/internal/forwarding/dialect.go
@@ -7,34 +7,34 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// Dialect says how callers and workers spell what they tell in headers. Names
-// are canonical. It is set up once and never changed.
+// Dialect says in which headers callers and workers exchange information. Names are canonical. It
+// is set up once and never changed.
 type Dialect struct {
-	// RequestID names the header that carries a caller's id to the worker and
-	// back.
+	// RequestID names the header that carries a caller's request id to the worker and back.
 	RequestID string
 	// Timeout names the header with the time that is left, in milliseconds.
 	Timeout string
-	// CallerService names the header that tells the worker where a call began.
+	// CallerService names the header that holds the service where a call began, for the worker.
 	CallerService string
-	// ExpectInstance names the header with the worker that a call is meant for.
+	// ExpectInstance names the header with the worker instance that a call is meant for.
 	ExpectInstance string
-	// NotRun names the header by which a worker says that it did not run a call.
+	// NotRun names the header by which a worker reports that it did not run a call.
 	NotRun string
-	// Key says how callers give the keys by which they are authenticated where the version
-	// in force has tenants, and Tenant names the header that tells a worker the tenant.
+	// Key says how callers send the keys by which they are authenticated where the configuration
+	// version in force has tenants, and Tenant names the header that passes the tenant to a
+	// worker.
 	Key    httpleg.KeyScheme
 	Tenant string
-	// Parent returns, by the id of a call, that of the call for which a worker has made
-	// it; false when no worker has. Nil means that workers make no calls.
+	// Parent returns, for the id of a nested call, the id of its parent, the call during which a
+	// worker made it; false when the call is not nested. Nil means that workers make no calls.
 	Parent func(requestID string) (string, bool)
-	// WorkerLoad reads the load that a worker tells of itself in an answer; false when
-	// it tells none. Its Slowness is zero where the worker does not tell that. Nil means
-	// that workers tell nothing.
+	// WorkerLoad reads the load that a worker reports in an answer; false when it reports none.
+	// Its Slowness is zero where the worker does not report that. Nil means that workers report
+	// nothing.
 	WorkerLoad func(header http.Header) (slotqueue.Load, bool)
 }
 
-// parent returns the id of the call for which a worker has made another one.
+// parent returns the id of the parent of a nested call.
 func (d *Dialect) parent(requestID string) (string, bool) {
 	if d.Parent == nil {
 		return "", false
@@ -42,7 +42,7 @@
 	return d.Parent(requestID)
 }
 
-// workerLoad returns the load that a worker tells of itself in an answer.
+// workerLoad returns the load that a worker reports in an answer.
 func (d *Dialect) workerLoad(header http.Header) (slotqueue.Load, bool) {
 	if d.WorkerLoad == nil {
 		return slotqueue.Load{}, false
@@ -50,7 +50,7 @@
 	return d.WorkerLoad(header)
 }
 
-// own reports whether a header of a caller is replaced by one of the node.
+// own reports whether a header of a caller is removed because the node sets it itself.
 func (d *Dialect) own(name string) bool {
 	switch name {
 	case d.Timeout, d.CallerService, d.ExpectInstance, hopHeader, hopLoadHeader, hopFailureHeader, workHeader, repeatHeader, principalHeader:
@@ -59,7 +59,7 @@
 	return false
 }
 
-// refused reports whether an answer says that the worker did not run the call.
+// refused reports whether an answer states that the worker did not run the call.
 func (d *Dialect) refused(response *http.Response) bool {
 	return response.StatusCode == http.StatusMisdirectedRequest || len(response.Header[d.NotRun]) > 0
 }
--- a/internal/forwarding/doc.go
+++ b/internal/forwarding/doc.go
@@ -1,18 +1,17 @@
-// Package forwarding carries calls in deployments where the platform decides the
-// configuration: from a caller to the node beside it, from there to the node
-// beside a worker, and from there to the worker. It speaks HTTP/1.1 on every leg.
+// Package forwarding forwards calls in deployments where the platform decides the configuration:
+// from a caller to the node beside it, from there to the node beside a worker, and from there to
+// the worker. Every connection uses HTTP/1.1.
 //
-// The node where a call begins finds the route, holds a short body whole, chooses
-// the worker and alone decides about further attempts. The node beside the
-// worker admits calls to the worker's slots and refuses what cannot start in
-// time. A worker beside the node where the call begins is reached without a
-// second node.
+// The node where a call begins finds the route, buffers a short body completely, chooses the
+// worker and alone decides about further attempts. The node beside the worker admits calls to the
+// worker's slots and refuses those that cannot start in time. A worker beside the node where the
+// call begins is reached without a second node.
 //
-// Every failure is one of package outcome: not-run only when no worker has begun
-// the call and none will, unknown otherwise. A call that may not be repeated is
-// sent to a second worker only after not-run. An answer that breaks off ends the
-// caller's connection, so that it cannot look whole.
+// Every failure is one of package outcome: not-run only when no worker has begun the call and
+// none will, unknown otherwise. A call that may not be repeated is sent to a second worker only
+// after not-run. A truncated answer ends the caller's connection, so that the caller cannot take
+// it for a complete one.
 //
-// How callers and workers spell ids, deadlines and refusals is a Dialect; the
-// headers between nodes are this package's own.
+// A Dialect says how callers and workers write ids, deadlines and refusals; the headers between
+// nodes belong to this package.
 package forwarding
--- a/internal/forwarding/early_test.go
+++ b/internal/forwarding/early_test.go
@@ -13,8 +13,8 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// earlyWorker is a worker that turns long bodies away before they are in, and reads
-// nothing more on that connection for the rest of the test.
+// earlyWorker starts a worker that refuses long bodies before it has read them, and reads nothing
+// more on that connection for the rest of the test.
 func earlyWorker(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestCallsDoNotWaitBehindABodyThatIsNotRead sends a short call after a long one that
-// the worker has turned away without reading its body.
+// TestCallsDoNotWaitBehindABodyThatIsNotRead sends a short call after a long one that the worker
+// has refused without reading its body.
 func TestCallsDoNotWaitBehindABodyThatIsNotRead(t *testing.T) {
 	front := startNode(t, "front", "ledger", nil)
 	_, err := front.registry.Heartbeat(workers.Heartbeat{
--- a/internal/forwarding/endpoints.go
+++ b/internal/forwarding/endpoints.go
@@ -14,86 +14,89 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// Figures of the choice of a worker.
+// Parameters of the choice of a worker.
 const (
-	// speedWeight is the weight of one more observation of an endpoint's speed.
+	// speedWeight is the weight of one more observation in the mean of an endpoint's speed.
 	speedWeight = 0.15
-	// reportDecay is how long a told load counts; it fades over that time.
+	// reportDecay is the time over which the weight of a reported load decays to zero.
 	reportDecay = 500 * time.Millisecond
-	// busyPenalty is the share by which a full worker counts as slower than an idle
-	// one. What is known of its load is a little old, and many nodes choose at the
-	// same time: without it they crowd at the fastest workers of a large mesh.
+	// busyPenalty is the share by which a full worker counts as slower than an idle one. What is
+	// known of its load is a little old, and many nodes choose at the same time: without the
+	// penalty they all choose the fastest workers of a large mesh.
 	busyPenalty = 0.3
-	// scoreNoise keeps many nodes from choosing the same endpoint.
+	// scoreNoise is the relative noise in scores; it prevents many nodes from choosing the same
+	// endpoint.
 	scoreNoise = 0.1
-	// failurePause is how long an endpoint that could not be used is left alone.
+	// failurePause is how long an endpoint that could not be used is avoided.
 	failurePause = 300 * time.Millisecond
-	// unknownHold is taken for the time of a request before any was seen.
+	// unknownHold is assumed as the duration of a request before any was observed.
 	unknownHold = 20 * time.Millisecond
-	// longestLead stands for an endpoint without a next best one.
+	// longestLead is the lead of an endpoint when there is no other one.
 	longestLead = time.Hour
-	// maximumEndpoints bounds the workers of a service that a node sends calls to,
-	// and nearEndpoints those of the own zone among them: the others are for the
-	// time when the own zone is in trouble.
+	// maximumEndpoints bounds the workers of a service that a node sends calls to, and
+	// nearEndpoints those of its own zone among them: the others are for the time when its own
+	// zone is in trouble.
 	maximumEndpoints = 24
 	nearEndpoints    = 16
-	// failingDecay is how long a told share of failures counts; it fades over that
-	// time. failureCost is what a failure costs, in targets of the route.
+	// failingDecay is the time over which the weight of a reported failure share decays to zero.
+	// failureCost is the cost of a failure in a score, in targets of the route.
 	failingDecay = 4 * time.Second
 	failureCost  = 2.0
-	// overdueFactor is how many times what a request is expected to take, and
-	// overdueMargin how much more, an endpoint that holds requests of this node may answer
-	// none before others are preferred: a machine that froze, or connections that fell silent without a
-	// reset, would otherwise get work until their callers' time is over. One request in
-	// a hundred takes three to five times the usual.
+	// overdueFactor and overdueMargin bound how long an endpoint that holds requests of this node
+	// may answer none of them before others are preferred: overdueFactor times the expected
+	// duration of a request plus overdueMargin. Otherwise a machine that froze, or connections
+	// that went dead without a reset, would get work until the callers' time is over. One request
+	// in a hundred takes three to five times the usual.
 	overdueFactor = 5
 	overdueMargin = 200 * time.Millisecond
-	// slowestFactor and fastestFactor bound what is believed of a speed.
+	// slowestFactor and fastestFactor bound the relative duration that one observation may
+	// contribute to an endpoint's speed.
 	slowestFactor = 20.0
 	fastestFactor = 0.2
 )
 
-// endpoint is one worker as the node where calls begin sees it.
+// endpoint is one worker as seen by the node where calls begin.
 type endpoint struct {
 	node, zone, address, instance string
-	// startedAt is when the life of the worker began; zero until it is known.
+	// startedAt is when the worker's incarnation started; zero until it is known.
 	startedAt atomic.Int64
-	// version is that of the worker's software; empty when it has not said.
+	// version is the version of the worker's software; empty when the worker has not reported it.
 	version string
 	slots   int
-	// outstanding are the requests that this node has there now.
+	// outstanding is the number of requests that this node has in flight there.
 	outstanding int
-	// report is what the worker's node told last, at reportedAt, when this node
-	// had reportedOutstanding requests there.
+	// report is the load that the worker's node reported last, at reportedAt, when this node had
+	// reportedOutstanding requests in flight there.
 	report              slotqueue.Load
 	reportedAt          time.Time
 	reportedOutstanding int
-	// slowness is how long requests take there, relative to all endpoints, and to what
-	// the worker tells if it does.
+	// slowness is how long requests take there, relative to all endpoints and, if the worker
+	// reports its slowness, to that.
 	slowness float64
-	// reportedSlowness is what the worker tells of its slowness itself.
+	// reportedSlowness is the slowness that the worker itself reports.
 	reportedSlowness decayingMean
-	// foreignRequests is how many requests of other nodes such a worker has.
+	// foreignRequests is how many requests of other nodes a worker that reports its slowness has.
 	foreignRequests decayingMean
 	// pausedUntil is until when the endpoint is chosen only as the last resort.
 	pausedUntil time.Time
-	// overdueAt is when the endpoint is taken to be silent, unless it answers before: it
-	// holds requests of this node. Zero when it holds none.
+	// overdueAt is when the endpoint counts as unresponsive unless it answers before; zero when
+	// it holds no request of this node.
 	overdueAt time.Time
 }
 
-// incarnation returns the name of the worker's incarnation. Calls read it while it becomes known.
+// incarnation returns the worker's incarnation. Calls read it concurrently with updates of the
+// start time.
 func (e *endpoint) incarnation() workers.Incarnation {
 	return workers.Incarnation{Instance: e.instance, StartedAt: e.startedAt.Load()}
 }
 
-// setOverdueAt sets when the endpoint is overdue: a request that it holds is expected to take the
-// given time.
+// setOverdueAt sets when the endpoint is overdue, given how long a request that it holds is
+// expected to take.
 func (e *endpoint) setOverdueAt(expected time.Duration, now time.Time) {
 	e.overdueAt = now.Add(overdueFactor*expected + overdueMargin)
 }
 
-// unresponsive reports whether the endpoint holds requests and has answered none for long.
+// unresponsive reports whether the endpoint holds requests and is overdue with its answers.
 func (e *endpoint) unresponsive(now time.Time) bool {
 	return !e.overdueAt.IsZero() && now.After(e.overdueAt)
 }
@@ -108,25 +111,25 @@
 	view             atomic.Pointer[fleet.View]
 	// draw returns the noise in scores, from 0 to 1; nil draws it at random.
 	draw func() float64
-	// steering decided which of the endpoints were taken.
+	// steering is the table of decisions by which the endpoints were selected.
 	steering atomic.Pointer[steeringTable]
 
 	mutex     sync.Mutex
 	endpoints map[string]*endpoint
 	ordered   []*endpoint
 	links     linkWaits
-	// workers is how many nodes serve the service, those that take no calls of this
-	// one among them.
+	// workers is how many nodes serve the service, including those that take no calls of this
+	// one.
 	workers int
-	// grewAt is when these became more last.
+	// grewAt is when that number last grew.
 	grewAt time.Time
-	// oneVersion tells that a service which moves has workers of the target only, as
-	// after an order that is repeated: these take everything.
+	// oneVersion is set when a service that moves to another version has workers of the target
+	// only, as after a repeated order: these take all calls.
 	oneVersion bool
 }
 
-// refresh brings the endpoints in line with the nodes, and with the decisions on moves to
-// other versions.
+// refresh updates the endpoints to the current nodes and to the decisions on moves to other
+// versions.
 func (d *destination) refresh(view *fleet.View, steering *steeringTable) {
 	if view == d.view.Load() && steering == d.steering.Load() {
 		return
@@ -153,17 +156,16 @@
 	}
 }
 
-// known returns how many workers of the service this node knows, and when these became
-// more last.
+// known returns how many workers of the service this node knows, and when that number last grew.
 func (d *destination) known() (workers int, grewAt time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.workers, d.grewAt
 }
 
-// serving returns the nodes whose workers take this node's calls. In a large mesh
-// they are a part of all: connections, and what is known of each worker, then stay
-// the same however many there are.
+// serving returns the nodes whose workers take this node's calls. In a large mesh they are a part
+// of all nodes: connections, and what is known of each worker, then stay the same however large
+// the mesh is.
 func (d *destination) serving(view *fleet.View, steering *steeringTable) []*fleet.Node {
 	var serving []*fleet.Node
 	for _, node := range view.Nodes() {
@@ -188,51 +190,50 @@
 	)
 }
 
-// choice is an endpoint that was chosen, with what decided.
+// choice is a chosen endpoint, with the figures that decided.
 type choice struct {
 	endpoint *endpoint
 	load     slotqueue.Load
-	// lead is by how much the next best endpoint is expected to be later; the
-	// longest time when there is none.
+	// lead is by how much later the next best endpoint is expected to answer; longestLead when
+	// there is none.
 	lead time.Duration
 	// expected is how long the request is expected to take there.
 	expected time.Duration
 }
 
-// criteria is what one request asks of the choice.
+// criteria are the properties of one request that the choice of an endpoint depends on.
 type criteria struct {
-	// bytes that will cross to the endpoint and back.
+	// bytes is how many bytes will be sent to the endpoint and back.
 	bytes int
-	// long tells that the body waits for its turn on the link of the endpoint.
+	// long is set when the body waits for its turn on the link of the endpoint.
 	long bool
-	// otherZones tells that the own zone has no room: only others are chosen from, and
-	// what the bytes to them cost does not count.
+	// otherZones is set when the node's own zone has no free capacity: only endpoints of other
+	// zones are considered, and the cost of sending bytes to them is ignored.
 	otherZones bool
-	// tried are the nodes that are not to be chosen again.
+	// tried lists the nodes that must not be chosen again.
 	tried []string
-	// work is how long the request is expected to run, target the time within
-	// which its answer is worth most.
+	// work is how long the request is expected to run, target the time within which its answer
+	// has its full value.
 	work, target time.Duration
-	// usual is how long it is expected to run at a worker that tells the usual speed.
+	// usual is how long it is expected to run at a worker that reports the usual speed.
 	usual time.Duration
 	// version is the version of the service that takes the request.
 	version versionChoice
 	// waitLimit is how long the request may wait for a slot.
 	waitLimit time.Duration
-	// linksFull tells that long bodies wait for the links of the own zone. The choice
-	// fills it in.
+	// linksFull is set by choose when long bodies wait for the links of the node's own zone.
 	linksFull bool
-	// draw is drawn for each choice, from 0 to 1: calls of the same kind do not all
-	// leave a zone at the same time.
+	// draw is a random number from 0 to 1, drawn for each choice, so that not all calls of the
+	// same kind leave a zone at the same time.
 	draw float64
 	// local returns the load of this node's own worker.
 	local func() (slotqueue.Load, bool)
-	// reachable tells which nodes this one reaches.
+	// reachable reports whether this node can reach another one.
 	reachable func(string) bool
 }
 
-// choose takes the endpoint with the least expected delay; false when there is
-// none. The request counts as outstanding there until done is called.
+// choose returns the endpoint with the least expected delay; false when there is none. The
+// request counts as outstanding there until done is called.
 func (d *destination) choose(w criteria, now time.Time) (choice, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -272,8 +273,8 @@
 	return best, true
 }
 
-// loadOf returns the load that an endpoint is taken to have, and whether the
-// endpoint is usable as far as this node knows.
+// loadOf returns the load that an endpoint is estimated to have, and whether the endpoint is
+// usable as far as this node knows.
 func (d *destination) loadOf(e *endpoint, w criteria, now time.Time) (slotqueue.Load, bool) {
 	usable := now.After(e.pausedUntil) && !e.unresponsive(now)
 	if e.node == d.self {
@@ -300,8 +301,8 @@
 	return load, usable && w.reachable(e.node)
 }
 
-// score is the expected delay in nanoseconds, with what else speaks against an
-// endpoint.
+// score returns the expected delay in nanoseconds, with further costs of choosing an endpoint
+// added.
 func (d *destination) score(e *endpoint, load slotqueue.Load, w criteria, usable bool) float64 {
 	work := max(e.work(w, load.Slowness), float64(time.Millisecond)*e.slowness)
 	busy := float64(load.Running) / float64(load.Slots)
@@ -328,18 +329,18 @@
 	return d.draw()
 }
 
-// result is what was seen of a request to an endpoint.
+// result is what was observed of a request to an endpoint.
 type result struct {
 	load    slotqueue.Load
 	hasLoad bool
-	// relative is how long the request took, relative to the mean of its route;
-	// zero when it says nothing.
+	// relative is how long the request took, relative to the mean of its route; zero when it
+	// gives no information.
 	relative float64
-	// failed tells that the endpoint is better left alone for a while.
+	// failed is set when the endpoint should be avoided for a while.
 	failed bool
 }
 
-// done ends a request to an endpoint.
+// done records the end of a request to an endpoint.
 func (d *destination) done(c choice, r result, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forwarding/leg.go
+++ b/internal/forwarding/exchange.go
@@ -15,31 +15,30 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// errEnd is the cause of a context that ended because the call's time was over.
-var errEnd = errors.New("the time of the call is over")
+// errEnd is the cause of a context that ended because the deadline of the call was reached.
+var errEnd = errors.New("the deadline of the call has passed")
 
-// errSlowTransfer is the cause of a context that ended because a body took too long
-// to cross.
-var errSlowTransfer = errors.New("the body takes too long to cross")
+// errSlowTransfer is the cause of a context that ended because a body took too long to transfer.
+var errSlowTransfer = errors.New("the transfer of the body takes too long")
 
-// httpExchange is one request on its way over one connection.
+// httpExchange is one request sent over one connection, and its answer.
 type httpExchange struct {
 	transport *http.Transport
 	request   *http.Request
 	body      *requestBody
 	conn      *httpleg.Conn // nil until the request got a connection
 	reused    bool
-	// pace bounds how fast a long body is sent; nil sets no bound.
+	// pace limits how fast a long body is sent; nil sets no limit.
 	pace *rate.Limiter
-	// expectContinue tells that the other side begins nothing before it has the body,
-	// and is asked before that is sent.
+	// expectContinue is set when the other side begins nothing before it has the complete body,
+	// and confirms by 100-continue that it accepts the body before that is sent.
 	expectContinue bool
-	// sending is the body on its way; nil unless it is long.
+	// sending is the transmission of the body; nil unless the body is long.
 	sending atomic.Pointer[sending]
 }
 
-// do sends the request and returns the head of the answer. Errors are those of
-// package outcome: not-run when nothing was written on any connection.
+// do sends the request and returns the head of the answer. Errors are those of package outcome:
+// not-run when nothing was written on any connection.
 func (l *httpExchange) do(ctx context.Context) (*http.Response, error) {
 	response, err := l.attempt(ctx)
 	stale := err != nil && l.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && l.body.repeatable()
@@ -67,9 +66,9 @@
 	}
 }
 
-// boundTransfer has the leg give up at the given time if the body has not crossed
-// by then: its answer could not be of full worth any more, and while a part of the
-// body is missing nothing has begun. The context ends with the response's body.
+// boundTransfer aborts the request at the given time if the body has not been transferred
+// completely by then: its answer would no longer have its full value, and while a part of the
+// body is missing nothing has begun. The returned context ends with the response's body.
 func (l *httpExchange) boundTransfer(ctx context.Context, end time.Time) (context.Context, func()) {
 	if !l.expectContinue {
 		return ctx, func() {}
@@ -83,7 +82,7 @@
 	return ctx, func() { timer.Stop() }
 }
 
-// classify tells what became of a request that got no answer.
+// classify returns the failure of a request that got no answer.
 func (l *httpExchange) classify(ctx context.Context, err error) error {
 	ended := errors.Is(context.Cause(ctx), errEnd)
 	if l.conn == nil || l.conn.Seal() || l.expectContinue && l.sending.Load().seal() {
@@ -108,7 +107,7 @@
 	}
 }
 
-// newTransport returns a transport whose connections know what was written.
+// newTransport returns a transport whose connections record whether anything was written.
 func newTransport(dial httpleg.DialFunc, idle time.Duration, connections int) *http.Transport {
 	return &http.Transport{
 		DialContext:            httpleg.Track(dial, dialBound),
@@ -128,8 +127,8 @@
 	return transport
 }
 
-// newRequest returns the request for the next leg, without its body. Target and
-// host are passed on as they came.
+// newRequest returns the request to forward, without its body. Target and host are forwarded as
+// received.
 func newRequest(from *http.Request, address string, header http.Header) *http.Request {
 	return &http.Request{
 		Method: from.Method,
@@ -148,8 +147,8 @@
 	}
 }
 
-// forwardedHeader returns the headers that go on to the next leg, with room for
-// those that the leg adds. The values are shared, not copied.
+// forwardedHeader returns the headers to forward, with capacity for those that are added later.
+// The values are shared, not copied.
 func forwardedHeader(from *http.Request, dialect *Dialect) http.Header {
 	const added = 6
 	header := make(http.Header, len(from.Header)+added)
--- a/internal/forwarding/question_test.go
+++ b/internal/forwarding/expectcontinue_test.go
@@ -27,8 +27,8 @@
 	return n, err
 }
 
-// TestRefusedUploadDoesNotCross fills the worker of another node and offers uploads
-// to it: they are refused before their bodies travel.
+// TestRefusedUploadDoesNotCross fills the worker of another node and offers uploads to it: they
+// are refused before their bodies are sent.
 func TestRefusedUploadDoesNotCross(t *testing.T) {
 	front, back, worker := twoNodes(t)
 	var written atomic.Int64
@@ -53,24 +53,22 @@
 		t.Errorf("status %d, headers %v", status, header)
 	}
 	if crossed := written.Load() - before; crossed > size/10 {
-		t.Errorf("%d bytes crossed for a refused upload of %d", crossed, size)
+		t.Errorf("%d bytes were sent for a refused upload of %d", crossed, size)
 	}
 }
 
-// fillQueue has requests wait for the worker beside a node.
+// fillQueue makes requests wait for the worker beside a node.
 func fillQueue(t *testing.T, node *testNode) {
 	t.Helper()
-	connection, err := node.plane.local.find("ledger", workers.Incarnation{})
+	w, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	const waiting = 100
 	for range waiting {
-		go func() {
-			_, _ = connection.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)})
-		}()
+		go func() { _, _ = w.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)}) }()
 	}
-	testwait.Eventually(t, "requests wait", func() bool { return connection.load().Waiting == waiting })
+	testwait.Eventually(t, "requests wait", func() bool { return w.load().Waiting == waiting })
 }
 
 func counting(dial func(ctx context.Context, network, address string) (net.Conn, error), written *atomic.Int64) func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -83,7 +81,7 @@
 	}
 }
 
-// TestSealedBodyIsNeverSent seals a body before and after its first byte was taken.
+// TestSealedBodyIsNeverSent seals a body before and after its first byte was read for sending.
 func TestSealedBodyIsNeverSent(t *testing.T) {
 	body := &requestBody{held: make([]byte, expectContinueBody)}
 	var out http.Request
@@ -99,7 +97,7 @@
 	begun := body.attach(&out, nil)
 	_, _ = out.Body.Read(make([]byte, expectContinueBody-1))
 	if !begun.seal() {
-		t.Error("a body that is held whole before anything begins must seal while a part is missing")
+		t.Error("a body that is buffered completely before anything begins must seal while a part is missing")
 	}
 	if n, err := out.Body.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Error("the rest of a sealed body was read")
@@ -107,7 +105,7 @@
 	whole := body.attach(&out, nil)
 	_, _ = out.Body.Read(make([]byte, expectContinueBody))
 	if whole.seal() {
-		t.Error("a body that was taken whole sealed")
+		t.Error("a body that was read completely sealed")
 	}
 	streamed := &requestBody{rest: bytes.NewReader(make([]byte, expectContinueBody)), length: expectContinueBody}
 	stream := streamed.attach(&out, nil)
@@ -117,8 +115,8 @@
 	}
 }
 
-// TestQuestionThatIsNotAnswered has the other node go away before it has asked for
-// the body: the call has not run.
+// TestQuestionThatIsNotAnswered makes the other node close the connection before it has sent
+// 100-continue for the body: the call has not run.
 func TestQuestionThatIsNotAnswered(t *testing.T) {
 	front, back, _ := twoNodes(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/forwarding/failed_answer_test.go
+++ b/internal/forwarding/failed_answer_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// failing has a worker answer that it has failed.
+// failing makes a worker answer with a server error.
 func failing(worker *testWorker, stamp string) {
 	worker.answer(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Stamp", stamp)
@@ -14,7 +14,7 @@
 	})
 }
 
-// frontOfTwo starts a node without a worker and two with one each.
+// frontOfTwo starts a node without a worker and two nodes with one each.
 func frontOfTwo(t *testing.T, routes []routeSpec) (front *testNode, first, second *testWorker) {
 	t.Helper()
 	first, second = startWorker(t), startWorker(t)
--- a/internal/forwarding/failure.go
+++ b/internal/forwarding/failure.go
@@ -8,9 +8,8 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// statusOf returns the status of a failure. The statuses 408, 421, 429 and 503
-// promise that the call did not run and never will; an unknown outcome is told
-// by 502 and 504 only.
+// statusOf returns the HTTP status of a failure. The statuses 408, 421, 429 and 503 guarantee
+// that the call did not run and never will; an unknown outcome is reported by 502 and 504 only.
 func statusOf(err error) int {
 	reason := outcome.ReasonOf(err)
 	switch {
@@ -23,7 +22,7 @@
 	case reason == outcome.QuotaExceeded:
 		return http.StatusTooManyRequests
 	case reason == outcome.Malformed, reason == outcome.Quarantined:
-		// Callers do not come back after this status, and no other one tells them so.
+		// Callers do not retry after this status, and no other status tells them not to.
 		return http.StatusBadRequest
 	case reason == outcome.BodyNotReceived:
 		return http.StatusRequestTimeout
@@ -36,8 +35,8 @@
 	}
 }
 
-// writeFailure tells a caller that its call got no answer, and after which time
-// another try is worth it. It returns the status, and the time if it was told.
+// writeFailure reports to a caller that its call got no answer, and after which time a retry is
+// worthwhile. It returns the status, and that time if it was reported.
 func writeFailure(w http.ResponseWriter, err error, wait time.Duration, closing bool) (int, time.Duration) {
 	status := statusOf(err)
 	header := w.Header()
@@ -57,7 +56,7 @@
 	return status, wait
 }
 
-// retryAfter returns when another try is worth it.
+// retryAfter returns after which time a retry is worthwhile.
 func retryAfter(err error) time.Duration {
 	if wait := outcome.RetryAfterOf(err); wait > 0 {
 		return max(min(wait, defaultRetryAfter), shortestRetryAfter)
--- a/internal/forwarding/failures.go
+++ b/internal/forwarding/failures.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// failureWeight is the weight of one more request in the share that fails.
+	// failureWeight is the weight of one more request in the share of failed requests.
 	failureWeight = 0.1
-	// failureMemory is the time after which a share that is not observed any more
-	// has fallen to 1/e: a worker that is left alone is tried again.
+	// failureMemory is the time after which a share without further observations has decayed to
+	// 1/e, so that a worker that gets no calls is tried again.
 	failureMemory = 2 * time.Second
 )
 
-// failureShare is the share of requests that fail at a worker lately. The zero value
-// is a worker that none has failed at.
+// failureShare is the recent share of requests that fail at a worker. The zero value is a worker
+// without failures.
 type failureShare struct {
 	mu       sync.Mutex
 	share    float64
@@ -38,14 +38,14 @@
 	f.share, f.observed = share, now
 }
 
-// now returns the share at a moment.
+// now returns the share at the given time.
 func (f *failureShare) now(now time.Time) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.at(now)
 }
 
-// at returns the share at a moment. The mutex is held.
+// at returns the share at the given time. The mutex must be held.
 func (f *failureShare) at(now time.Time) float64 {
 	if f.share == 0 {
 		return 0
@@ -53,9 +53,9 @@
 	return f.share * math.Exp(-float64(now.Sub(f.observed))/float64(failureMemory))
 }
 
-// failedAtWorker reports whether what became of a request speaks against the worker:
-// it broke off, said nothing in time, turned the request away although it had a slot,
-// or answered with a fault of its own.
+// failedAtWorker reports whether the result of a request counts as a failure of the worker: it
+// broke off, did not answer in time, refused the request although it had a slot, or answered with
+// a server error.
 func failedAtWorker(result *answer, err error) bool {
 	if err == nil {
 		return result.status >= http.StatusInternalServerError
--- a/internal/forwarding/failures_test.go
+++ b/internal/forwarding/failures_test.go
@@ -18,7 +18,7 @@
 		t.Fatalf("all fail: %.2f", share)
 	}
 	if share := f.now(at.Add(5 * failureMemory)); share > 0.01 {
-		t.Errorf("left alone for long: %.2f", share)
+		t.Errorf("without calls for long: %.2f", share)
 	}
 	for range 50 {
 		f.observe(false, at)
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestWorkerThatFailsFastIsNotTakenForAFastOne has one of two workers answer with
-// faults at once while the other takes its time: most calls go to the other.
+// TestWorkerThatFailsFastIsNotTakenForAFastOne makes one of two workers answer with server errors
+// at once while the other takes its time: most calls go to the other.
 func TestWorkerThatFailsFastIsNotTakenForAFastOne(t *testing.T) {
 	good, grey := startWorker(t), startWorker(t)
 	good.answer(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/forwarding/fingerprint.go
+++ b/internal/forwarding/fingerprint.go
@@ -7,15 +7,15 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// identity is the fingerprint of one request, taken when it is first needed: while
-// nothing is known of requests that crash workers, none is.
+// identity caches the fingerprint of one request, which is computed when it is first needed:
+// while no crashing requests are known, none is.
 type identity struct {
 	taken       bool
 	fingerprint quarantine.Fingerprint
 }
 
-// of returns the fingerprint of a request of which the body was read. Of a body that is
-// not held whole, the beginning and the length count.
+// of returns the fingerprint of a request whose body was read. For a body that is not buffered
+// completely, it covers the buffered beginning and the length.
 func (i *identity) of(r *http.Request, body *requestBody, whose principal) quarantine.Fingerprint {
 	if i.taken {
 		return i.fingerprint
@@ -31,7 +31,7 @@
 		request.Credentials = append(request.Credentials, r.Header.Get(name))
 	}
 	if whose.checked {
-		// It stands for the key, which the node beside the worker does not see.
+		// The tenant stands for the key, which the node beside the worker does not see.
 		request.Credentials = append(request.Credentials, whose.tenant)
 	}
 	i.taken, i.fingerprint = true, request.Fingerprint()
--- a/internal/forwarding/fixture_test.go
+++ b/internal/forwarding/fixture_test.go
@@ -21,12 +21,12 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// testTimeout bounds waits for what comes much sooner.
+// testTimeout bounds waits for events that normally happen much sooner.
 const testTimeout = 20 * time.Second
 
 var testDialect = Dialect{RequestID: "X-Id", Timeout: "X-Timeout", CallerService: "X-Caller", ExpectInstance: "X-Expect", NotRun: "X-Not-Run"}
 
-// testWorker is a worker whose behaviour a test gives.
+// testWorker is a worker whose behaviour the test sets.
 type testWorker struct {
 	server *httptest.Server
 	calls  atomic.Int64
@@ -82,7 +82,7 @@
 	refusedHops atomic.Int64
 	// dials counts the connections that the node has opened.
 	dials atomic.Int64
-	// suspended is for how long the machine was suspended since each moment there is.
+	// suspended is the result of Config.Suspended, in nanoseconds, whatever the time asked for.
 	suspended atomic.Int64
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// startNode starts a node with a worker of the service; nil is none.
+// startNode starts a node beside a worker of the service; the worker may be nil.
 func startNode(t testing.TB, id, service string, worker *testWorker) *testNode {
 	t.Helper()
 	node := &testNode{registry: workers.NewRegistry(time.Hour), reports: make(chan CallReport, 1000)}
@@ -122,7 +122,7 @@
 		Observer:  node,
 		Suspended: func(time.Time) time.Duration { return time.Duration(node.suspended.Load()) },
 	})
-	// Calls do not wait for a node that runs.
+	// The node counts as running for long, so that calls do not wait for it to start.
 	node.plane.started = time.Now().Add(-startPeriod)
 	node.plane.Open()
 	hops := node.plane.HopServer()
@@ -148,7 +148,7 @@
 	n.table.Update(func(own *fleet.Node) { own.Workers = n.registry.Workers() })
 }
 
-// exchangeRecords tells each node of all others.
+// exchangeRecords merges the fleet records of all nodes into each of them.
 func exchangeRecords(nodes ...*testNode) {
 	for _, node := range nodes {
 		for _, other := range nodes {
@@ -252,7 +252,7 @@
 	return ask(t, callerRequest(t, node, http.MethodPost, path, strings.NewReader(body)))
 }
 
-// hijack takes the connection of an answer to write to it by hand.
+// hijack takes over the connection of an answer to write to it directly.
 func hijack(t *testing.T, w http.ResponseWriter) net.Conn {
 	t.Helper()
 	conn, _, err := http.NewResponseController(w).Hijack()
--- a/internal/forwarding/hop.go
+++ b/internal/forwarding/hop.go
@@ -13,63 +13,64 @@
 
 // The headers between nodes.
 const (
-	// hopHeader carries a hop from the node where a call began.
+	// hopHeader carries the encoded hop from the node where a call began.
 	hopHeader = "Levertide-Hop"
 	// hopLoadHeader carries the load of the worker's node back.
 	hopLoadHeader = "Levertide-Hop-Load"
 	// hopFailureHeader carries the reason of a call that got no answer.
 	hopFailureHeader = "Levertide-Hop-Failure"
 
-	// workHeader carries the expected work of a call and the time until its answer is due
-	// where the hop does not: nodes that do not know the header take any hop.
+	// workHeader carries the expected work of a call and the time until its answer is due where
+	// the hop does not: nodes that do not know the header accept any hop.
 	workHeader = "Levertide-Hop-Work"
 
-	// hopFields is the number of fields of a hop. Newer nodes add, in this order: the crashes
-	// that the request is known to have caused, when the worker's life began if that is
-	// known, the expected work with the time until the answer is due, and for a worker that
-	// tells its slowness how slow it may be. Each constant is the number up to that field.
+	// hopFields is the number of fields of a hop. Newer nodes add, in this order: the number of
+	// crashes that the request is known to have caused, the start time of the worker's
+	// incarnation if it is known, the expected work with the time until the answer is due, and
+	// for a worker that reports its slowness how slow it may be. Each constant is the number of
+	// fields up to and including that one.
 	hopFields          = 6
 	hopFieldsLevel     = 7
 	hopFieldsStartedAt = 8
 	hopFieldsWork      = 10
 	hopFieldsSlowest   = 11
-	// loadFields is the number of fields of a load. Newer nodes add the slowness of a worker
-	// that tells it.
+	// loadFields is the number of fields of a load. Newer nodes add the slowness of a worker that
+	// reports it.
 	loadFields         = 7
 	loadFieldsSlowness = 8
-	// slownessUnits is how the slowness of a worker is written: in hundredths.
+	// slownessUnits is the scale in which the slowness of a worker is written: hundredths.
 	slownessUnits = 100
-	// failingUnits is how the share of requests that fail is written: in thousandths.
+	// failingUnits is the scale in which the share of failing requests is written: thousandths.
 	failingUnits = 1000
-	// failureFields are the reason and the wait. Newer nodes add how long they had the
+	// failureFields counts the reason and the retry time. Newer nodes add how long they held the
 	// call.
 	failureFields     = 2
 	failureFieldsHeld = 3
 	hopSeparator      = ","
 )
 
-// hop is what the node where a call began tells the worker's node.
+// hop is the information that the node where a call began sends to the worker's node.
 type hop struct {
-	// service and life name the worker.
+	// service and incarnation identify the worker.
 	service     string
 	incarnation workers.Incarnation
 	// caller is the service of the node where the call began.
 	caller string
 	rank   int
-	// waitLimit is how long the call may wait for a slot, left until its end.
+	// waitLimit is how long the call may wait for a slot, left the time until its end.
 	waitLimit, left time.Duration
-	// level is how many crashes of workers the node where the call began knows the
-	// request to have caused.
+	// level is how many worker crashes the request has caused as far as the node where the call
+	// began knows.
 	level int
-	// work is how long the call is expected to take at a worker of usual speed, due how
-	// long its answer is worth most; both zero when the other node does not say.
+	// work is how long the call is expected to take at a worker of usual speed, due how long its
+	// answer keeps its full value; both zero when the other node does not send them.
 	work, due time.Duration
 	// slowest is the slowness of the worker beyond which another one is expected to answer
-	// sooner; zero when the other node does not say.
+	// sooner; zero when the other node does not send it.
 	slowest float64
 }
 
-// claim returns the call's claim at this node, to which it came at the given time.
+// claim returns the call's claim at this node, given the time at which it arrived here.
 func (h hop) claim(arrivedAt time.Time) claim {
 	wanted := claim{rank: h.rank, work: h.work, latestStart: arrivedAt.Add(h.waitLimit)}
 	if h.due > 0 {
@@ -123,12 +124,12 @@
 	return parsed, slowestOK && rankErr == nil && waitLimitOK && leftOK && levelErr == nil && startedAtErr == nil && workOK && dueOK
 }
 
-// formatWork writes the expected work of a call and the time until its answer is due.
+// formatWork encodes the expected work of a call and the time until its answer is due.
 func formatWork(work, due time.Duration) string {
 	return formatMicroseconds(work) + hopSeparator + formatMicroseconds(due)
 }
 
-// readWork takes over what formatWork has written. A text that cannot be read says nothing.
+// readWork sets the fields written by formatWork. Invalid text is ignored.
 func (h *hop) readWork(text string) {
 	first, second, _ := strings.Cut(text, hopSeparator)
 	work, workOK := parseMicroseconds(first)
@@ -138,8 +139,8 @@
 	}
 }
 
-// formatLoad writes the load of a worker's node, and how long the worker had the
-// call that this goes with.
+// formatLoad encodes the load of a worker's node, and how long the worker ran the call that is
+// being answered.
 func formatLoad(load slotqueue.Load, ran time.Duration) string {
 	fields := []string{
 		strconv.Itoa(load.Running), strconv.Itoa(load.Waiting), strconv.Itoa(load.Slots),
@@ -176,15 +177,15 @@
 	return load, ran, ok
 }
 
-// formatFailure writes why a call got no answer, and how long this node had it.
+// formatFailure encodes why a call got no answer, and how long this node held it.
 func formatFailure(err error, held time.Duration) string {
 	return strings.Join([]string{
 		string(outcome.ReasonOf(err)), formatMicroseconds(outcome.RetryAfterOf(err)), formatMicroseconds(held),
 	}, hopSeparator)
 }
 
-// parseFailure returns the failure that another node told. One that cannot be
-// read is unknown, which is always safe.
+// parseFailure returns the failure that another node reported. One that cannot be parsed has the
+// outcome unknown, which is always safe.
 func parseFailure(text string) error {
 	fields := strings.Split(text, hopSeparator)
 	if len(fields) != failureFields && len(fields) != failureFieldsHeld || !outcome.Reason(fields[0]).Known() {
@@ -194,8 +195,8 @@
 	return outcome.WithRetryAfter(outcome.Reason(fields[0]), wait)
 }
 
-// heldOf returns how long another node had a call that it has refused; zero when it does
-// not say.
+// heldOf returns how long another node held a call that it has refused; zero when the node does
+// not report it.
 func heldOf(failure string) time.Duration {
 	fields := strings.Split(failure, hopSeparator)
 	if len(fields) != failureFieldsHeld {
--- a/internal/forwarding/inbound.go
+++ b/internal/forwarding/inbound.go
@@ -17,7 +17,7 @@
 	connection *workerConnection
 	body       *requestBody
 	began      time.Time
-	// request that the worker was sent with; its zero value until then.
+	// sent is the request that was sent to the worker; its zero value until then.
 	sent workerCall
 }
 
@@ -39,7 +39,7 @@
 	c.conclude(w, result, err)
 }
 
-// run has the worker answer.
+// run obtains an answer from the worker.
 func (c *hopCall) run(ctx context.Context, w http.ResponseWriter) (*answer, error) {
 	connection, err := c.plane.local.find(c.hop.service, c.hop.incarnation)
 	if err != nil {
@@ -52,8 +52,9 @@
 	authenticated := principalOf(c.request.Header[principalHeader])
 	wanted := c.hop.claim(c.began)
 	wanted.tenant = authenticated.tenant
-	// The other node sends a long body only when it is read here: one that would
-	// be refused must not fill the links of machines that are busy already.
+	// The other node sends a long body only once reading it begins here. A call that would be
+	// refused is refused before that: its body must not fill the links of machines that are busy
+	// already.
 	if err := connection.check(ctx, wanted); err != nil {
 		return nil, err
 	}
@@ -77,7 +78,7 @@
 	return result, err
 }
 
-// workerCall returns the request for the worker.
+// workerCall returns the request to send to the worker.
 func (c *hopCall) workerCall(wanted claim, authenticated principal, end time.Time) workerCall {
 	return workerCall{
 		inbound:   c.request,
@@ -111,7 +112,8 @@
 	return err
 }
 
-// conclude answers the other node and reports.
+// conclude writes the answer or the failure to the other node and reports the call to the
+// observer.
 func (c *hopCall) conclude(w http.ResponseWriter, result *answer, err error) {
 	report := CallReport{
 		RequestID: c.request.Header.Get(c.plane.config.Dialect.RequestID),
--- a/internal/forwarding/lives_test.go
+++ b/internal/forwarding/incarnations_test.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// heartbeatOfIncarnation sends the heartbeat of a life of a worker to the node beside it.
+// heartbeatOfIncarnation sends the heartbeat of an incarnation of a worker to the node beside it.
 func (n *testNode) heartbeatOfIncarnation(t *testing.T, w *testWorker, startedAt int64, sequence uint64, draining bool) {
 	t.Helper()
 	_, err := n.registry.Heartbeat(workers.Heartbeat{
@@ -23,8 +23,8 @@
 	n.table.Update(func(own *fleet.Node) { own.Workers = n.registry.Workers() })
 }
 
-// TestNewIncarnationOfAnInstanceStartsAfresh has a worker fill its slots, fail, drain and end, and start
-// again under its instance: what the former life held is not the new one's.
+// TestNewIncarnationOfAnInstanceStartsAfresh fills the slots of a worker, drains it and starts it
+// again under its instance: what the previous incarnation held is not held by the new one.
 func TestNewIncarnationOfAnInstanceStartsAfresh(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
@@ -45,10 +45,10 @@
 		t.Fatal(err)
 	}
 	if load := next.load(); next == former || load.Running != 0 || load.Slots != 4 {
-		t.Errorf("the new life begins with %+v", load)
+		t.Errorf("the new incarnation begins with %+v", load)
 	}
 	if _, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100}); err == nil {
-		t.Error("a call for the former life reaches the new one")
+		t.Error("a call for the previous incarnation reaches the new one")
 	}
 	for _, permit := range held {
 		permit.Release(false)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestEndpointStateIsNotKeptForTheNextIncarnation looks at an endpoint before and after its worker
-// has started again under its instance, and when its birth becomes known.
+// TestEndpointStateIsNotKeptForTheNextIncarnation checks an endpoint before and after its worker
+// has started again under its instance, and the start time that becomes known.
 func TestEndpointStateIsNotKeptForTheNextIncarnation(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
@@ -72,16 +72,16 @@
 	first := look(100, 1)
 	first.slowness, first.outstanding = 7, 3
 	if same := look(100, 2); same != first {
-		t.Error("a heartbeat of the same life has forgotten what is known")
+		t.Error("a heartbeat of the same incarnation has reset the endpoint")
 	}
 	next := look(200, 1)
 	if next.slowness != 1 || next.outstanding != 0 || next.startedAt.Load() != 200 {
-		t.Errorf("the next life has %+v", next)
+		t.Errorf("the next incarnation has %+v", next)
 	}
 }
 
-// TestCallsReadALifeWhileItsBirthBecomesKnown has calls name the life of an endpoint while a
-// heartbeat tells its birth; the race detector looks on.
+// TestCallsReadALifeWhileItsBirthBecomesKnown reads the incarnation of an endpoint while a
+// heartbeat reports its start time; the race detector finds unsynchronized access.
 func TestCallsReadALifeWhileItsBirthBecomesKnown(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
@@ -101,6 +101,6 @@
 	d.refresh(node.table.View(), &steeringTable{})
 	calls.Wait()
 	if same := d.endpoints["a"]; same != e || same.incarnation().StartedAt != 100 {
-		t.Errorf("life %v", same.incarnation())
+		t.Errorf("incarnation %v", same.incarnation())
 	}
 }
--- a/internal/forwarding/busy_test.go
+++ b/internal/forwarding/inheritedrequests_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestInheritedRequestsKeepTheirSlots restarts a node beside a worker of four slots that still
-// has three requests of the node's former life, and two of these a while later.
+// runs three requests of the node's previous incarnation, and two of these a while later.
 func TestInheritedRequestsKeepTheirSlots(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
@@ -50,7 +50,7 @@
 			t.Errorf("status %d", status)
 		}
 		if got := slots(); got != c.want {
-			t.Errorf("%d slots when the worker tells of %d more requests, want %d", got, held, c.want)
+			t.Errorf("%d slots when the worker reports %d more requests, want %d", got, held, c.want)
 		}
 	}
 }
--- a/internal/forwarding/local.go
+++ b/internal/forwarding/local.go
@@ -8,16 +8,16 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// localWorkers are the ways to the workers beside this node.
+// localWorkers holds the connections to the workers beside this node.
 type localWorkers struct {
 	plane *Plane
 	mutex sync.Mutex
-	// connections are by instance, each of one life of it.
+	// connections are by instance, each to one incarnation of it.
 	connections map[string]*workerConnection
 }
 
-// find returns the way to the worker that takes the requests of a service. A life whose
-// instance is not empty must be that worker's.
+// find returns the connection to the worker that takes the requests of a service. An incarnation
+// whose instance is not empty must be that worker's.
 func (l *localWorkers) find(service string, incarnation workers.Incarnation) (*workerConnection, error) {
 	if l.plane.stopping.Load() {
 		return nil, outcome.New(outcome.Draining)
@@ -39,9 +39,9 @@
 	return connection, nil
 }
 
-// known returns the way to a worker. One to a former life of the same instance is closed
-// and forgotten: its connections, requests and failures are not the new life's. The mutex
-// is held.
+// known returns the connection to a worker. One to a previous incarnation of the same instance is
+// closed and removed: its connections, requests and failures do not belong to the new
+// incarnation. The mutex must be held.
 func (l *localWorkers) known(worker workers.Worker) (*workerConnection, bool) {
 	connection, known := l.connections[worker.Instance]
 	if !known {
@@ -55,7 +55,7 @@
 	return nil, false
 }
 
-// load sums up what the workers hold; Hold is left out, and Slowness is that of the
+// load returns the sum of the loads of the workers; Hold is left out, and Slowness is that of the
 // slowest.
 func (l *localWorkers) load() slotqueue.Load {
 	l.mutex.Lock()
@@ -71,9 +71,9 @@
 	return sum
 }
 
-// Update brings the ways to the workers in line with their registrations. It
-// must be called after each change, before the change is acknowledged: from
-// then on, a worker that was promised to be left alone gets nothing new.
+// Update updates the connections to the workers to match their registrations. It must be called
+// after each change, before the change is acknowledged: from then on, a worker with a drain
+// commitment gets no new calls.
 func (p *Plane) Update(registered []workers.Worker) {
 	p.local.update(registered)
 }
--- a/internal/forwarding/observer.go
+++ b/internal/forwarding/observer.go
@@ -7,59 +7,59 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// Observer is told what happens. Its methods are called from many goroutines, on
-// the path of calls: they must be quick and must not block.
+// Observer is notified of calls that ended. Its methods are called from many goroutines, on the
+// path of calls: they must be quick and must not block.
 type Observer interface {
-	// CallFinished tells how a call that began at this node ended.
+	// CallFinished reports how a call that began at this node ended.
 	CallFinished(report CallReport)
-	// HopFinished tells how a call from another node ended here.
+	// HopFinished reports how a call from another node ended here.
 	HopFinished(report CallReport)
 }
 
-// CallReport is how one call ended on one node.
+// CallReport describes how one call ended on one node.
 type CallReport struct {
-	// RequestID is the caller's id.
+	// RequestID is the request id that the caller sent.
 	RequestID string
-	// Fingerprint is the same for the same request under another id. It is given for
-	// calls that may have run without an answer.
+	// Fingerprint is the same for the same request under another id. It is set for calls that may
+	// have run without an answer and for quarantined ones.
 	Fingerprint quarantine.Fingerprint
 	// Route and Service are empty when no route was found.
 	Route, Service string
-	// Tenant is whose the call is; empty where there are no tenants.
+	// Tenant is the tenant of the call; empty where there are no tenants.
 	Tenant string
-	// Version is the version of the configuration that decided.
+	// Version is the version of the configuration that the call was decided by.
 	Version uint64
-	// Outcome, Reason and Status are what the caller or the other node was told.
+	// Outcome, Reason and Status are what was reported to the caller or to the other node.
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
 	Status  int
-	// Node and Instance are the worker that was asked last.
+	// Node and Instance identify the worker that the call was offered to last.
 	Node, Instance string
-	// Offers is how many nodes were asked, Arrivals how many workers had the call.
+	// Offers is how many offers to nodes were made, Arrivals how many workers received the call.
 	Offers, Arrivals int
-	// Running, Waiting and Slots are the load that decided the last choice.
+	// Running, Waiting and Slots are the load that the last choice was based on.
 	Running, Waiting, Slots int
-	// Waited is how long the call waited for a slot of the worker beside this node,
-	// Ran how long that worker had it; zero when it was not asked.
+	// Waited is how long the call waited for a slot of the worker beside this node, Ran how long
+	// that worker had it; zero when it was not sent there.
 	Waited, Ran time.Duration
-	// Retries is how many further attempts the budget has paid for, and RetryDenied tells
-	// that one more was not made for want of it.
+	// Retries is how many further attempts the retry budget has paid for, and RetryDenied is set
+	// when one more was not made because the budget was used up.
 	Retries     int
 	RetryDenied bool
 	// Held is how long the call waited for its node to start.
 	Held time.Duration
-	// ClientRetry tells that the caller was taken for one that was refused before.
+	// ClientRetry is set when the caller was recognized as one that was refused before.
 	ClientRetry bool
-	// BudgetLeft is how many further attempts the budget allowed at the end.
+	// BudgetLeft is how many further attempts the retry budget allowed at the end.
 	BudgetLeft float64
-	// Left is the time that was left of the call.
+	// Left is the time that was left for the call.
 	Left     time.Duration
 	Duration time.Duration
-	// RetryAfter is what the caller was told to wait.
+	// RetryAfter is the retry time reported to the caller.
 	RetryAfter time.Duration
-	// Truncated tells that the answer did not reach the caller whole.
+	// Truncated is set when the answer did not reach the caller completely.
 	Truncated bool
-	// Cause is what lay behind Reason; nil when there is nothing more to tell.
+	// Cause is the error behind Reason; nil when there is none.
 	Cause error
 }
 
--- a/internal/forwarding/offer.go
+++ b/internal/forwarding/offer.go
@@ -14,7 +14,7 @@
 
 var propertyLoad = errorx.RegisterProperty("load")
 
-// withLoad attaches the load that a refusing node has told.
+// withLoad attaches the load that a refusing node has reported.
 func withLoad(err error, load slotqueue.Load) error {
 	if typed := errorx.Cast(err); typed != nil {
 		return typed.WithProperty(propertyLoad, load)
@@ -33,7 +33,7 @@
 	return o.call.plane.localLoad(o.destination.service)
 }
 
-// offerLocal asks the worker beside this node.
+// offerLocal offers the call to the worker beside this node.
 func (o *offers) offerLocal(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
 	o.roundTrip = 0
 	connection, err := o.call.plane.local.find(o.destination.service, chosen.endpoint.incarnation())
@@ -58,8 +58,8 @@
 	return answered, request.arrived, err
 }
 
-// claim returns the call's claim at a chosen worker. It has work and due time where tenants
-// compete or workers tell how fast they are. Elsewhere rank and arrival decide, and the hop
+// claim returns the call's claim at a chosen worker. It has work and due time only where tenants
+// compete or workers report their slowness. Elsewhere rank and arrival decide, and the hop
 // carries no more than that.
 func (o *offers) claim(chosen choice, latestStart time.Time) claim {
 	wanted := o.call.claim(latestStart)
@@ -69,7 +69,7 @@
 	return wanted
 }
 
-// offerNode asks the node beside another worker.
+// offerNode offers the call to the node beside another worker.
 func (o *offers) offerNode(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
 	c, e := o.call, chosen.endpoint
 	header := forwardedHeader(c.request, &c.plane.config.Dialect)
@@ -94,12 +94,12 @@
 	return answered, arrived, err
 }
 
-// setHop writes what the node beside a chosen worker is told of the call.
+// setHop sets the headers that describe the call to the node beside a chosen worker.
 func (o *offers) setHop(header http.Header, chosen choice, latestStart, now time.Time, level int) {
 	c := o.call
 	wanted := o.claim(chosen, latestStart)
 	if c.body.long() {
-		// Until when its answer is due bounds how long a body that has crossed may wait.
+		// The due time bounds how long a body that has been transferred may wait.
 		wanted = c.claim(latestStart)
 	}
 	offered := hop{
@@ -130,7 +130,7 @@
 	}
 }
 
-// recordFailure keeps that a node could not be reached.
+// recordFailure records that a node could not be reached.
 func (p *Plane) recordFailure(node string, err error) {
 	switch outcome.ReasonOf(err) {
 	case outcome.Unreachable, outcome.ConnectionLost:
@@ -138,8 +138,8 @@
 	}
 }
 
-// readHopAnswer reads what another node answered: a worker's answer, or why
-// there is none.
+// readHopAnswer reads the answer of another node: a worker's answer, or the reason why there is
+// none.
 func readHopAnswer(ctx context.Context, response *http.Response) (*answer, bool, error) {
 	load, ran, hasLoad := parseLoad(response.Header.Get(hopLoadHeader))
 	if failure := response.Header.Get(hopFailureHeader); failure != "" {
@@ -159,16 +159,16 @@
 	return answered, true, nil
 }
 
-// longestRefusal bounds what is read of the text of a refusal, in bytes: the texts of
-// this program are far shorter.
+// longestRefusal bounds how much is read of the text of a refusal, in bytes: the texts of this
+// program are far shorter.
 const longestRefusal = 1 << 10
 
-// discardRefusal reads the text of a refusal and ends the response. A connection whose
-// answer is not read to its end is closed by the transport: under overload two of three
-// offers then began with a new connection, whose handshake waited behind the queue of a
-// narrow link (40 to 180 ms of the time of a refused call).
+// discardRefusal reads the text of a refusal and closes the response. The transport closes a
+// connection whose response is not read to its end: under overload two of three offers then began
+// with a new connection, whose handshake waited in the queue of a narrow link (40 to 180 ms of
+// the time of a refused call).
 func discardRefusal(response *http.Response) {
-	// An error ends the connection, which costs no more than the next handshake.
+	// An error closes the connection, which costs no more than the next handshake.
 	_, _ = io.CopyN(io.Discard, response.Body, longestRefusal)
 	_ = response.Body.Close()
 }
--- a/internal/forwarding/offers.go
+++ b/internal/forwarding/offers.go
@@ -9,27 +9,27 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// offers are the attempts of one call.
+// offers makes the offers of one call to workers, one after the other.
 type offers struct {
 	call        *call
 	destination *destination
 	latestStart time.Time
-	// version is the version of the service that takes the call.
+	// version says which version of the service takes the call.
 	version versionChoice
 	tried   []string
-	// made counts the nodes that were asked, refusals those that had no slot in
-	// time, arrivals the workers that had the call.
+	// made counts the offers, refusals the nodes that had no slot in time, arrivals the workers
+	// that received the call.
 	made, refusals, arrivals int
-	// overloaded tells that a node had no slot in time.
+	// overloaded is set when a node had no slot in time.
 	overloaded bool
-	// declines counts the nodes whose workers were slower than was believed.
+	// declines counts the nodes whose workers were slower than this node had estimated.
 	declines int
-	// roundTrip is how long the last offer was on its way, there and back, without the
-	// time for which the other node had it.
+	// roundTrip is how long the last offer and its answer were in transit, without the time for
+	// which the other node held it.
 	roundTrip time.Duration
 	last      error
-	// failure is the first answer by which a worker told that it has failed. It is
-	// the answer if no other worker answers.
+	// failure is the first answer by which a worker reported a failure. It is returned if no
+	// other worker answers.
 	failure *answer
 	// unknown is the first failure after which the call may have run.
 	unknown error
@@ -69,8 +69,8 @@
 	}
 }
 
-// mayOfferAnother reports whether another worker may do better than one that has answered
-// that it failed, and keeps that answer.
+// mayOfferAnother reports whether the call may be offered to another worker after one has
+// answered with a failure, and keeps that answer.
 func (o *offers) mayOfferAnother(ctx context.Context, result *answer) bool {
 	c := o.call
 	if result.status < http.StatusInternalServerError || result.rest != nil || o.failure != nil {
@@ -86,8 +86,8 @@
 	return true
 }
 
-// mayArriveAgain reports whether another worker may have the call, and counts it in
-// the budget.
+// mayArriveAgain reports whether another worker may receive the call, and counts that against the
+// retry budget.
 func (o *offers) mayArriveAgain() bool {
 	limit := o.call.route.Config.Attempts
 	if limit > 0 && o.arrivals >= limit {
@@ -96,8 +96,8 @@
 	return o.call.spend(o.destination, o.call.retryShare())
 }
 
-// conclude returns what the caller is told when no further offer is made: the answer
-// of a worker that failed, if there is one.
+// conclude returns the result of the call when no further offer is made: the answer of a worker
+// that failed, if there is one.
 func (o *offers) conclude() (*answer, error) {
 	if o.failure != nil {
 		return o.failure, nil
@@ -107,7 +107,7 @@
 
 func (o *offers) choose() (choice, bool) {
 	if o.failure != nil {
-		// A worker that has failed is not asked again: its answer stands.
+		// A worker that has answered with a failure is not chosen again: its answer is kept.
 		return o.chooseExcept(o.tried)
 	}
 	if !o.lastRefusal() {
@@ -116,7 +116,7 @@
 		}
 		o.refusals = maximumRefusals - 1
 	}
-	// All that were asked have told their load: wait where that is least.
+	// All nodes that refused have reported their load: wait where that is least.
 	return o.chooseExcept(nil)
 }
 
@@ -149,20 +149,20 @@
 	}, time.Now())
 }
 
-// lastRefusal reports whether the call waits at the next node for as long as it can, in
-// place of asking a further one. A call of a worker goes first wherever it waits.
+// lastRefusal reports whether the call waits at the next node for as long as it can, because no
+// additional offer follows a refusal there. A nested call goes first wherever it waits.
 func (o *offers) lastRefusal() bool {
 	return o.refusals >= maximumRefusals-1 || o.call.nested || o.destination.additionalOffers.Tokens(time.Now()) < 1
 }
 
-// mostRefusals is how many nodes are asked for a slot. A call that all have refused at
-// once may ask one of another zone: bytes between zones are paid for, but not served at
-// all is worse.
+// mostRefusals returns how many nodes may refuse the call for want of a slot. A call that all of
+// maximumRefusals nodes have refused at once may be offered to one node of another zone: bytes
+// between zones are paid for, but that is better than failing the call.
 func (o *offers) mostRefusals() int { return maximumRefusals + 1 }
 
-// mayContinue reports whether a further offer may be made after a failure. Only an
-// offer that has reached a worker costs budget, and only one that may have run
-// is bound to what may be repeated.
+// mayContinue reports whether another offer may be made after a failure. Only an offer that has
+// reached a worker costs retry budget, and only after one that may have run does it matter
+// whether the call may be repeated.
 func (o *offers) mayContinue(ctx context.Context, err error, arrived bool) bool {
 	if ctx.Err() != nil || !o.call.body.repeatable() {
 		return false
@@ -175,8 +175,8 @@
 		return false
 	}
 	if outcome.ReasonOf(err) == outcome.Declined && o.declines < maximumDeclines {
-		// The node has told how slow its worker is. It may be chosen again, since all
-		// others may be slower.
+		// The node has reported how slow its worker is. It may be chosen again, since all others
+		// may be slower.
 		o.declines++
 		o.tried = o.tried[:len(o.tried)-1]
 		return true
@@ -193,16 +193,16 @@
 	return o.mayArriveAgain()
 }
 
-// hadShortRoundTrip reports whether the last offer took so little time on its way that a
-// further one costs next to nothing: the links between the nodes are not filled.
+// hadShortRoundTrip reports whether the last offer had so short a round trip that an additional
+// one costs next to nothing: the links between the nodes are not full.
 func (o *offers) hadShortRoundTrip() bool {
 	return o.roundTrip < shortRoundTrip
 }
 
-// slowest returns the slowness of the chosen worker from which on its node is to decline
-// the call; zero where it must not: the call could not be offered elsewhere, has been
-// declined often enough, or waits for its turn at the last node. A call of a worker may be
-// declined wherever it waits: it loses nothing by a second offer.
+// slowest returns the slowness of the chosen worker beyond which its node is to decline the call;
+// zero where it must not decline: the call could not be offered elsewhere, has been declined
+// maximumDeclines times, or waits for its turn at the last node. A nested call may be declined
+// wherever it waits: a second offer costs it nothing.
 func (o *offers) slowest(chosen choice) float64 {
 	if o.declines >= maximumDeclines || o.call.body.long() || !o.call.body.repeatable() || o.lastRefusal() && !o.call.nested {
 		return 0
@@ -210,8 +210,8 @@
 	return chosen.slowestWorthwhile(o.call.state.atUsualSpeed())
 }
 
-// finalFailure returns the failure that the caller is told. Once an offer may have run,
-// no later refusal can make the call one that has not.
+// finalFailure returns the failure that is reported to the caller. Once an offer may have run, no
+// later refusal can turn the call into one that has not.
 func (o *offers) finalFailure() error {
 	switch {
 	case o.unknown != nil:
@@ -223,7 +223,7 @@
 	}
 }
 
-// offer asks one node. It reports whether a worker may have had the call.
+// offer offers the call to one node. It reports whether a worker may have received it.
 func (o *offers) offer(ctx context.Context, chosen choice) (*answer, bool, error) {
 	endpoint := chosen.endpoint
 	o.made++
@@ -231,13 +231,13 @@
 	report := &o.call.report
 	report.Node, report.Instance = endpoint.node, endpoint.incarnation().String()
 	report.Running, report.Waiting, report.Slots = chosen.load.Running, chosen.load.Waiting, chosen.load.Slots
-	// Waiting here is worth it for as long as the next best worker is expected
-	// to be later, and at the last node for as long as the call can wait at all.
+	// Waiting here is worthwhile as long as the next best worker is expected to be later, and at
+	// the last node as long as the call can wait at all.
 	latestStart := o.latestStart
 	switch {
 	case o.call.body.long():
-		guest := endpoint.zone != o.destination.zone
-		latestStart = earlier(latestStart, time.Now().Add(longWait(o.call.waitLimit(), guest, o.lastRefusal())))
+		otherZone := endpoint.zone != o.destination.zone
+		latestStart = earlier(latestStart, time.Now().Add(longWait(o.call.waitLimit(), otherZone, o.lastRefusal())))
 	case !o.lastRefusal():
 		latestStart = earlier(latestStart, time.Now().Add(chosen.worthwhileWait()))
 	}
@@ -260,7 +260,7 @@
 	return b
 }
 
-// recordResult keeps what an offer has shown.
+// recordResult records what an offer has shown of the endpoint and the route.
 func (o *offers) recordResult(chosen choice, answered *answer, err error) {
 	observed := result{}
 	switch {
@@ -282,7 +282,7 @@
 	o.destination.done(chosen, observed, time.Now())
 }
 
-// pausesEndpoint reports whether a failure speaks against the endpoint.
+// pausesEndpoint reports whether the endpoint should be avoided for a while after a failure.
 func pausesEndpoint(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.Unreachable, outcome.NoWorker, outcome.Draining, outcome.ConnectionLost, outcome.WorkerCrashed, outcome.Misdirected, outcome.NotReady:
--- a/internal/forwarding/pace_test.go
+++ b/internal/forwarding/pace_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestLongBodyLeavesRoomOnTheLink sends a body of 60 kB over a link of 5 Mbit/s: all but
-// the first part takes 89 ms, so that no more than a part waits in front of what else is sent.
+// TestLongBodyLeavesRoomOnTheLink sends a body of 60 kB over a link of 5 Mbit/s: all but the
+// first part takes 89 ms, so that other traffic waits behind one part at most.
 func TestLongBodyLeavesRoomOnTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, speed = 60_000, 5e6
@@ -27,7 +27,7 @@
 	})
 }
 
-// TestUnknownLinkIsNotPaced sends as fast as it can.
+// TestUnknownLinkIsNotPaced checks that there is no limit when the link speed is not known.
 func TestUnknownLinkIsNotPaced(t *testing.T) {
 	if linkPace(0) != nil {
 		t.Error("a pace without a link")
--- a/internal/forwarding/plane.go
+++ b/internal/forwarding/plane.go
@@ -18,10 +18,10 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// Plane carries the calls of one node. Use New.
+// Plane forwards the calls of one node. Use New.
 type Plane struct {
 	config Config
-	// started is when the process has started.
+	// started is when the process started.
 	started time.Time
 	peers   *http.Transport
 	local   localWorkers
@@ -29,28 +29,30 @@
 	memory  bodyMemory
 	// transfers admits long bodies of other nodes to the link of this one.
 	transfers *slotqueue.Queue
-	// refusedTransfers counts those that got no turn on it.
+	// refusedTransfers counts the transfers that were refused because they were not admitted in
+	// time.
 	refusedTransfers atomic.Uint64
-	// pace bounds how fast long bodies go to other nodes; nil sets no bound.
+	// pace limits how fast long bodies are sent to other nodes; nil sets no limit.
 	pace *rate.Limiter
 
-	// running are the calls that workers beside this node run.
+	// running holds the calls that the workers beside this node run.
 	running runningCalls
-	// tenantsSince is since when callers are authenticated.
+	// tenantsSince records since when callers are authenticated.
 	tenantsSince tenantsSince
-	// refusals are the callers that were told to come back.
+	// refusals remembers callers that were refused with a time to retry after.
 	refusals refusals
 
-	// steering are the decisions on moves of services to other versions.
+	// steering holds the decisions on moves of services to other versions.
 	steering atomic.Pointer[steeringTable]
 
 	mutex        sync.Mutex
 	destinations map[string]*destination
 
-	// open is set once the node knows what a former life of it has promised.
+	// open is set once the node knows the drain commitments that a previous incarnation of it
+	// made.
 	open atomic.Bool
-	// leaving is set when callers are asked to close their connections, stopping
-	// when the node takes no more calls from other nodes.
+	// leaving is set when callers are asked to close their connections, stopping when the node
+	// refuses calls from other nodes.
 	leaving  atomic.Bool
 	stopping atomic.Bool
 	calls    atomic.Int64
@@ -84,7 +86,8 @@
 	return p
 }
 
-// destination returns what is known of a service, up to date with the nodes.
+// destination returns what is known of a service, brought up to date with the current view of the
+// nodes.
 func (p *Plane) destination(service string) *destination {
 	p.mutex.Lock()
 	d, known := p.destinations[service]
@@ -119,14 +122,15 @@
 // WorkerLoad returns the load of all workers beside this node together.
 func (p *Plane) WorkerLoad() slotqueue.Load { return p.local.load() }
 
-// Transfers returns the long bodies that cross to this node, and those that wait.
+// Transfers returns the load of the transfer queue: the long bodies that are being sent to this
+// node, and those that wait.
 func (p *Plane) Transfers() slotqueue.Load { return p.transfers.Load() }
 
-// RefusedTransfers returns how many long bodies of other nodes got no turn on the link of
-// this one.
+// RefusedTransfers returns how many long bodies of other nodes were refused because the link of
+// this node was not free in time.
 func (p *Plane) RefusedTransfers() uint64 { return p.refusedTransfers.Load() }
 
-// serviceHere is the service that the calls of this node begin at.
+// serviceHere returns the service under which calls of this node begin.
 func (p *Plane) serviceHere() string {
 	if service := p.config.Workers.Service(); service != "" {
 		return service
@@ -134,14 +138,14 @@
 	return p.config.Service
 }
 
-// left returns the time that is left until an end, of what began at this node at the given
-// time. A machine may have been suspended meanwhile: without that, workers would be given
-// time that the caller has not.
+// left returns the time that is left until end, for a call that began at this node at the given
+// time. The time during which the machine was suspended meanwhile is subtracted: without that,
+// workers would be given time that the caller does not have.
 func (p *Plane) left(began, end time.Time) time.Duration {
 	return time.Until(end) - p.config.Suspended(began)
 }
 
-// CallerServer returns a server for callers. It listens on nothing by itself.
+// CallerServer returns a server for callers. It does not open a listener itself.
 func (p *Plane) CallerServer() *pipeline.Server {
 	return pipeline.New(pipeline.Config{
 		Handler:           http.HandlerFunc(p.serveCaller),
@@ -152,7 +156,7 @@
 	})
 }
 
-// HopServer returns a server for other nodes. What they say is trusted.
+// HopServer returns a server for other nodes. Their requests are trusted.
 func (p *Plane) HopServer() *http.Server {
 	return &http.Server{
 		Handler:                      http.HandlerFunc(p.serveHop),
@@ -164,21 +168,21 @@
 	}
 }
 
-// Open lets the workers beside this node be given work. Before, the node may not
-// know which of them a former life of it has promised to leave alone.
+// Open allows calls to the workers beside this node. Before that, the node may not know which of
+// them a previous incarnation of it has made a drain commitment to.
 func (p *Plane) Open() { p.open.Store(true) }
 
-// Leave has the node ask callers to close their connections.
+// Leave makes the node ask callers to close their connections.
 func (p *Plane) Leave() { p.leaving.Store(true) }
 
-// Stop has the node refuse calls from other nodes as not-run. Calls in flight and
-// calls of callers go on, to workers beside other nodes.
+// Stop makes the node refuse calls from other nodes as not-run. Calls in flight, and calls of
+// callers to workers beside other nodes, go on.
 func (p *Plane) Stop() { p.stopping.Store(true) }
 
-// InFlight returns the calls from callers and from other nodes in flight.
+// InFlight returns the numbers of calls in flight from callers and from other nodes.
 func (p *Plane) InFlight() (calls, hops int64) { return p.calls.Load(), p.hops.Load() }
 
-// WaitIdle waits until no call is in flight, or for the context to end.
+// WaitIdle waits until no call is in flight or the context ends.
 func (p *Plane) WaitIdle(ctx context.Context) error {
 	const interval = 20 * time.Millisecond
 	ticker := time.NewTicker(interval)
@@ -193,5 +197,5 @@
 	return nil
 }
 
-// Close ends the unused connections.
+// Close closes the unused connections to other nodes.
 func (p *Plane) Close() { p.peers.CloseIdleConnections() }
--- a/internal/forwarding/rank.go
+++ b/internal/forwarding/rank.go
@@ -4,29 +4,29 @@
 type step int
 
 const (
-	// stepNested is that of calls that a worker makes for another one.
+	// stepNested is the step of nested calls.
 	stepNested step = iota
-	// stepFirst is that of callers that come for the first time, stepBack that of those
-	// that were refused before.
+	// stepFirst is the step of first attempts of callers, stepRetry that of callers that were
+	// refused before.
 	stepFirst
 	stepRetry
 	rankSteps
 )
 
-// routeRanks is how many ranks of routes one rank of a tenant holds. Higher ones count
+// routeRanks is how many route ranks there are within one tenant rank. Higher route ranks count
 // as the highest.
 const routeRanks = 1000
 
-// rankOf orders calls by the ranks of tenant and route, of which the former goes first, and
-// by their step within them. A call without a tenant has the rank of its route for both.
+// rankOf combines the ranks of tenant and route, in this order, and the step of a call into one
+// rank. A call without a tenant has the rank of its route for both.
 func rankOf(tenant, route int, s step) int {
 	bounded := func(rank int) int { return min(max(rank, 0), routeRanks-1) }
 	return (bounded(tenant)*routeRanks+bounded(route))*int(rankSteps) + int(s)
 }
 
-// nestedRankOf returns the rank of a call that a worker makes for another one. When it fails,
-// the work on that one is lost, too: it goes before the calls of the next lower rank of a
-// route, and before those of its own where there is no lower one.
+// nestedRankOf returns the rank of a nested call. When it fails, the work on its parent is lost,
+// too: it goes before the calls of the next lower rank of a route, and before those of its own
+// rank where there is no lower one.
 func nestedRankOf(parent parentCall) int {
 	if parent.rank < 0 {
 		return parent.rank
@@ -39,7 +39,7 @@
 	return rankOf(tenant, route, stepNested)
 }
 
-// step returns the step of a call of a caller.
+// step returns the step of a call that is not nested.
 func (c *call) step() step {
 	if c.clientRetry {
 		return stepRetry
--- a/internal/forwarding/rank_test.go
+++ b/internal/forwarding/rank_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestRanksInOrder lists calls in the order in which they are to go.
+// TestRanksInOrder lists ranks in the order in which their calls are to be served.
 func TestRanksInOrder(t *testing.T) {
 	parent := func(tenant, route int) parentCall {
 		return parentCall{tenant: "acme", rank: rankOf(tenant, route, stepFirst)}
--- a/internal/forwarding/refusal_test.go
+++ b/internal/forwarding/refusal_test.go
@@ -7,8 +7,8 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// TestRefusalKeepsTheConnection has a node refuse calls one after the other, which
-// are all to come over the same connection.
+// TestRefusalKeepsTheConnection makes a node refuse calls one after the other, which must all
+// arrive over the same connection.
 func TestRefusalKeepsTheConnection(t *testing.T) {
 	front := startNode(t, "front", "desk", nil)
 	refusing := startNode(t, "refusing", "ledger", startWorker(t))
--- a/internal/forwarding/refusals.go
+++ b/internal/forwarding/refusals.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// rememberedRefusals bounds the refused callers that a node remembers, at some 50
-	// bytes each: a machine with 0.16 of a core refuses no more than that in the second
-	// or two in which callers come back.
+	// rememberedRefusals bounds the refused callers that a node remembers, at about 50 bytes
+	// each: a machine with 0.16 of a core refuses no more than that in the second or two within
+	// which callers retry.
 	rememberedRefusals = 512
-	// returnTolerance is by how much the end of a caller's time may differ from that of
-	// the call that was refused: the time on the way, there and back, and of a new connection.
+	// returnTolerance is by how much the deadline of a retried call may differ from that of the
+	// refused one: the network time in both directions and the opening of a new connection.
 	returnTolerance = 60 * time.Millisecond
 )
 
-// refusals remembers callers that were refused and told to come back. One that does sends
-// the same request, and has what is left of the same time. Timeouts alone tell that only where
-// most callers give the same: in a mesh whose callers gave any between 1,030 and 1,200 ms
-// none was known again.
+// refusals remembers callers that were refused with a time to retry after. A caller that retries
+// sends the same request, and has what is left of the same time. Timeouts alone identify retries
+// only where most callers use the same timeout: in a mesh whose callers used any timeout between
+// 1,030 and 1,200 ms no retry was recognized.
 type refusals struct {
 	mu sync.Mutex
-	// ends is until when each refused caller has time, by what it asked for.
+	// ends holds the deadline of each refused caller, by the key of its request.
 	ends map[uint64]time.Time
 	// order holds the keys of ends; when it is full, the oldest is at next.
 	order []uint64
 	next  int
 }
 
-// keyOf tells requests apart by what they ask for.
+// keyOf returns a key that is the same for requests with the same method, host, path and query.
 func keyOf(r *http.Request) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -42,7 +42,7 @@
 	return d.Sum64()
 }
 
-// remember notes a refused request of a caller that has time until the given end.
+// remember records a refused request of a caller with the given deadline.
 func (r *refusals) remember(request *http.Request, end time.Time) {
 	key := keyOf(request)
 	r.mu.Lock()
@@ -56,8 +56,8 @@
 	r.ends[key] = end
 }
 
-// place keeps the key of a new refusal in the order, in place of the oldest one if need be.
-// The mutex is held.
+// place adds the key of a new refusal to the order, replacing the oldest one when it is full. The
+// mutex must be held.
 func (r *refusals) place(key uint64) {
 	if len(r.order) < rememberedRefusals {
 		r.order = append(r.order, key)
@@ -68,8 +68,7 @@
 	r.next = (r.next + 1) % rememberedRefusals
 }
 
-// isRetry reports whether a request is one that was refused before, of a caller that has
-// time until the given end.
+// isRetry reports whether the request was refused before, to a caller with the same deadline.
 func (r *refusals) isRetry(request *http.Request, end time.Time) bool {
 	r.mu.Lock()
 	none := len(r.ends) == 0
--- a/internal/forwarding/refusals_test.go
+++ b/internal/forwarding/refusals_test.go
@@ -12,8 +12,8 @@
 	return request
 }
 
-// TestCallersThatComeBackAreKnownByTheirRequest has callers whose timeouts are all different
-// be refused and come back.
+// TestCallersThatComeBackAreKnownByTheirRequest refuses callers whose timeouts are all different,
+// which then retry.
 func TestCallersThatComeBackAreKnownByTheirRequest(t *testing.T) {
 	var r refusals
 	end := time.Now().Add(1130 * time.Millisecond)
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestRefusedCallerComesBack has a caller be refused and send its request again.
+// TestRefusedCallerComesBack refuses a caller, which sends its request again.
 func TestRefusedCallerComesBack(t *testing.T) {
 	front := startNode(t, "front", "other", nil)
 	configure(t, ledgerRoutes, front)
@@ -66,9 +66,9 @@
 	again.Header.Set("X-Timeout", fmt.Sprint(3917-time.Since(began).Milliseconds()))
 	ask(t, again)
 	if report := <-front.reports; report.ClientRetry {
-		t.Error("the first try was taken for a return")
+		t.Error("the first attempt was taken for a retry")
 	}
 	if report := <-front.reports; !report.ClientRetry {
-		t.Error("the second try was taken for a first")
+		t.Error("the retry was taken for a first attempt")
 	}
 }
--- a/internal/forwarding/repeats_test.go
+++ b/internal/forwarding/repeats_test.go
@@ -12,14 +12,15 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// slashParent has calls of workers named by the id of their parent, a slash and more.
+// slashParent is a Dialect.Parent for nested calls whose ids are the id of their parent, a slash
+// and more.
 func slashParent(id string) (string, bool) {
 	parent, _, nested := strings.Cut(id, "/")
 	return parent, nested
 }
 
-// TestCallsOfARepeatedCallAreRepeats has a worker fail, and the next one make a call of its
-// own for the same request.
+// TestCallsOfARepeatedCallAreRepeats makes a worker fail, and the next one make a nested call for
+// the same request.
 func TestCallsOfARepeatedCallAreRepeats(t *testing.T) {
 	first, second, tax := startWorker(t), startWorker(t), startWorker(t)
 	front := startNode(t, "front", "other", nil)
@@ -42,8 +43,8 @@
 		_, _ = io.Copy(w, response.Body)
 		_ = response.Body.Close()
 	})
-	// left returns how many retries to the tax service the node beside the second worker
-	// could make, after a request that begins there or at the first worker.
+	// left returns how many retries to the service "tax" the node beside the second worker could
+	// make, after a request that was offered to worker begin first.
 	left := func(begin, other string) float64 {
 		failing(first, "first")
 		front.plane.destination("ledger").endpoints[other].pausedUntil = time.Now().Add(time.Hour)
@@ -60,18 +61,18 @@
 	}
 }
 
-// sheddingDay is a load that all workers of a service turn away in part, without running
-// it: every node offers, and may offer again what came back.
+// sheddingDay is a load of which all workers of a service refuse a part without running it: every
+// node makes offers, and may offer refused calls again.
 type sheddingDay struct {
 	nodes int
-	// budget sets up the budget of one node.
+	// budget holds the options of one node's retry budget.
 	budget retry.WindowOptions
-	// share is the share of the budget for a call that comes for the first time.
+	// share is the share of the budget for a first attempt of a caller.
 	share float64
 }
 
-// play returns the share of callers that are lost, of those that come while workers shed:
-// each caller comes back once.
+// play returns the share of lost callers among those that arrive while workers shed load: each
+// refused caller retries once.
 func (d sheddingDay) play(seed uint64) (lost, retries float64) {
 	const (
 		calm, shedding   = 12 * time.Second, 8500 * time.Millisecond
@@ -119,8 +120,8 @@
 	return failed / came, retries
 }
 
-// TestRetriesGoToThoseThatComeBack replays workers that all shed 0.55 of what comes for
-// 8.5 s, and compares what callers lose.
+// TestRetriesGoToThoseThatComeBack replays workers that all shed 0.55 of their calls for 8.5 s,
+// and compares how many callers are lost.
 func TestRetriesGoToThoseThatComeBack(t *testing.T) {
 	const ratio, slack = 0.2, 1040.0
 	for _, nodes := range []int{12, 83, 985, 1970} {
--- a/internal/forwarding/routes.go
+++ b/internal/forwarding/routes.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// routeWeight is the weight of one more observation of a route.
+	// routeWeight is the weight of one more observation in the means of a route.
 	routeWeight = 0.05
-	// startPlaces is how many places there are at which a node may begin to share
-	// the requests of a route: operators give weights in parts of a hundred.
+	// startPlaces is the number of positions in the sequence of backends at which a node may
+	// begin: operators give weights in parts of a hundred.
 	startPlaces = 100
 )
 
-// routeState is what a node keeps of a route from version to version.
+// routeState is what a node keeps of a route across configuration versions.
 type routeState struct {
 	mutex sync.Mutex
-	// passed is, for each service, how much of its share it has been given too
-	// little (above zero) or too much.
+	// credit is, for each service, by how much it has been given less (above zero) or more
+	// requests than its share.
 	credit   map[string]float64
 	timeouts commonTimeouts
-	// work and answerBytes are means of the answers seen.
+	// work and answerBytes are the means over the observed answers.
 	work        time.Duration
 	answerBytes float64
-	// usual is what work would be at a worker of usual speed, by answers of workers that
-	// tell how slow they are.
+	// usual is the mean of the work at a worker of usual speed, from the answers of workers that
+	// report their slowness.
 	usual time.Duration
 }
 
-// routeStates are the states of all routes ever called.
+// routeStates holds the states of all routes ever called.
 type routeStates struct {
 	mutex  sync.Mutex
 	states map[string]*routeState
@@ -49,8 +49,8 @@
 	return state
 }
 
-// pickService returns the service that takes the next request of a route. Each
-// gets its share as evenly as whole requests allow.
+// pickService returns the service that takes the next request of a route. Each gets its share as
+// evenly as possible with undivided requests.
 func (s *routeState) pickService(route *routing.Route) string {
 	backends := route.Config.Backends
 	if len(backends) == 0 {
@@ -60,8 +60,8 @@
 	defer s.mutex.Unlock()
 	if s.lacksCredit(backends) {
 		s.credit = make(map[string]float64, len(backends))
-		// Nodes begin at different places of the sequence: if each gave its first
-		// request to the heaviest part, the others would get none of them.
+		// Nodes begin at different positions in the sequence: if each gave its first request to
+		// the backend with the highest weight, the others would get none of these.
 		for range rand.IntN(startPlaces) {
 			s.pick(backends)
 		}
@@ -70,8 +70,8 @@
 	return s.pick(backends)
 }
 
-// lacksCredit reports whether there is a part that was given nothing so far. The
-// mutex is held.
+// lacksCredit reports whether there is a backend without credit, which has been given nothing so
+// far. The mutex must be held.
 func (s *routeState) lacksCredit(backends []model.Backend) bool {
 	for _, backend := range backends {
 		if _, known := s.credit[backend.Service]; !known {
@@ -81,7 +81,8 @@
 	return false
 }
 
-// pick gives the next request to the part that is furthest behind. The mutex is held.
+// pick gives the next request to the backend that is furthest below its share. The mutex must be
+// held.
 func (s *routeState) pick(backends []model.Backend) string {
 	total := 0
 	best := -1
@@ -97,7 +98,7 @@
 	return chosen
 }
 
-// forgetOthers drops the credit of services that the route has left.
+// forgetOthers removes the credit of services that are no longer backends of the route.
 func (s *routeState) forgetOthers(backends []model.Backend) {
 	if len(s.credit) <= len(backends) {
 		return
@@ -109,7 +110,7 @@
 	s.credit = kept
 }
 
-// expected returns the work and the size of an answer to be expected.
+// expected returns the expected work and the expected size of an answer.
 func (s *routeState) expected() (time.Duration, int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -120,7 +121,7 @@
 }
 
 // atUsualSpeed returns how long work is expected to take at a worker of usual speed. While no
-// worker has told its speed it is what work takes at all workers, and never zero.
+// worker has reported its slowness, it is the mean over all workers; it is never zero.
 func (s *routeState) atUsualSpeed() time.Duration {
 	if work := s.workSeen(); work > 0 {
 		return work
@@ -128,7 +129,7 @@
 	return unknownHold
 }
 
-// workSeen returns the same, and zero as long as no answer was seen.
+// workSeen returns the same as atUsualSpeed, but zero as long as no answer was observed.
 func (s *routeState) workSeen() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -138,17 +139,17 @@
 	return s.work
 }
 
-// observeTimeout counts the timeout of a caller and reports whether the caller was
-// refused before and comes back.
+// observeTimeout counts the timeout of a caller and reports whether the caller was refused before
+// and retries.
 func (s *routeState) observeTimeout(timeout time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.timeouts.observe(timeout.Milliseconds())
 }
 
-// observe counts an answer of a worker that tells the given slowness, or zero. It returns
-// how long the worker took relative to the mean; of a worker that tells its slowness, relative
-// to the mean at usual speed times that.
+// observe counts an answer of a worker that reports the given slowness, or zero. It returns how
+// long the worker took relative to the mean; for a worker that reports its slowness, relative to
+// the mean at usual speed times that slowness.
 func (s *routeState) observe(work time.Duration, slowness float64, answerBytes int) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -163,7 +164,8 @@
 	return relative
 }
 
-// observeWork counts one more observation in a mean, and returns it relative to that.
+// observeWork adds one observation to a mean, and returns the observation relative to the mean
+// before.
 func observeWork(mean *time.Duration, work time.Duration) float64 {
 	if *mean == 0 {
 		*mean = work
--- a/internal/forwarding/running.go
+++ b/internal/forwarding/running.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// runningCalls are the calls that workers beside this node run, by their ids. What a worker
-// calls for one of them bears no key and may be a repeat; the node beside the worker is the
-// only one that sees both.
+// runningCalls holds the calls that workers beside this node run, by their ids. Nested calls that
+// a worker makes for one of them carry no key and may be repeats; the node beside the worker is
+// the only one that sees both.
 type runningCalls struct {
 	mu   sync.Mutex
 	runs map[string]*run
-	// sweepAt is the number of runs at which those that are over are dropped.
+	// sweepAt is the number of runs at which those that are over are removed.
 	sweepAt int
 }
 
 // run is what is known of a call at a worker.
 type run struct {
-	// running counts the workers that run the call now, repeats those of them that have it
-	// although another worker had it before.
+	// running counts the workers that run the call now, repeats those of them that run it
+	// although another worker received it before.
 	running, repeats int
-	// parent is what calls of the worker inherit; nil when the version in force where the
+	// parent is what nested calls inherit; nil when the configuration version in force where the
 	// call began has no tenants.
 	parent *parentCall
-	// until is how long parent may be asked for after the last run: a worker whose node gave
-	// the call up may not have noticed.
+	// until is until when parent may be looked up after the last run: a worker may not have
+	// noticed that its node has given the call up.
 	until time.Time
 }
 
-// parentCall is what a call of a worker inherits from the one that it is made for.
+// parentCall is what a nested call inherits from its parent.
 type parentCall struct {
 	tenant string
 	rank   int
 }
 
-// leastSweep is the number of runs below which none are dropped.
+// leastSweep is the number of runs below which none are removed.
 const leastSweep = 256
 
-// begin notes that a worker gets a call.
+// begin records that a worker receives a call.
 func (r *runningCalls) begin(requestID string, call *workerCall, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,8 +56,8 @@
 	if call.repeat {
 		known.repeats++
 	}
-	// Of two calls under one id the first stays: who copies the id of another call must
-	// not take over what is called for that.
+	// Of two calls with the same id the first one's parent is kept: a caller that copies the id
+	// of another call must not take over its nested calls.
 	if call.principal.checked && known.parent == nil {
 		known.parent = &parentCall{tenant: call.principal.tenant, rank: call.claim.rank}
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// end notes that a worker has the call no more.
+// end records that a worker no longer runs the call.
 func (r *runningCalls) end(requestID string, repeat bool, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +85,7 @@
 
 func (r *run) over(now time.Time) bool { return r.running <= 0 && !now.Before(r.until) }
 
-// sweep drops what is over. The mutex is held.
+// sweep removes the runs that are over. The mutex must be held.
 func (r *runningCalls) sweep(now time.Time) {
 	for id, known := range r.runs {
 		if known.over(now) {
@@ -95,7 +95,7 @@
 	r.sweepAt = max(2*len(r.runs), leastSweep)
 }
 
-// repeats reports whether a call runs that is a repeat.
+// repeats reports whether a worker beside this node runs the call as a repeat.
 func (r *runningCalls) repeats(requestID string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,8 +103,8 @@
 	return known != nil && known.repeats > 0
 }
 
-// parent returns what calls inherit that a worker makes for the given one; nil when no
-// worker beside this node runs that.
+// parent returns what nested calls of the given one inherit; nil when no worker beside this node
+// runs it.
 func (r *runningCalls) parent(requestID string, now time.Time) *parentCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/forwarding/slowness.go
+++ b/internal/forwarding/slowness.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// longTermDecay is the time after which a former slowness has fallen to 1/e in what a
-	// worker's usual one is taken to be.
+	// longTermDecay is the time after which the weight of an earlier observation in the long-term
+	// mean has decayed to 1/e.
 	longTermDecay = 5 * time.Second
-	// unexplainedFactor is how many times longer than the told slowness explains requests must
-	// take before what was seen of them counts too: requests of a route differ so much
-	// among themselves that less is chance.
+	// unexplainedFactor is how many times longer than the reported slowness explains requests
+	// must take before this node's own observations count too: requests of a route differ so much
+	// among themselves that less can be chance.
 	unexplainedFactor = 2.0
-	// waitWeight is how much more a wait counts than as long a run: about what one more
-	// request costs all others together at a worker that is two thirds full, 1/(1-2/3).
+	// waitWeight is how much more waiting time counts in a score than the same time of work:
+	// about the delay that one more request causes to all others together at a worker that is two
+	// thirds full, 1/(1-2/3).
 	waitWeight = 3.0
-	// highestSlowness bounds what a worker is believed to tell: what is above is nonsense,
-	// and no time that is reckoned with it could be held.
+	// highestSlowness bounds the slowness that is accepted from a worker: higher values are
+	// nonsense, and no time computed with them could be met.
 	highestSlowness = 1000.0
-	// maximumDeclines bounds how often one call may be declined by nodes whose workers are
-	// slower than its own node believed.
+	// maximumDeclines bounds how often one call may be declined by nodes whose workers are slower
+	// than the node where the call began had estimated.
 	maximumDeclines = 2
 )
 
-// decayingMean estimates a value that is told now and then. The zero value knows nothing.
+// decayingMean estimates a value that is reported now and then. The zero value knows nothing.
 type decayingMean struct {
-	// latest was told last, at latestAt; longTerm is the mean over time.
+	// latest was reported last, at latestAt; longTerm is the mean over time.
 	latest, longTerm float64
 	latestAt         time.Time
 }
 
-// observe takes a value told at a time. One from before the latest is ignored.
+// observe adds a value reported at the given time. One from before the latest is ignored.
 func (m *decayingMean) observe(value float64, at time.Time) {
 	switch {
 	case at.Before(m.latestAt):
@@ -47,17 +48,18 @@
 	m.latest, m.latestAt = value, at
 }
 
-// at returns the value to be expected at a moment: the latest fades into the lasting one.
+// at returns the value to be expected at the given time: it decays from the latest to the
+// long-term mean.
 func (m *decayingMean) at(now time.Time) float64 {
 	fresh := max(1-float64(now.Sub(m.latestAt))/float64(reportDecay), 0)
 	return m.longTerm + min(fresh, 1)*(m.latest-m.longTerm)
 }
 
-// known reports whether a value was ever told.
+// known reports whether a value was ever reported.
 func (m *decayingMean) known() bool { return !m.latestAt.IsZero() }
 
 // work returns how long, in nanoseconds, a request is expected to run at the endpoint, whose
-// worker tells the given slowness; zero when it does not tell.
+// worker reports the given slowness; zero when it does not report any.
 func (e *endpoint) work(w criteria, reported float64) float64 {
 	if reported == 0 {
 		return float64(w.work) * e.slowness
@@ -65,9 +67,9 @@
 	return float64(w.usual) * reported * max(e.slowness/unexplainedFactor, 1)
 }
 
-// waitCost is what the wait for a slot counts in a score, in nanoseconds. It weighs more at
-// workers that tell their slowness: all nodes choose the fastest of these, where each request
-// that waits delays those behind it, and may wait in vain.
+// waitCost returns the cost of the wait for a slot in a score, in nanoseconds. It has a higher
+// weight at workers that report their slowness: all nodes choose the fastest of these, where each
+// request that waits delays those behind it, and may wait in vain.
 func waitCost(load slotqueue.Load) float64 {
 	wait := float64(load.Wait())
 	if load.Slowness > 0 {
@@ -77,17 +79,17 @@
 }
 
 // slowestWorthwhile returns the slowness of the chosen worker beyond which the next best is
-// expected to answer sooner, although the call must cross once more; zero when the worker
-// tells none or there is no next best.
+// expected to answer sooner, in spite of another round trip; zero when the worker reports no
+// slowness or there is no next best.
 func (c choice) slowestWorthwhile(work time.Duration) float64 {
 	if c.load.Slowness == 0 || c.lead == longestLead {
 		return 0
 	}
-	// The lead is no more exact than the noise in the scores.
+	// The lead is no more precise than the noise in the scores.
 	return c.load.Slowness*(1+scoreNoise) + float64(c.lead+shortRoundTrip)/float64(max(work, time.Millisecond))
 }
 
-// worthwhileWait returns how long the call may wait for the chosen worker's slot before the
+// worthwhileWait returns how long the call may wait for a slot of the chosen worker before the
 // next best is expected to answer sooner.
 func (c choice) worthwhileWait() time.Duration {
 	worth := max(c.lead, shallowWait)
@@ -97,8 +99,8 @@
 	return worth
 }
 
-// declines reports whether a worker of the given slowness is slower than a call may find
-// it; a limit or slowness of zero is not known.
+// declines reports whether a worker of the given slowness is slower than the call's limit; a
+// limit or slowness of zero is not known.
 func declines(slowness, slowest float64) bool {
 	return slowest > 0 && slowness > slowest
 }
--- a/internal/forwarding/slowness_test.go
+++ b/internal/forwarding/slowness_test.go
@@ -25,7 +25,7 @@
 	return slotqueue.Load{Slots: 4, Slowness: float64(reported) / 100}, err == nil
 }
 
-// reportSlowness has a worker tell its slowness.
+// reportSlowness makes a worker report its slowness.
 func reportSlowness(worker *testWorker, reported string) {
 	worker.answer(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerTestLoad, reported)
@@ -33,7 +33,7 @@
 	})
 }
 
-// record keeps what crosses connections.
+// record records the bytes sent and received on connections.
 type record struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -45,7 +45,7 @@
 	r.text.Write(p)
 }
 
-// fields returns how many fields the headers between nodes have had since the last time.
+// fields returns the numbers of fields that the headers between nodes had since its last call.
 func (r *record) fields() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 	return strings.Join(counts, " ")
 }
 
-// contains reports whether a header has crossed since the last call of fields.
+// contains reports whether a header was sent or received since the last call of fields.
 func (r *record) contains(header string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,8 +80,8 @@
 	return n, err
 }
 
-// TestOnlyReportedSlownessChangesTheHopHeaders looks at the headers between two nodes before and
-// after the worker tells its slowness.
+// TestOnlyReportedSlownessChangesTheHopHeaders checks the headers between two nodes before and
+// after the worker reports its slowness.
 func TestOnlyReportedSlownessChangesTheHopHeaders(t *testing.T) {
 	front, back, worker := twoNodes(t)
 	back.plane.config.Dialect.WorkerLoad = testWorkerLoad
@@ -94,29 +94,29 @@
 	get(t, front, "/read/1")
 	get(t, front, "/read/1")
 	if crossed.contains(workHeader) {
-		t.Error("the work of a call is told where the worker tells nothing")
+		t.Error("the work of a call is sent where the worker reports nothing")
 	}
 	if got, want := crossed.fields(), fmt.Sprint(hopFieldsLevel, " ", loadFields, " ", hopFieldsLevel, " ", loadFields); got != want {
-		t.Errorf("fields where the worker tells nothing: %s, want %s", got, want)
+		t.Errorf("fields where the worker reports nothing: %s, want %s", got, want)
 	}
 	reportSlowness(worker, "120")
 	get(t, front, "/read/1")
 	if got, want := crossed.fields(), fmt.Sprint(hopFieldsLevel, " ", loadFieldsSlowness); got != want {
-		t.Errorf("fields where it tells: %s, want %s", got, want)
+		t.Errorf("fields where it reports its slowness: %s, want %s", got, want)
 	}
 	get(t, front, "/read/1")
 	if !crossed.contains(workHeader) {
-		t.Error("the work of a call is not told where the worker tells its slowness")
+		t.Error("the work of a call is not sent where the worker reports its slowness")
 	}
 }
 
-// steady is a slowness that does not change.
+// steady returns the mean of a slowness that does not change.
 func steady(slowness float64) decayingMean {
 	return decayingMean{latest: slowness, longTerm: slowness, latestAt: time.Now()}
 }
 
-// TestSlowWorkerDeclinesWhatAnotherAnswersSooner has the nodes of two workers know these to be
-// slower than the caller's node believes.
+// TestSlowWorkerDeclinesWhatAnotherAnswersSooner makes the nodes of two workers know these to be
+// slower than the node where the call begins has estimated.
 func TestSlowWorkerDeclinesWhatAnotherAnswersSooner(t *testing.T) {
 	const believed, next, slow = 1, 1.5, 50
 	for _, c := range []struct {
@@ -157,45 +157,45 @@
 	}
 }
 
-// TestLatestValueDecaysToTheLongTermMean looks at what is expected after news.
+// TestLatestValueDecaysToTheLongTermMean checks the expected value after new and old reports.
 func TestLatestValueDecaysToTheLongTermMean(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var m decayingMean
 	if m.known() || m.at(now) != 0 {
-		t.Errorf("before any news: %v", m.at(now))
+		t.Errorf("before any report: %v", m.at(now))
 	}
 	m.observe(1, now)
 	m.observe(1, now.Add(time.Second))
 	now = now.Add(time.Second)
 	m.observe(9, now.Add(-time.Millisecond))
 	if m.at(now) != 1 {
-		t.Errorf("after old news: %v", m.at(now))
+		t.Errorf("after a late report: %v", m.at(now))
 	}
 	now = now.Add(longTermDecay)
 	m.observe(3, now)
 	if fresh := m.at(now); fresh != 3 {
-		t.Errorf("after news: %v", fresh)
+		t.Errorf("after a new report: %v", fresh)
 	}
 	old := m.at(now.Add(reportDecay))
 	if half := m.at(now.Add(reportDecay / 2)); half <= old || half >= 3 || old <= 1 || old >= 3 {
-		t.Errorf("%v after half of the life of news, %v after all", half, old)
+		t.Errorf("%v after half of reportDecay, %v after all of it", half, old)
 	}
 }
 
-// TestObservationsCountBeyondReportedSlowness compares what a request is expected to take by what the
-// worker tells and by what was seen.
+// TestObservationsCountBeyondReportedSlowness compares the expected duration of a request by what
+// the worker reports and by what was observed.
 func TestObservationsCountBeyondReportedSlowness(t *testing.T) {
 	for _, c := range []struct{ seen, reported, want float64 }{
 		{0.4, 0, 0.4}, {3, 0, 3}, {1, 0.55, 0.55}, {0.4, 1.2, 1.2}, {1.9, 1.2, 1.2}, {3 * unexplainedFactor, 2, 6},
 	} {
 		e := &endpoint{slowness: c.seen}
 		if got := e.work(criteria{work: 1, usual: 1}, c.reported); got != c.want {
-			t.Errorf("seen %v, told %v: %v, want %v", c.seen, c.reported, got, c.want)
+			t.Errorf("observed %v, reported %v: %v, want %v", c.seen, c.reported, got, c.want)
 		}
 	}
 }
 
-// TestImplausibleSlownessIsBounded has a worker tell a figure that no work can take.
+// TestImplausibleSlownessIsBounded makes a worker report a slowness that no work can have.
 func TestImplausibleSlownessIsBounded(t *testing.T) {
 	connection := &workerConnection{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
 	connection.observeLoad(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
--- a/internal/forwarding/starting.go
+++ b/internal/forwarding/starting.go
@@ -7,32 +7,33 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// After a loss of power of all machines callers connect as soon as their nodes listen, some tenths of a
-// second before these know a configuration and workers. All that came in the second without power
-// comes at this moment, most of it for the last time. A call that is refused then is lost, and one
-// that waits until the node knows workers is answered, mostly in time.
+// After a power failure of all machines callers connect as soon as their nodes listen, some
+// tenths of a second before these know a configuration and workers. All calls of the second
+// without power arrive at this moment, most of them for the last time. A call that is refused
+// then is lost, and one that waits until the node knows workers is answered, mostly in time.
 
 const (
-	// startPeriod is how long after its start a node is taken to know less than there is:
-	// nodes of a mesh of 985 know all others within a second of a start of all.
+	// startPeriod is how long after its start a node is assumed to know only a part of the mesh:
+	// nodes of a mesh of 985 know all others within a second when all start together.
 	startPeriod = 3 * time.Second
-	// startWaitShare is the share of its time that a call may wait for that: less
-	// than half, so that one which cannot be served after all hears it while there is time for
-	// another try.
+	// startWaitShare is the share of its time that a call may wait for its node to start: less
+	// than half, so that a call which cannot be served after all is refused while its caller has
+	// time for another attempt.
 	startWaitShare = 0.45
-	// firstStartPause and longestStartPause bound the pauses between two looks. The first
-	// is short against the time of an answer; the others grow, since a look may ask some nodes.
+	// firstStartPause and longestStartPause bound the pauses between two checks. The first is
+	// short compared with the time of an answer; the others grow, since a check may make offers
+	// to some nodes.
 	firstStartPause   = 10 * time.Millisecond
 	longestStartPause = 80 * time.Millisecond
-	// growthPause is how long after the known workers became more a service is taken to be
-	// starting: nodes tell each other of workers in batches of up to 0.2 s. Later, a call
-	// that finds all full is refused at once: the service is overloaded.
+	// growthPause is how long a service is assumed to be starting after the number of its known
+	// workers last grew: nodes announce workers to each other in batches of up to 0.2 s. Later, a
+	// call that finds all workers full is refused at once: the service is overloaded.
 	growthPause = 250 * time.Millisecond
 )
 
-// startWait returns how long a call may wait for its node to know workers, given how long ago
-// the node has started, how much time the call has and how long its work takes. Zero has it
-// refused at once: the node is not starting, or the call cannot be served.
+// startWait returns how long a call may wait for its node to know workers, given the age of the
+// node, how much time the call has left and how long its work takes. Zero means that it is
+// refused at once: the node is not starting, or the call cannot be served in time.
 func startWait(age, left, work time.Duration) time.Duration {
 	if age >= startPeriod || left <= lastWorkReserve*work {
 		return 0
@@ -40,16 +41,16 @@
 	return min(time.Duration(startWaitShare*float64(left)), left-lastWorkReserve*work)
 }
 
-// startFailure is how far a failure may be owed to a start.
+// startFailure says whether a failure may be caused by a start.
 type startFailure int
 
 const (
-	// otherCause: the failure has another cause.
+	// otherCause: the failure is not caused by a start.
 	otherCause startFailure = iota
-	// noWorkerReached: the call has met no worker.
+	// noWorkerReached: the call has reached no worker.
 	noWorkerReached
-	// allFull: the few workers that are known have no room. When a whole mesh starts all
-	// nodes know the same workers first, and all calls go there.
+	// allFull: the few known workers have no free slots. When a whole mesh starts all nodes know
+	// the same workers first, and all calls go there.
 	allFull
 )
 
@@ -66,8 +67,8 @@
 	return otherCause
 }
 
-// awaitWorkers has a call that was refused wait until another try may find a worker. It
-// reports false when the refusal stands.
+// awaitWorkers makes a refused call wait until another attempt may find a worker. It reports
+// false when the refusal is final.
 func (c *call) awaitWorkers(ctx context.Context, service string, known int, err error, pauses *startPauses) bool {
 	switch startFailureOf(err) {
 	case noWorkerReached:
@@ -86,19 +87,19 @@
 	return false
 }
 
-// startPauses are the pauses of a call that waits for its node to start.
+// startPauses holds the pauses of a call that waits for its node to start.
 type startPauses struct {
 	until time.Time
 	next  time.Duration
 }
 
-// startPauses returns the pauses for a call that began now, of which the time is over then.
+// startPauses returns the pauses for a call that began at now and ends at end.
 func (p *Plane) startPauses(now, end time.Time, work time.Duration) startPauses {
 	wait := startWait(now.Sub(p.started), end.Sub(now), work)
 	return startPauses{until: now.Add(wait), next: firstStartPause}
 }
 
-// pause waits for a moment. It reports false when the call is to wait no longer.
+// pause waits until the next check. It reports false when the call must not wait any longer.
 func (s *startPauses) pause(ctx context.Context) bool {
 	left := time.Until(s.until)
 	if left <= 0 {
@@ -126,7 +127,8 @@
 	}
 }
 
-// hold has the call wait for a moment. It reports false when the call is to wait no longer.
+// hold makes the call wait until the next check. It reports false when the call must not wait any
+// longer.
 func (c *call) hold(ctx context.Context, pauses *startPauses) bool {
 	if !pauses.pause(ctx) {
 		return false
--- a/internal/forwarding/starting_test.go
+++ b/internal/forwarding/starting_test.go
@@ -9,8 +9,8 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// TestCallsThatComeWhileTheNodeStartsAreAnswered replays a loss of power of all machines:
-// callers connect as soon as their node listens, before it knows a configuration or a worker.
+// TestCallsThatComeWhileTheNodeStartsAreAnswered replays a power failure of all machines: callers
+// connect as soon as their node listens, before it knows a configuration or a worker.
 func TestCallsThatComeWhileTheNodeStartsAreAnswered(t *testing.T) {
 	const calls = 20
 	worker := startWorker(t)
@@ -41,14 +41,14 @@
 	}
 }
 
-// knows reports whether a call to the service has been looked at.
+// knows reports whether a call has looked up the service.
 func (p *Plane) knows(service string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.destinations[service] != nil
 }
 
-// TestNodeThatHasRunForLongRefusesAtOnce asks for a service without workers.
+// TestNodeThatHasRunForLongRefusesAtOnce calls a service without workers.
 func TestNodeThatHasRunForLongRefusesAtOnce(t *testing.T) {
 	front := startNode(t, "front", "other", nil)
 	configure(t, ledgerRoutes, front)
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestCallsDoNotCrowdAtTheFirstWorkers has a node know one worker, which is full, before it
+// TestCallsDoNotCrowdAtTheFirstWorkers makes a node know one worker, which is full, before it
 // learns of another one.
 func TestCallsDoNotCrowdAtTheFirstWorkers(t *testing.T) {
 	full, free := startWorker(t), startWorker(t)
--- a/internal/forwarding/steering.go
+++ b/internal/forwarding/steering.go
@@ -16,15 +16,15 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// steeringTable holds the decisions on moves of services to other versions, by service.
-// It is never changed.
+// steeringTable holds the decisions on moves of services to other versions, by service. It is
+// immutable, except for the tallies.
 type steeringTable struct {
 	decisions map[string]fleet.Rollout
 	runs      map[string]*runTallies
 }
 
-// Steer shares the requests of services among versions by the given decisions, and of no
-// others.
+// Steer replaces the decisions by which requests are distributed among versions of services.
+// Services without a decision are not steered.
 func (p *Plane) Steer(decisions []fleet.Rollout) {
 	former := p.steering.Load()
 	next := &steeringTable{decisions: map[string]fleet.Rollout{}, runs: map[string]*runTallies{}}
@@ -47,12 +47,12 @@
 		return fleet.Rollout{}, false
 	}
 	d, known := t.decisions[service]
-	// Once all is over the former workers end by themselves, and workers of a later
-	// version may come in the ordinary way.
+	// Once the move is completed, the workers of the former version end by themselves, and
+	// workers of a later version are taken without steering.
 	return d, known && d.State != canary.Completed
 }
 
-// runTallies sums up what the worker beside this node did for a service.
+// runTallies sums up the runs of the worker beside this node for a service, by route.
 type runTallies struct {
 	mu      sync.Mutex
 	byRoute map[string]canary.Tally
@@ -64,8 +64,8 @@
 	r.byRoute[route] = r.byRoute[route].Plus(did)
 }
 
-// Runs returns what the worker beside this node did for a service since Steer named its
-// order first, by route.
+// Runs returns the runs of the worker beside this node for a service since the current order was
+// first passed to Steer, by route.
 func (p *Plane) Runs(service string) []fleet.RouteRuns {
 	t := p.steering.Load()
 	if t == nil || t.runs[service] == nil {
@@ -82,7 +82,7 @@
 	return list
 }
 
-// LongestCall returns how long a call to a service may last.
+// LongestCall returns how long a call to a service may take at most.
 func (p *Plane) LongestCall(service string) time.Duration {
 	configuration := p.config.Current()
 	if configuration == nil {
@@ -91,9 +91,9 @@
 	return configuration.Table.LongestTimeout(service)
 }
 
-// countRun keeps what became of a request at the worker beside this node, while its
-// service moves to another version. What says nothing of the version is left out: a
-// request that did not run or whose caller has left, and a worker that is still cold.
+// countRun counts the result of a request at the worker beside this node, while its service moves
+// to another version. Requests that say nothing about the version are left out: a request that
+// did not run or whose caller has left, and one to a worker that is still warming up.
 func (p *Plane) countRun(service string, worker workers.Worker, r *http.Request, call *workerCall, result *answer, err error) {
 	t := p.steering.Load()
 	if _, moves := t.decision(service); !moves || !call.arrived || time.Now().Before(worker.WarmUntil) {
@@ -105,7 +105,7 @@
 	}
 	configuration := p.config.Current()
 	if configuration == nil {
-		return // the node has just started, and its worker is asked by others already
+		return // the node has just started, and other nodes already offer calls to its worker
 	}
 	route, matched := configuration.Table.Match(r.Host, r.URL.Path, r.Method)
 	if matched != routing.Matched {
@@ -124,12 +124,12 @@
 type versionChoice struct {
 	// target is the version that the service moves to; empty when it does not move.
 	target string
-	// wanted tells that the target takes the call, and strict that nothing else may:
-	// neither the target in place of the former version, nor the other way round.
+	// wanted is set when the target takes the call, and strict when nothing else may: neither the
+	// target in place of the former version, nor the other way round.
 	wanted, strict bool
 }
 
-// chooseVersion draws which version takes the next call to a service.
+// chooseVersion draws at random which version takes the next call to a service.
 func (t *steeringTable) chooseVersion(service string) versionChoice {
 	d, moves := t.decision(service)
 	if !moves {
@@ -139,8 +139,8 @@
 	return versionChoice{target: d.Target, wanted: wanted, strict: !wanted && d.Share < mostCanaryShare}
 }
 
-// mostCanaryShare is the share below which the target is on trial: it gets no more even
-// where the former version has no room.
+// mostCanaryShare is the share below which the target is on trial: it gets no more requests even
+// where the former version has no free capacity.
 const mostCanaryShare = 0.5
 
 // takes reports whether a worker of the version may take the call.
@@ -149,20 +149,20 @@
 	case c.target == "":
 		return true
 	case version == "":
-		return false // it has not said yet, and may be of the target
+		return false // the worker has not reported its version, and may run the target
 	default:
 		return (version == c.target) == c.wanted
 	}
 }
 
-// alternative returns the choice of the alternative version, if that may take the call as well.
+// alternative returns the choice of the other version, if that may take the call as well.
 func (c versionChoice) alternative() (versionChoice, bool) {
 	return versionChoice{target: c.target, wanted: !c.wanted, strict: true}, c.target != "" && !c.strict
 }
 
-// byVersion parts the nodes that serve a service while it moves. While the target is on
-// trial only a part of its workers gets anything, so that these are as busy as the others
-// are: some faults show under load only.
+// byVersion splits the nodes that serve a service while it moves by the version of their workers.
+// While the target is on trial only a part of its workers gets requests, so that these are as
+// busy as the others: some faults show under load only.
 func byVersion(nodes []*fleet.Node, d fleet.Rollout) (former, target []*fleet.Node) {
 	for _, n := range nodes {
 		worker, _ := n.Serves(d.Service)
--- a/internal/forwarding/steering_test.go
+++ b/internal/forwarding/steering_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestRunsAreCountedByRoute has a worker fail on one route only.
+// TestRunsAreCountedByRoute makes a worker fail on one route only.
 func TestRunsAreCountedByRoute(t *testing.T) {
 	front := startNode(t, "front", "ledger", startWorker(t))
 	exchangeRecords(front)
@@ -142,7 +142,8 @@
 	}
 }
 
-// TestRunsBeforeTheFirstConfiguration has a node that has none yet serve others.
+// TestRunsBeforeTheFirstConfiguration sends calls of another node to a node that has no
+// configuration yet.
 func TestRunsBeforeTheFirstConfiguration(t *testing.T) {
 	worker := startWorker(t)
 	front, back := startNode(t, "front", "desk", nil), startNode(t, "back", "ledger", worker)
@@ -155,7 +156,7 @@
 	}
 }
 
-// TestRepeatedOrderHarmsNobody orders the version that all workers have already.
+// TestRepeatedOrderHarmsNobody orders a move to the version that all workers run already.
 func TestRepeatedOrderHarmsNobody(t *testing.T) {
 	const calls = 100
 	front, former, next := twoVersions(t, 2)
--- a/internal/forwarding/suspects.go
+++ b/internal/forwarding/suspects.go
@@ -10,9 +10,10 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// A request that crashes each worker which runs it must not be offered to one after the
-// other, by any node. The node beside a worker sees it end, and tells the others of all
-// requests that the worker had in hand (package quarantine says how these are weighed).
+// A crashing request, which crashes each worker that runs it, must not be offered to one worker
+// after the other, by any node. The node beside a worker detects that it has ended, and reports
+// to the others all requests that the worker had in progress (package quarantine says how these
+// are weighed).
 
 // quarantined reports whether the request of a call is known to crash workers.
 func (c *call) quarantined() bool {
@@ -32,15 +33,15 @@
 	return level
 }
 
-// crashedElsewhere takes that the worker beside another node has ended with the call, which
-// was offered with the given level: the next offer must tell, and the other node may not
-// live to.
+// crashedElsewhere records that the worker beside another node has ended while it ran the call,
+// which was offered with the given level: the next offer must carry the higher level, and the
+// other node may fail before it reports the crash.
 func (c *call) crashedElsewhere(incarnation workers.Incarnation, level int) {
 	c.plane.config.Quarantine.Crashed(c.fingerprint(), incarnation.String(), level, time.Now())
 }
 
-// suspicion returns how many crashes speak against a request for a worker, by what is
-// known here and at the node where it began, and whether it is quarantined.
+// suspicion returns how many crashes count against a request for a worker, from what is known
+// here and what the node where it began has reported, and whether it is quarantined.
 func (p *Plane) suspicion(call *workerCall, reported int) (level int, quarantined bool) {
 	if p.config.Quarantine.Empty() {
 		return reported, false
@@ -49,14 +50,14 @@
 	return max(level, reported), quarantined
 }
 
-// crashed takes that a worker has ended with a request in hand.
+// crashed records that a worker has ended with a request in progress.
 func (p *Plane) crashed(incarnation workers.Incarnation, call *workerCall) {
 	report, _ := p.config.Quarantine.Crashed(call.fingerprint(), incarnation.String(), call.level, time.Now())
 	p.config.Evidence([]quarantine.Report{report})
 }
 
-// answeredComplete takes that a worker has answered a request: it is none that crashes
-// workers.
+// answeredComplete records that a worker has answered a request completely: the request does not
+// crash workers.
 func (p *Plane) answeredComplete(call *workerCall) {
 	if p.config.Quarantine.Empty() {
 		return
@@ -66,7 +67,7 @@
 	}
 }
 
-// isolate waits until the worker has no other suspect in hand.
+// isolate waits until the worker has no other suspect in progress.
 func (l *workerConnection) isolate(ctx context.Context, latestStart time.Time) error {
 	switch {
 	case l.crashes.Isolate(ctx, latestStart):
@@ -78,7 +79,7 @@
 	}
 }
 
-// ended reports whether the worker, of which a connection was lost, has ended.
+// ended reports whether the worker has ended after a connection to it was lost.
 func (l *workerConnection) ended(ctx context.Context) bool {
 	ended := l.crashes.Ended(ctx, l.worker.Address)
 	if ended {
--- a/internal/forwarding/suspects_test.go
+++ b/internal/forwarding/suspects_test.go
@@ -14,17 +14,17 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// noCredentials are those of a caller that does not say who it is.
+// noCredentials are the credentials of a caller that sends none.
 var noCredentials = make([]string, len(httpleg.CredentialHeaders))
 
-// end ends the worker, from within one of its requests: it listens no more, and all its
-// connections break.
+// end ends the worker from within one of its requests: it closes its listener and all its
+// connections.
 func (w *testWorker) end() {
 	_ = w.server.Listener.Close()
 	w.server.CloseClientConnections()
 }
 
-// crashing has a worker end when it runs a request whose path has the mark.
+// crashing makes a worker end when it runs a request whose path contains the mark.
 func crashing(worker *testWorker, mark string) {
 	worker.answer(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, mark) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// meshOf starts a node without a worker and some with one each.
+// meshOf starts a node without a worker and the given number of nodes with one each.
 func meshOf(t *testing.T, count int) (front *testNode, nodes []*testNode, all []*testWorker) {
 	t.Helper()
 	front = startNode(t, "front", "other", nil)
@@ -50,8 +50,8 @@
 	return front, nodes, all
 }
 
-// TestCrashesAddUpAlongTheOffersOfACall sends a call that ends each worker, where nobody
-// but the nodes on its way tells anybody: the levels go along with the offers.
+// TestCrashesAddUpAlongTheOffersOfACall sends a call that ends each worker, while nothing but the
+// offers carries information between nodes: the levels go along with the offers.
 func TestCrashesAddUpAlongTheOffersOfACall(t *testing.T) {
 	front, _, all := meshOf(t, 5)
 	for _, worker := range all {
@@ -77,11 +77,12 @@
 		t.Errorf("the reasons are %v", reasons)
 	}
 	if status, _, _ := get(t, front, "/read/innocent"); status != http.StatusOK {
-		t.Errorf("another call is told %d", status)
+		t.Errorf("another call: status %d", status)
 	}
 }
 
-// TestNodeBesideTheWorkerRefusesWhatItKnows has the node where a call begins know nothing.
+// TestNodeBesideTheWorkerRefusesWhatItKnows checks that the node beside the worker refuses a
+// quarantined request that the node where the call begins does not know.
 func TestNodeBesideTheWorkerRefusesWhatItKnows(t *testing.T) {
 	front, nodes, all := meshOf(t, 1)
 	guilty := quarantine.Request{Method: http.MethodPost, Host: "mesh.example", Target: "/file/1", Credentials: noCredentials, Body: []byte("body"), BodyLength: 4}.Fingerprint()
@@ -89,18 +90,18 @@
 		nodes[0].plane.config.Quarantine.Crashed(guilty, string(rune('x'+n)), n, time.Now())
 	}
 	if status, _, _ := post(t, front, "/file/1", "body"); status != http.StatusBadRequest {
-		t.Errorf("the call is told %d", status)
+		t.Errorf("the call: status %d", status)
 	}
 	if status, _, _ := post(t, front, "/file/1", "another body"); status != http.StatusOK {
-		t.Errorf("a call with another body is told %d", status)
+		t.Errorf("a call with another body: status %d", status)
 	}
 	if runs := all[0].calls.Load(); runs != 1 {
 		t.Errorf("%d calls reached the worker", runs)
 	}
 }
 
-// TestOtherCredentialsAreAnotherRequest has a request of one caller be quarantined: the same
-// of another one is not.
+// TestOtherCredentialsAreAnotherRequest quarantines a request of one caller: the same request of
+// another caller is not affected.
 func TestOtherCredentialsAreAnotherRequest(t *testing.T) {
 	front, nodes, _ := meshOf(t, 1)
 	credentials := []string{"Bearer one", ""}
@@ -112,18 +113,19 @@
 		request := callerRequest(t, front, http.MethodGet, "/read/1", nil)
 		request.Header.Set("Authorization", credential)
 		if status, _, _ := ask(t, request); status != want {
-			t.Errorf("%q is told %d, want %d", credential, status, want)
+			t.Errorf("%q: status %d, want %d", credential, status, want)
 		}
 	}
 }
 
-// TestLostAnswersMakeNoRequestSuspect has a worker break off answers and run on.
+// TestLostAnswersMakeNoRequestSuspect makes a worker break off its answers while it continues to
+// run.
 func TestLostAnswersMakeNoRequestSuspect(t *testing.T) {
 	front, nodes, all := meshOf(t, 1)
 	all[0].answer(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for range 5 {
 		if status, _, _ := post(t, front, "/file/1", "body"); status != http.StatusBadGateway {
-			t.Errorf("told %d", status)
+			t.Errorf("status %d", status)
 		}
 	}
 	for _, node := range []*testNode{front, nodes[0]} {
@@ -133,8 +135,8 @@
 	}
 }
 
-// TestCompleteAnswerClearsASuspect has a request be in hand where a worker ends, and be
-// answered afterwards.
+// TestCompleteAnswerClearsASuspect runs a request that was in progress when other workers ended,
+// and is now answered.
 func TestCompleteAnswerClearsASuspect(t *testing.T) {
 	_, nodes, _ := meshOf(t, 1)
 	suspect := quarantine.Request{Method: http.MethodGet, Host: "mesh.example", Target: "/read/1", Credentials: noCredentials}.Fingerprint()
@@ -143,14 +145,14 @@
 		table.Crashed(suspect, string(rune('x'+n)), n, time.Now())
 	}
 	if status, _, _ := get(t, nodes[0], "/read/1"); status != http.StatusOK {
-		t.Fatalf("told %d", status)
+		t.Fatalf("status %d", status)
 	}
 	if level, _ := table.Level(suspect, time.Now()); level != 0 {
-		t.Errorf("level %d after a whole answer", level)
+		t.Errorf("level %d after a complete answer", level)
 	}
 }
 
-// TestSuspectsRunOneAtATime sends several suspects to one worker, and others beside them.
+// TestSuspectsRunOneAtATime sends several suspects to one worker, and other calls beside them.
 func TestSuspectsRunOneAtATime(t *testing.T) {
 	front, nodes, all := meshOf(t, 1)
 	var suspects, most atomic.Int64
@@ -171,12 +173,12 @@
 		nodes[0].plane.config.Quarantine.Crashed(f, "another", 0, time.Now())
 		calls.Go(func() {
 			if status, _, _ := get(t, front, path); status != http.StatusOK {
-				t.Errorf("a suspect is told %d", status)
+				t.Errorf("a suspect: status %d", status)
 			}
 		})
 		calls.Go(func() {
 			if status, _, _ := get(t, front, "/read/other"); status != http.StatusOK {
-				t.Errorf("another call is told %d", status)
+				t.Errorf("another call: status %d", status)
 			}
 		})
 	}
@@ -186,7 +188,8 @@
 	}
 }
 
-// TestHopOfAnOlderNodeIsRead reads a hop that tells nothing of crashes.
+// TestHopOfAnOlderNodeIsRead parses a hop without the number of crashes, and hops with the fields
+// of newer nodes.
 func TestHopOfAnOlderNodeIsRead(t *testing.T) {
 	sent := hop{service: "s", incarnation: workers.Incarnation{Instance: "i"}, caller: "c", rank: 2, waitLimit: time.Second, left: 2 * time.Second, level: 1}
 	read, ok := parseHop(sent.encode())
@@ -201,23 +204,23 @@
 	}
 	sent.level, sent.incarnation.StartedAt = 1, 1790722800123
 	if withStart, ok := parseHop(sent.encode()); !ok || withStart != sent {
-		t.Errorf("with a birth: %+v, %v", withStart, ok)
+		t.Errorf("with a start time: %+v, %v", withStart, ok)
 	}
 	if _, ok := parseHop(sent.encode() + hopSeparator + "1"); ok {
-		t.Error("a hop with too many fields is taken")
+		t.Error("a hop with too many fields is accepted")
 	}
 	sent.work, sent.due = 40*time.Millisecond, time.Second
 	if whole, ok := parseHop(sent.encode()); !ok || whole != sent {
 		t.Errorf("with the work: %+v, %v", whole, ok)
 	}
 	if _, ok := parseHop(sent.encode() + hopSeparator + "x"); ok {
-		t.Error("a hop with a slowness that is no number is taken")
+		t.Error("a hop with a slowness that is no number is accepted")
 	}
 	sent.slowest = 1.37
 	if whole, ok := parseHop(sent.encode()); !ok || whole != sent {
 		t.Errorf("with the slowness: %+v, %v", whole, ok)
 	}
 	if _, ok := parseHop(sent.encode() + hopSeparator + "1"); ok {
-		t.Error("a hop with a field beyond the slowness is taken")
+		t.Error("a hop with a field beyond the slowness is accepted")
 	}
 }
--- a/internal/forwarding/suspended_test.go
+++ b/internal/forwarding/suspended_test.go
@@ -10,9 +10,9 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// TestWorkersGetNoTimeThatCallersLack suspends the machine of the worker while a call waits
-// there for a slot: the steady clock stands still, the caller's time does not. Without it
-// the worker was given the whole time of the call, 2.5 s more than its caller had.
+// TestWorkersGetNoTimeThatCallersLack suspends the machine of the worker or of the caller's node:
+// the monotonic clock stands still, the caller's time does not. Without the correction the worker
+// was given the whole time of the call, 2.5 s more than its caller had.
 func TestWorkersGetNoTimeThatCallersLack(t *testing.T) {
 	const suspension = 2500 * time.Millisecond
 	for name, suspended := range map[string]func(front, beside *testNode) *testNode{
@@ -29,9 +29,9 @@
 			})
 			suspended(front, nodes[0]).suspended.Store(int64(suspension))
 			if status, _, _ := get(t, front, "/read/1"); status != http.StatusOK {
-				t.Fatalf("told %d", status)
+				t.Fatalf("status %d", status)
 			}
-			// The caller has given 4 s.
+			// The timeout of the caller is 4 s.
 			if most := 4000 - suspension.Milliseconds(); given.Load() > most {
 				t.Errorf("the worker was given %d ms, the caller had %d", given.Load(), most)
 			}
@@ -39,14 +39,14 @@
 	}
 }
 
-// TestCallWhoseTimeWasSuspendedAwayIsNotBegun suspends a machine for longer than the caller
-// of a call waits.
+// TestCallWhoseTimeWasSuspendedAwayIsNotBegun suspends a machine for longer than the caller of a
+// call waits.
 func TestCallWhoseTimeWasSuspendedAwayIsNotBegun(t *testing.T) {
 	front, nodes, all := meshOf(t, 1)
 	for _, node := range []*testNode{front, nodes[0]} {
 		node.suspended.Store(int64(5 * time.Second))
 		if status, _, _ := post(t, front, "/file/1", "body"); status != http.StatusServiceUnavailable {
-			t.Errorf("told %d", status)
+			t.Errorf("status %d", status)
 		}
 		if reason := (<-front.reports).Reason; reason != outcome.DeadlineBeforeStart {
 			t.Errorf("the reason is %s", reason)
--- a/internal/forwarding/returning.go
+++ b/internal/forwarding/timeouts.go
@@ -1,23 +1,23 @@
 package forwarding
 
-// commonTimeouts finds the timeouts that callers of a route usually give. A caller
-// that was refused and comes back has less time left, and mostly an amount that no
-// other has.
+// commonTimeouts finds the timeouts that callers of a route usually send. A caller that was
+// refused and retries has less time left, and mostly an amount that no other caller has.
 type commonTimeouts struct {
 	counters [timeoutCounters]timeoutCounter
 }
 
 const (
-	// timeoutCounters bounds the timeouts that are counted at a time: each that
-	// more than one in timeoutCounters+1 of the callers gives is found.
+	// timeoutCounters bounds the timeouts that are counted at a time: each timeout that more than
+	// one in timeoutCounters+1 of the callers sends is found.
 	timeoutCounters = 4
-	// commonCount is how often a timeout must have been seen to be common in any case,
-	// and largestCount bounds how long one is remembered that nobody gives any more.
+	// commonCount is how often a timeout must have been observed to be common in any case, and
+	// largestCount limits how long one is remembered that no caller sends any more.
 	commonCount  = 8
 	largestCount = 200
-	// commonFactor is how many times as often as another one a timeout must have been
-	// seen, below commonCount, to be the usual one beside it. Nodes that get one call of a route in
-	// two seconds, as one of a thousand does, would else know no usual timeout for 16 s.
+	// commonFactor is how many times as often as another timeout one must have been observed,
+	// below commonCount, to be the usual one beside it. Otherwise nodes that get one call of a
+	// route in two seconds, as one of a thousand nodes does, would know no usual timeout for 16
+	// s.
 	commonFactor = 2
 )
 
@@ -26,8 +26,8 @@
 	count        int
 }
 
-// observe counts a timeout and reports whether a caller that gives it comes back:
-// it is rare, and shorter than a common one.
+// observe counts a timeout and reports whether a caller that sends it is retrying: the timeout is
+// rare, and shorter than a common one.
 func (c *commonTimeouts) observe(milliseconds int64) bool {
 	free := -1
 	for i := range c.counters {
@@ -50,7 +50,8 @@
 	return c.belowCommon(milliseconds, 1)
 }
 
-// belowCommon reports whether a longer timeout is common, beside one that was seen so often.
+// belowCommon reports whether a longer timeout is common, compared with one that was observed so
+// often.
 func (c *commonTimeouts) belowCommon(milliseconds int64, seen int) bool {
 	usual := min(commonCount, commonFactor*seen)
 	for _, each := range c.counters {
--- a/internal/forwarding/returning_test.go
+++ b/internal/forwarding/timeouts_test.go
@@ -28,14 +28,14 @@
 	wrong := 0
 	for i := range 200 {
 		if c.observe(5000) {
-			t.Fatal("the longest timeout was taken for a return")
+			t.Fatal("the longest timeout was taken for a retry")
 		}
 		if i%3 == 0 && c.observe(2000) {
 			wrong++
 		}
 	}
 	if wrong > commonCount {
-		t.Errorf("%d callers with a common timeout were taken for returning ones", wrong)
+		t.Errorf("%d callers with a common timeout were taken for retrying ones", wrong)
 	}
 }
 
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestRetriesAreRecognizedWhereCallsAreFew has a node see two calls of a route, and then a
-// caller that comes back: one of a thousand nodes gets few calls.
+// TestRetriesAreRecognizedWhereCallsAreFew sends a node two calls of a route, and then one of a
+// retrying caller: one of a thousand nodes gets few calls.
 func TestRetriesAreRecognizedWhereCallsAreFew(t *testing.T) {
 	var c commonTimeouts
 	for i, item := range []struct {
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestLastAttemptWaitsWhileAnAnswerCanBeInTime compares how long a call may
-// wait for a slot at its first try and when its caller has been refused before.
+// TestLastAttemptWaitsWhileAnAnswerCanBeInTime compares how long a call may wait for a slot on
+// its first attempt and when its caller has been refused before.
 func TestLastAttemptWaitsWhileAnAnswerCanBeInTime(t *testing.T) {
 	const target = 400 * time.Millisecond
 	began := time.Now()
@@ -79,10 +79,10 @@
 		left, work time.Duration
 		want       time.Duration
 	}{
-		{"first try", false, 1200 * time.Millisecond, 100 * time.Millisecond, 160 * time.Millisecond},
-		{"comes back", true, 800 * time.Millisecond, 100 * time.Millisecond, 360 * time.Millisecond},
-		{"with long work", true, 800 * time.Millisecond, 250 * time.Millisecond, 300 * time.Millisecond},
-		{"comes back with time for another try", true, 1000 * time.Millisecond, 100 * time.Millisecond, 160 * time.Millisecond},
+		{"first attempt", false, 1200 * time.Millisecond, 100 * time.Millisecond, 160 * time.Millisecond},
+		{"retry", true, 800 * time.Millisecond, 100 * time.Millisecond, 360 * time.Millisecond},
+		{"retry with long work", true, 800 * time.Millisecond, 250 * time.Millisecond, 300 * time.Millisecond},
+		{"retry with time for another attempt", true, 1000 * time.Millisecond, 100 * time.Millisecond, 160 * time.Millisecond},
 		{"too late for more", true, 200 * time.Millisecond, 90 * time.Millisecond, 110 * time.Millisecond},
 		{"too late for an answer", false, 80 * time.Millisecond, 90 * time.Millisecond, 0},
 	} {
--- a/internal/forwarding/transfer_test.go
+++ b/internal/forwarding/transfer_test.go
@@ -14,7 +14,7 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// uploads sends uploads side by side and returns how many were answered by the worker.
+// uploads sends uploads concurrently and returns the number of those answered by the worker.
 func uploads(t *testing.T, node *testNode, count, size int) *atomic.Int64 {
 	t.Helper()
 	var served atomic.Int64
@@ -35,8 +35,8 @@
 	return &served
 }
 
-// TestLongBodiesTakeTurnsOnTheLink holds all turns of a node's link: uploads are
-// refused or wait although the worker is idle, and short calls go on.
+// TestLongBodiesTakeTurnsOnTheLink occupies a node's link with transfers: uploads are refused or
+// wait although the worker is idle, and short calls go on.
 func TestLongBodiesTakeTurnsOnTheLink(t *testing.T) {
 	front, back, worker := twoNodes(t)
 	var held []slotqueue.Permit
@@ -61,7 +61,8 @@
 	testwait.Eventually(t, "the upload is served", func() bool { return served.Load() == 1 })
 }
 
-// TestBusyLinkIsReported has a node tell how long an upload would wait.
+// TestBusyLinkIsReported checks that a node reports how long an upload would wait, and that the
+// report counts in the score.
 func TestBusyLinkIsReported(t *testing.T) {
 	text := formatLoad(slotqueue.Load{Running: 1, Slots: 4, Hold: time.Second, Transfer: 70 * time.Millisecond}, time.Millisecond)
 	load, _, ok := parseLoad(text)
@@ -76,7 +77,7 @@
 	}
 }
 
-// slowWrites is a connection that takes a little at a time.
+// slowWrites is a connection that writes a little at a time.
 type slowWrites struct{ net.Conn }
 
 func (c slowWrites) Write(p []byte) (int, error) {
@@ -94,8 +95,8 @@
 	return written, nil
 }
 
-// TestUploadThatCrossesTooSlowlyHasNotRun has a body cross a link that is too slow
-// for the target of its route: the caller is told that it has not run, and it has not.
+// TestUploadThatCrossesTooSlowlyHasNotRun sends a body over a link that is too slow for the
+// target of its route: the failure reports that the call has not run, and it has not.
 func TestUploadThatCrossesTooSlowlyHasNotRun(t *testing.T) {
 	front, _, worker := twoNodes(t)
 	dial := front.plane.peers.DialContext
@@ -116,7 +117,7 @@
 	}
 }
 
-// TestRefusedLongBodyIsCounted holds all turns of the only worker's link for longer than an
+// TestRefusedLongBodyIsCounted occupies the link of the only worker's node for longer than an
 // upload may wait.
 func TestRefusedLongBodyIsCounted(t *testing.T) {
 	front, back, worker := twoNodes(t)
--- a/internal/forwarding/two_services_test.go
+++ b/internal/forwarding/two_services_test.go
@@ -9,26 +9,26 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// twoServices is a load on a service whose requests make calls to a second one, while all
-// workers of both turn away a part of what comes.
+// twoServices is a load on a service whose requests make nested calls to a second one, while all
+// workers of both refuse a part of the requests.
 type twoServices struct {
 	random *rand.Rand
 	now    time.Time
 	nodes  int
-	// first and second are the budgets of each node for the two services.
+	// first and second are the retry budgets of each node for the two services.
 	first, second []*retry.WindowBudget
-	// turnedAway is the share that workers turn away, countRepeats whether calls of
-	// repeated runs are paid for.
+	// turnedAway is the share of requests that workers refuse, countRepeats whether nested calls
+	// of repeated runs are charged to the budget.
 	turnedAway   float64
 	countRepeats bool
-	// requests and repeats are those of the second service.
+	// requests and repeats count those at the second service.
 	requests, repeats float64
 }
 
 const (
 	twoServicesRatio = 0.2
 	twoServicesSlack = 206.0
-	// usedShare is the share of the budget that nodes use of their parts.
+	// usedShare is the share of its part of the budget that a node uses.
 	usedShare = 0.75
 )
 
@@ -47,7 +47,7 @@
 	return s
 }
 
-// lookup plays one call to the second service, which begins at the node of the run. It
+// lookup simulates one call to the second service, which begins at the node of the run. It
 // reports whether it was served.
 func (s *twoServices) lookup(node int, repeat bool) bool {
 	budget := s.second[node]
@@ -69,7 +69,7 @@
 	}
 }
 
-// request plays one request to the first service.
+// request simulates one request to the first service.
 func (s *twoServices) request() {
 	budget := s.first[s.random.IntN(s.nodes)]
 	budget.AddFirstAttempt(s.now)
@@ -83,7 +83,7 @@
 	}
 }
 
-// run plays a run at a worker: two calls, in half of the runs.
+// run simulates a run at a worker: half of the runs make two calls.
 func (s *twoServices) run(repeat bool) bool {
 	if s.random.IntN(2) == 0 {
 		return true
@@ -94,7 +94,8 @@
 	return first && second
 }
 
-// play returns the repeats at the second service in the last window, as a share of what is allowed.
+// play returns the repeats at the second service in the last window, as a share of the allowed
+// number.
 func (s *twoServices) play() float64 {
 	const rate, step = 2000, 50 * time.Millisecond
 	for t := time.Duration(0); t < 30*time.Second; t += step {
@@ -109,7 +110,8 @@
 	return s.repeats / (twoServicesRatio*s.requests + twoServicesSlack)
 }
 
-// TestBudgetHoldsOverTwoServices has the requests of one service make calls to another one.
+// TestBudgetHoldsOverTwoServices checks the limit on repeats at a service that is called by the
+// requests of another one.
 func TestBudgetHoldsOverTwoServices(t *testing.T) {
 	for _, nodes := range []int{12, 83, 985} {
 		for _, turnedAway := range []float64{0.3, 0.5, 0.7} {
