--- a/internal/forwarding/uneven_test.go
+++ b/internal/forwarding/uneven_test.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// The load of TestUnevenWorkers: many nodes send requests to workers of two speeds, each of
-// which is now and then slower for a while than it was when a node last heard of it.
+// The load of TestUnevenWorkers: many nodes send requests to workers of two speeds, each of which
+// is now and then slower for a while than a node last knew.
 const (
 	unevenNodes   = 40
 	unevenWorkers = 24
@@ -27,7 +27,7 @@
 	slowPeriod       = 600 * time.Millisecond
 	slowPeriodShare  = 0.15
 	slowPeriodFactor = 2.5
-	// unevenSpread, and the share and factor of long requests, tell how requests of the
+	// unevenSpread, and the share and factor of long requests, describe how much requests of the
 	// route differ.
 	unevenSpread = 0.8
 	longShare    = 0.03
@@ -39,7 +39,7 @@
 	usual, slowness float64
 	running         int
 	waiting         []*unevenRequest
-	// reported is what its node knows.
+	// reported is the slowness that its node knows.
 	reported decayingMean
 }
 
@@ -51,7 +51,7 @@
 	choice      choice
 }
 
-// uneven plays the load in simulated time, by the choice of the product.
+// uneven simulates the load in simulated time, with the product's choice of workers.
 type uneven struct {
 	random   *rand.Rand
 	now      time.Time
@@ -91,7 +91,7 @@
 	return u
 }
 
-// capacity is how many requests a second all workers serve.
+// capacity returns how many requests per second all workers serve.
 func (u *uneven) capacity() float64 {
 	var sum float64
 	for _, w := range u.workers {
@@ -104,7 +104,7 @@
 	heap.Push(&u.events, unevenEvent{at: u.now.Add(d), do: do})
 }
 
-// run plays the load, and returns the share of requests that were answered in time.
+// run simulates the load, and returns the share of requests that were answered in time.
 func (u *uneven) run() float64 {
 	end := u.now.Add(unevenTime)
 	mean := float64(time.Second) / (unevenLoad * u.capacity())
@@ -141,7 +141,7 @@
 	u.after(slowPeriod, func() { u.changeSpeed(w) })
 }
 
-// place offers a request until a worker's node takes it.
+// place offers a request until a worker's node accepts it.
 func (u *uneven) place(r *unevenRequest) {
 	if u.optimal {
 		u.take(r, u.fastest())
@@ -172,7 +172,7 @@
 	}
 }
 
-// fastest returns the worker with the least delay, by what no node can know.
+// fastest returns the worker with the least delay, from information that no node has.
 func (u *uneven) fastest() *unevenWorker {
 	best, least := u.workers[0], math.Inf(1)
 	for _, w := range u.workers {
@@ -233,7 +233,7 @@
 	u.nodes[r.node].done(r.choice, result{load: load, hasLoad: true, relative: relative}, u.now)
 }
 
-// load is what a worker's node tells.
+// load returns the load that a worker's node reports.
 func (u *uneven) load(w *unevenWorker) slotqueue.Load {
 	return slotqueue.Load{Running: w.running, Waiting: len(w.waiting), Slots: unevenSlots, Hold: time.Duration(w.usual * float64(u.hold)), Slowness: w.reported.at(u.now)}
 }
@@ -256,9 +256,10 @@
 	return last
 }
 
-// TestUnevenWorkers has 40 nodes fill 24 workers to three quarters, a quarter of which take
-// 0.55 of the usual time and the others 1.2 times that, and each 2.5 times its own for
-// 600 ms at a time, 0.15 of the time. The best possible is the choice by what no node can know.
+// TestUnevenWorkers loads 24 workers to three quarters from 40 nodes; a quarter of the workers
+// take 0.55 of the usual time and the others 1.2 times that, and each takes 2.5 times its own for
+// 600 ms at a time, 0.15 of the time. The best possible result is that of the choice with
+// information that no node has.
 func TestUnevenWorkers(t *testing.T) {
 	var withoutReports, withReports, declining, best float64
 	const seeds = 2
@@ -278,11 +279,11 @@
 		share, _ = play(func(u *uneven) { u.optimal = true })
 		best += share
 	}
-	t.Logf("in time: %.4f where workers tell nothing, %.4f where they do, %.4f with declines, best possible %.4f", withoutReports, withReports, declining, best)
+	t.Logf("in time: %.4f where workers report nothing, %.4f where they do, %.4f with declines, best possible %.4f", withoutReports, withReports, declining, best)
 	if withReports <= withoutReports || declining <= withReports {
-		t.Error("what workers tell, or declining, is of no use")
+		t.Error("the reports of workers, or declining, bring no gain")
 	}
-	// Half of what the best possible would gain.
+	// The choice must gain half of what the best possible one would.
 	if declining-withoutReports < (best-withoutReports)/2 {
 		t.Errorf("%.4f gained of %.4f", declining-withoutReports, best-withoutReports)
 	}
--- a/internal/forwarding/silent_test.go
+++ b/internal/forwarding/unresponsive_test.go
@@ -7,8 +7,8 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// TestEndpointThatAnswersNothingIsLeftAlone has one of two endpoints hold a request for
-// long: others go to the second one until the first has answered.
+// TestEndpointThatAnswersNothingIsLeftAlone makes one of two endpoints hold a request for long:
+// others go to the second one until the first has answered.
 func TestEndpointThatAnswersNothingIsLeftAlone(t *testing.T) {
 	const work = 100 * time.Millisecond
 	now := time.Unix(1000, 0)
--- a/internal/forwarding/patience.go
+++ b/internal/forwarding/waitlimit.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// latestStart is until when the call may wait for a slot.
+// latestStart returns until when the call may wait for a slot.
 func (c *call) latestStart() time.Time {
 	from := c.offeredFrom()
 	if c.nested {
@@ -15,7 +15,7 @@
 	return latest
 }
 
-// offeredFrom is since when the call could be offered to workers.
+// offeredFrom returns since when the call could be offered to workers.
 func (c *call) offeredFrom() time.Time {
 	if c.heldUntil.IsZero() {
 		return c.began
@@ -23,10 +23,10 @@
 	return c.heldUntil
 }
 
-// waitLimit is how long the call may wait for a slot: never so long that no time would be
-// left for the work. A caller that comes back with too little time for a further try waits
-// for as long as this one can still be answered in time. With more time left it is refused
-// sooner: what waits long holds up others, and a later try may find a slot at once.
+// waitLimit returns how long the call may wait for a slot: never so long that no time would be
+// left for the work. A retried call with too little time for a further attempt waits for as long
+// as this attempt can still be answered in time. With more time left it is refused sooner: a call
+// that waits long holds up others, and a later attempt may find a slot at once.
 func (c *call) waitLimit() time.Duration {
 	work, _ := c.state.expected()
 	left := c.end.Sub(c.offeredFrom())
@@ -37,9 +37,10 @@
 	return max(first, min(time.Duration(lastAttemptWaitShare*float64(left)), left-lastWorkReserve*work))
 }
 
-// usefulWait is how long a call may wait and still be answered within the target, if it takes
-// no more than lastWorkReserve times the usual work. It is a share of the target at least,
-// since most calls take less, and another at most, since what waits longer holds up others.
+// usefulWait returns how long a call may wait and still be answered within the target, if it
+// takes no more than lastWorkReserve times the usual work. It is at least leastWaitShare of the
+// target, since most calls take less, and at most mostWaitShare, since a call that waits longer
+// holds up others.
 func (c *call) usefulWait(work time.Duration) time.Duration {
 	target := c.target()
 	least := time.Duration(leastWaitShare * float64(target))
@@ -47,9 +48,9 @@
 	return min(max(target-lastWorkReserve*work, least), most)
 }
 
-// rank orders the call where calls wait for a slot. Of the same operators' rank, a
-// caller that comes back is behind one that comes for the first time: what it can
-// still earn is less, and serving it instead would only refuse the other.
+// rank returns the rank of the call where calls wait for a slot. Among calls of the same
+// configured rank, a retried one is behind a first attempt: it has less value left to gain, and
+// serving it instead would only refuse the other.
 func (c *call) rank() int {
 	if c.checked {
 		return c.authenticatedRank()
@@ -60,7 +61,7 @@
 	return rankOf(c.route.Config.Rank, c.route.Config.Rank, c.step())
 }
 
-// claim returns what the call has a claim to where it may wait until the given time.
+// claim returns the claim of a call that may wait until the given time.
 func (c *call) claim(latestStart time.Time) claim {
 	return claim{
 		tenant: c.principal().tenant, rank: c.rank(), work: c.state.workSeen(),
@@ -68,7 +69,7 @@
 	}
 }
 
-// target is the time within which an answer is worth most.
+// target returns the time within which an answer has its full value.
 func (c *call) target() time.Duration {
 	if target := c.route.Config.TargetLatency; target > 0 {
 		return target
--- a/internal/forwarding/weights_test.go
+++ b/internal/forwarding/weights_test.go
@@ -7,8 +7,8 @@
 	"github.com/levertide/levertide/pkg/routing"
 )
 
-// TestManyNodesKeepTheWeightsFromTheFirstRequestOn has each of many nodes give a few
-// requests of a route that was just divided to its parts.
+// TestManyNodesKeepTheWeightsFromTheFirstRequestOn makes each of many nodes distribute a few
+// requests of a route whose backends have just been changed.
 func TestManyNodesKeepTheWeightsFromTheFirstRequestOn(t *testing.T) {
 	const nodes = 1600
 	for _, weights := range [][]int{{60, 40}, {90, 10}, {1, 1, 1}} {
--- a/internal/forwarding/work_test.go
+++ b/internal/forwarding/work_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestClaimOnALink leaves the time for the work out of what a body has to cross.
+// TestClaimOnALink checks that the time for the work is subtracted from the time to transfer a
+// body.
 func TestClaimOnALink(t *testing.T) {
 	now := time.Now()
 	c := claim{rank: 1, work: time.Second, due: now.Add(3 * time.Second), latestStart: now.Add(time.Second)}
@@ -18,8 +19,8 @@
 	}
 }
 
-// TestWorkOfAHop checks what the expected work and the time until the answer is due are on
-// the other side, and that what cannot be read leaves a hop as it is.
+// TestWorkOfAHop checks the expected work and the time until the answer is due on the receiving
+// side, and that invalid text leaves a hop unchanged.
 func TestWorkOfAHop(t *testing.T) {
 	const work, due = 45 * time.Millisecond, 200 * time.Millisecond
 	came := time.Now()
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -18,25 +18,27 @@
 )
 
 const (
-	// workerIdle is how long an unused connection to a worker is kept when the
-	// worker does not say, and keepAliveMargin how much earlier than it says one
-	// is given up: a request must not meet a connection that is just closing.
+	// workerIdle is how long an unused connection to a worker is kept when the worker does not
+	// state its keep-alive time, and keepAliveMargin how much earlier than the stated time one is
+	// closed: a request must not be sent on a connection that is just being closed.
 	workerIdle      = 4 * time.Second
 	keepAliveMargin = time.Second
-	// shortestWorkerIdle bounds what a worker's word can do.
+	// shortestWorkerIdle is the shortest time for which an unused connection is kept, whatever
+	// the worker states.
 	shortestWorkerIdle = 100 * time.Millisecond
-	// unreachablePause is how long a worker that takes no connection is left alone.
+	// unreachablePause is how long a worker that accepts no connection gets no calls.
 	unreachablePause = 250 * time.Millisecond
-	// shortestTime is the least time worth giving to a worker.
+	// shortestTime is the shortest remaining time with which a call is still sent to a worker.
 	shortestTime = 2 * time.Millisecond
-	// connectionsPerSlot bounds the connections to a worker, unused ones and those that are
-	// being opened included: a worker resets those beyond what it accepts, with the
-	// requests on them. One for each slot is in use, the others let a request that ends
-	// and one that begins overlap.
+	// connectionsPerSlot bounds the connections to a worker per slot, including unused ones and
+	// those that are being opened: a worker resets connections beyond what it accepts, with the
+	// requests on them. One for each slot is in use, the others allow a request that ends and one
+	// that begins to overlap.
 	connectionsPerSlot = 2
 )
 
-// workerConnection is the way from this node to one life of a worker beside it.
+// workerConnection sends calls from this node to one incarnation of a worker beside it, and
+// admits them to its slots.
 type workerConnection struct {
 	dialect *Dialect
 	queue   *slotqueue.Queue
@@ -44,33 +46,33 @@
 	failures failureShare
 	// makeTransport returns a transport to the worker.
 	makeTransport func(idle time.Duration, slots int) *http.Transport
-	// unshared carries long bodies, each over a connection that is not used again: a
-	// worker may answer before it has read the body and read on much later, and a
-	// request that followed on the connection would wait behind it. The worker is not
-	// told, since one that is may drop the connection with its answer on the way.
+	// unshared sends long bodies, each over a connection that is not used again: a worker may
+	// answer before it has read the body and continue to read much later, and a request that
+	// followed on the connection would wait behind it. The worker is not sent "Connection:
+	// close", since it might then close the connection while its answer is still in transit.
 	unshared *http.Transport
 
 	mutex     sync.Mutex
 	worker    workers.Worker
 	transport *http.Transport
 	idle      time.Duration
-	// reportedSlowness is the slowness that the worker tells in its answers.
+	// reportedSlowness is the slowness that the worker reports in its answers.
 	reportedSlowness decayingMean
-	// inheritedRequests is how many requests the worker is known to have from a former life of the
-	// node. They take slots: some workers that are given more than they can hold stop
-	// answering.
+	// inheritedRequests is how many requests the worker is known to run for a previous
+	// incarnation of the node. They occupy slots: some workers that are given more than they can
+	// hold stop answering.
 	inheritedRequests int
 	// slots is how many slots the worker has.
 	slots int
-	// pausedUntil, in nanoseconds, is until when the worker is left alone after
-	// it took no connection.
+	// pausedUntil, in Unix nanoseconds, is until when the worker gets no calls after it accepted
+	// no connection.
 	pausedUntil atomic.Int64
-	// startedAt is when the life of the worker began, as far as it is known.
+	// startedAt is when the worker's incarnation started, as far as it is known.
 	startedAt atomic.Int64
-	// replaced is set when another worker answered at the address.
+	// replaced is set when another worker has answered at the address.
 	replaced atomic.Bool
 
-	// crashes tells the end of the worker from the loss of one connection.
+	// crashes distinguishes the end of the worker from the loss of one connection.
 	crashes *crashwatch.Watch
 	plane   *Plane
 }
@@ -95,8 +97,8 @@
 	return connection
 }
 
-// isOf reports whether the way is to a life of the worker. One that did not know when its
-// life began learns it.
+// isOf reports whether the connection is to the given incarnation of the worker. If its start
+// time was not known before, it is recorded.
 func (l *workerConnection) isOf(incarnation workers.Incarnation) bool {
 	if !l.incarnation().Same(incarnation) {
 		return false
@@ -107,7 +109,7 @@
 	return true
 }
 
-// incarnation returns the name of the incarnation that the way is to.
+// incarnation returns the worker incarnation that the connection is to.
 func (l *workerConnection) incarnation() workers.Incarnation {
 	return workers.Incarnation{Instance: l.worker.Instance, StartedAt: l.startedAt.Load()}
 }
@@ -118,15 +120,15 @@
 	body    *requestBody
 	caller  string
 	claim   claim
-	// began is when the request came to this node, end when the call's time is over.
+	// began is when the request arrived at this node, end the deadline of the call.
 	began, end time.Time
-	// principal is whose the request is.
+	// principal is the authenticated owner of the request.
 	principal principal
-	// level is how many crashes of workers the request is known to have caused.
+	// level is how many worker crashes the request is known to have caused.
 	level int
-	// repeat tells that a worker had the request before.
+	// repeat is set when a worker received the request before.
 	repeat bool
-	// identified is the fingerprint of the request, once it was needed.
+	// identified caches the fingerprint of the request.
 	identified identity
 	// arrived is set once the request may have reached the worker.
 	arrived bool
@@ -134,8 +136,8 @@
 	waited, ran time.Duration
 }
 
-// check returns the failure of a request that would be refused now; nil for one
-// that would be admitted or could wait.
+// check returns the failure of a request that would be refused now; nil for one that would be
+// admitted or could wait.
 func (l *workerConnection) check(ctx context.Context, wanted claim) error {
 	if l.paused() {
 		return outcome.New(outcome.NoWorker)
@@ -192,7 +194,7 @@
 	return result, nil
 }
 
-// releaseAfter gives the slot of a call back once its answer was read whole, or broke off.
+// releaseAfter releases the slot of a call once its answer was read completely, or broke off.
 func (l *workerConnection) releaseAfter(result *answer, call *workerCall, permit slotqueue.Permit, failed bool) {
 	if result.rest == nil {
 		l.plane.answeredComplete(call)
@@ -220,7 +222,8 @@
 	}
 }
 
-// send hands an admitted request to the worker and sorts out answers that are none.
+// send sends an admitted request to the worker and turns invalid answers and refusals into
+// failures.
 func (l *workerConnection) send(ctx context.Context, call *workerCall) (*answer, error) {
 	transport := l.current()
 	if call.body.long() {
@@ -238,7 +241,7 @@
 	call.arrived = true
 	l.followKeepAlive(response.Header)
 	if sent := call.inbound.Header.Get(l.dialect.RequestID); sent != response.Header.Get(l.dialect.RequestID) {
-		// A surplus answer of a former request, or none that can be told apart.
+		// The answer belongs to an earlier request, or cannot be assigned to any.
 		_ = response.Body.Close()
 		return nil, outcome.New(outcome.InvalidAnswer)
 	}
@@ -271,7 +274,7 @@
 	return l.transport
 }
 
-// observeLoad takes what the worker tells of itself in an answer.
+// observeLoad records the load that the worker reports in an answer.
 func (l *workerConnection) observeLoad(header http.Header) {
 	reported, ok := l.dialect.workerLoad(header)
 	if !ok {
@@ -299,8 +302,8 @@
 	l.queue.SetSlots(slots - l.inheritedRequests)
 }
 
-// renew has further requests use a new transport. Requests under way keep theirs. The mutex
-// is held.
+// renew makes further requests use a new transport. Requests in progress keep theirs. The mutex
+// must be held.
 func (l *workerConnection) renew(idle time.Duration, slots int) {
 	former := l.transport
 	l.idle, l.slots = idle, slots
@@ -308,15 +311,14 @@
 	former.CloseIdleConnections()
 }
 
-// slowness returns how long work takes at the worker at present; zero when it does not
-// tell.
+// slowness returns the worker's current slowness as it reports it; zero when it reports none.
 func (l *workerConnection) slowness() float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.reportedSlowness.at(time.Now())
 }
 
-// followKeepAlive keeps unused connections for less long than the worker says.
+// followKeepAlive keeps unused connections for less time than the worker states.
 func (l *workerConnection) followKeepAlive(header http.Header) {
 	idle, ok := keepAliveOf(header)
 	if !ok {
@@ -351,13 +353,13 @@
 	return load
 }
 
-// close ends the admission. Requests that run are not touched.
+// close ends the admission. Requests in progress are not affected.
 func (l *workerConnection) close() {
 	l.queue.Close()
 	l.current().CloseIdleConnections()
 }
 
-// paused reports whether the worker is left alone for now.
+// paused reports whether the worker gets no calls for now.
 func (l *workerConnection) paused() bool {
 	return l.replaced.Load() || time.Now().UnixNano() < l.pausedUntil.Load()
 }
--- a/internal/forwarding/zones_replay_test.go
+++ b/internal/forwarding/zones_replay_test.go
@@ -13,25 +13,25 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// zoneLoad is a load on zones that swing against each other: calls come by a sine, of
-// each next zone a part of the period later.
+// zoneLoad is a load on zones that varies in opposite phases: the rate of calls follows a sine,
+// which for each next zone is shifted by a part of the period.
 type zoneLoad struct {
-	// workers are the workers of each zone.
+	// workers are the numbers of workers of each zone.
 	workers []int
 	slots   int
-	// perSecond is how many calls each zone has a second on average.
+	// perSecond is how many calls each zone has per second on average.
 	perSecond, swing float64
 	period, length   time.Duration
-	// phase is by which part of the period each next zone is later.
+	// phase is the part of the period by which each next zone is later.
 	phase                   float64
 	work, target, waitLimit time.Duration
 	bytes                   int
-	// linkSpeed is what the link of a worker's machine carries, in bytes a second; zero
+	// linkSpeed is the capacity of the link of a worker's machine, in bytes per second; zero
 	// where bodies are short.
 	linkSpeed float64
 }
 
-// zoneTally is what became of the calls of one zone.
+// zoneTally counts the results of the calls of one zone.
 type zoneTally struct{ asked, inTime, late, refused, crossed int }
 
 func (z zoneTally) share() float64 { return float64(z.inTime) / float64(max(z.asked, 1)) }
@@ -39,8 +39,8 @@
 // replayedWorker is a worker with the queues of its node.
 type replayedWorker struct{ slots, link *slotqueue.Queue }
 
-// zoneReplay plays a load on what chooses, queues and refuses in the product, in
-// simulated time. A call is offered as offers does it.
+// zoneReplay simulates a load on the product's choice of workers, queues and refusals in
+// simulated time. A call is offered in the same way as by offers.
 type zoneReplay struct {
 	zoneLoad
 	workers map[string]replayedWorker
@@ -69,14 +69,14 @@
 
 func workerName(zone, n int) string { return fmt.Sprintf("%d-%d", zone, n) }
 
-// draw returns a random time of the given mean.
+// draw returns a random time with the given mean.
 func (r *zoneReplay) draw(mean float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(mean * r.rng.ExpFloat64())
 }
 
-// arrivals has the calls of a zone come, by turns at its nodes.
+// arrivals creates the calls of a zone, at its nodes in turn.
 func (r *zoneReplay) arrivals(zone int, calls *sync.WaitGroup) {
 	const nodes = 8
 	var fronts []*destination
@@ -96,7 +96,7 @@
 	}
 }
 
-// front returns what a node of the zone that has no worker knows.
+// front returns the destination at a node of the zone that has no worker.
 func (r *zoneReplay) front(zone int) *destination {
 	d := &destination{service: "ledger", self: "front", zone: fmt.Sprint(zone)}
 	for other, count := range r.zoneLoad.workers {
@@ -153,7 +153,7 @@
 	}
 }
 
-// run has a worker do a call: its body crosses the link, then it waits for a slot.
+// run runs a call at a worker: its body is transferred over the link, then it waits for a slot.
 func (r *zoneReplay) run(name string, latest time.Time) (bool, slotqueue.Load) {
 	w := r.workers[name]
 	load := func() slotqueue.Load {
@@ -182,11 +182,11 @@
 	return true, load()
 }
 
-// TestLongBodiesLeaveAZoneWhoseLinksAreFull plays uploads of 60 kB that come evenly to two
-// zones, one of which has one worker of five: its link carries two thirds of what comes.
-// 0.986 of the calls run shorter than the target leaves them after the crossing, which is
-// the best that any order could reach. Where none crosses 0.60 of those of the narrow zone
-// are in time. A third of them has to cross, and not many more may.
+// TestLongBodiesLeaveAZoneWhoseLinksAreFull simulates uploads of 60 kB that arrive evenly at two
+// zones, one of which has one worker of five: its link can carry two thirds of them. 0.986 of the
+// calls run shorter than the time that the target leaves them after the transfer, which is the
+// best that any order could reach. Where none crosses to the other zone 0.60 of those of the
+// narrow zone are in time. A third of them has to cross, and not many more may.
 func TestLongBodiesLeaveAZoneWhoseLinksAreFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		load := zoneLoad{
@@ -206,8 +206,8 @@
 	})
 }
 
-// TestZonesInOppositePhase plays short calls on two zones that swing by 0.55 against each
-// other within 15 s, with 0.8 of their capacity on average: 1.24 at the peak of each.
+// TestZonesInOppositePhase simulates short calls in two zones whose rates vary by 0.55 in
+// opposite phases within 15 s, with 0.8 of their capacity on average: 1.24 at the peak of each.
 // 0.974 run shorter than the target, which is the best that any order could reach.
 func TestZonesInOppositePhase(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/forwarding/zones_test.go
+++ b/internal/forwarding/zones_test.go
@@ -28,18 +28,16 @@
 	exchangeRecords(nodes...)
 	configure(t, ledgerRoutes, nodes...)
 	for _, node := range nodes[1 : 1+maximumRefusals] {
-		connection, err := node.plane.local.find("ledger", workers.Incarnation{})
+		w, err := node.plane.local.find("ledger", workers.Incarnation{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		fill(t, node)
 		// So many wait that a call is refused at once.
 		for range waiters {
-			go func() {
-				_, _ = connection.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)})
-			}()
+			go func() { _, _ = w.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)}) }()
 		}
-		testwait.Eventually(t, "others wait", func() bool { return connection.load().Waiting == waiters })
+		testwait.Eventually(t, "others wait", func() bool { return w.load().Waiting == waiters })
 	}
 	short := callerRequest(t, front, http.MethodGet, "/short/1", nil)
 	if status, _, _ := ask(t, short); status != http.StatusOK || far.calls.Load() != 1 {
@@ -51,8 +49,8 @@
 	}
 }
 
-// TestLongBodiesStayWhereLinksAreFree has a long body prefer its own zone as much as its bytes
-// cost, unless bodies wait for the links of that zone.
+// TestLongBodiesStayWhereLinksAreFree checks that a long body prefers its own zone as much as its
+// bytes cost, unless bodies wait for the links of that zone.
 func TestLongBodiesStayWhereLinksAreFree(t *testing.T) {
 	w := criteria{long: true, bytes: 60 << 10, target: time.Second, waitLimit: 200 * time.Millisecond}
 	if price := otherZonePrice(w); price != float64(w.target) {
@@ -60,6 +58,6 @@
 	}
 	w.linksFull = true
 	if price := otherZonePrice(w); price > float64(w.waitLimit) {
-		t.Errorf("full links: a price of %v, with a patience of %v", time.Duration(price), w.waitLimit)
+		t.Errorf("full links: a price of %v, with a wait limit of %v", time.Duration(price), w.waitLimit)
 	}
 }
