--- a/internal/dataplane/authentication_test.go
+++ b/internal/dataplane/authentication_test.go
@@ -15,8 +15,8 @@
 // markedKey is the key of the tenant "acme". Nothing but the caller's node may see it.
 const markedKey = "marked-key-of-acme"
 
-// calls returns how many calls of callers have ended.
-func (w *watcher) calls() int {
+// calls returns how many calls from callers have ended.
+func (w *recordingObserver) calls() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return len(w.reports)
@@ -44,8 +44,8 @@
 	m.current.Store(m.snapshot(version, resources))
 }
 
-// TestWhoMayCall asks by way of a node without a worker, and of the one beside it.
-func TestWhoMayCall(t *testing.T) {
+// TestTenantAuthentication calls through a node without a worker, and through the worker's own node.
+func TestTenantAuthentication(t *testing.T) {
 	m := newMesh(t)
 	var seen atomic.Pointer[http.Header]
 	beside := m.addHandler("beside", func(_ http.ResponseWriter, r *http.Request) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestKeysAreThoseInForce takes the tenants away again.
-func TestKeysAreThoseInForce(t *testing.T) {
+// TestKeysFollowTheVersionInForce adds tenants in one version and removes them in the next.
+func TestKeysFollowTheVersionInForce(t *testing.T) {
 	m := newMesh(t)
 	var seen atomic.Pointer[http.Header]
 	m.addHandler("beside", func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -16,7 +16,7 @@
 	response response
 	// fault is the status of a request that is not handed to the handler.
 	fault int
-	// last tells that no further request follows on the connection.
+	// last is set when no further request follows on the connection.
 	last bool
 	// turn is closed when the answer before this one is complete; nil for the first.
 	turn <-chan struct{}
@@ -32,14 +32,14 @@
 		conn:      c,
 		request:   r,
 		last:      r.Close || !r.ProtoAtLeast(1, 1),
-		bodyEnded: ended,
+		bodyEnded: closedChannel,
 		ended:     make(chan struct{}),
 	}
 	x.response = response{exchange: x, header: http.Header{}}
 	r.RemoteAddr = c.remote
 	if r.ContentLength != 0 {
 		x.bodyEnded = make(chan struct{})
-		x.body = &body{exchange: x, source: r.Body, expected: expectsContinue(r)}
+		x.body = &body{exchange: x, source: r.Body, continuePending: expectsContinue(r)}
 		r.Body = x.body
 	}
 	return x
@@ -53,7 +53,7 @@
 	return x
 }
 
-// handle has the handler answer, and gives the turn to the next answer.
+// handle runs the handler and lets the next answer be written.
 func (x *exchange) handle() {
 	x.request = x.request.WithContext(x.conn.ctx)
 	defer x.end()
@@ -97,21 +97,21 @@
 	return x.conn.ctx.Err()
 }
 
-// body is the body of a request. It tells the connection when it has ended.
+// body is the body of a request. It signals its end to the connection.
 type body struct {
 	exchange *exchange
 
 	mu     sync.Mutex
 	source io.ReadCloser
-	// expected tells that the caller waits for a word before it sends the body.
-	expected bool
-	closed   bool
-	// whole tells that the end was read.
-	whole bool
+	// continuePending is set while the caller waits for 100 Continue before it sends the body.
+	continuePending bool
+	closed          bool
+	// complete is set when the end was read.
+	complete bool
 }
 
 // errBodyClosed is returned for a body that is read after the handler has ended.
-var errBodyClosed = errors.New("the request is over")
+var errBodyClosed = errors.New("read from a request body after the handler has ended")
 
 // Read implements io.Reader.
 func (b *body) Read(p []byte) (int, error) {
@@ -120,26 +120,26 @@
 	if b.closed {
 		return 0, errBodyClosed
 	}
-	if b.expected {
-		b.expected = false
-		if err := b.exchange.response.proceed(); err != nil {
+	if b.continuePending {
+		b.continuePending = false
+		if err := b.exchange.response.sendContinue(); err != nil {
 			return 0, err
 		}
 	}
 	n, err := b.source.Read(p)
 	switch {
-	case err == io.EOF && !b.whole:
-		b.whole = true
+	case err == io.EOF && !b.complete:
+		b.complete = true
 		close(b.exchange.bodyEnded)
-	case brokeOff(err):
+	case callerDisconnected(err):
 		b.exchange.conn.cancel()
 	}
 	return n, err
 }
 
-// brokeOff reports whether an error of a body means that the caller has gone away:
-// not one that it was too slow, nor one that what it sent cannot be read.
-func brokeOff(err error) bool {
+// callerDisconnected reports whether an error of a body means that the caller has
+// disconnected, as opposed to being too slow or sending an invalid body.
+func callerDisconnected(err error) bool {
 	var failed *net.OpError
 	return errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &failed) && !failed.Timeout()
 }
@@ -154,10 +154,10 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.whole
+	return b.complete
 }
 
-// close keeps others that still hold the body from reading what follows it.
+// close prevents code that still holds the body from reading what follows it.
 func (b *body) close() {
 	if b == nil {
 		return
@@ -165,13 +165,13 @@
 	if b.mu.TryLock() {
 		defer b.mu.Unlock()
 	} else {
-		// Somebody is reading.
-		b.exchange.conn.setReadDeadline(past)
+		// A read is in progress: interrupt it.
+		b.exchange.conn.setReadDeadline(expiredDeadline)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 	}
 	b.closed = true
-	if !b.whole {
+	if !b.complete {
 		b.exchange.conn.seal()
 		close(b.exchange.bodyEnded)
 	}
