--- a/internal/forwarding/slowness_test.go
+++ b/internal/forwarding/slowness_test.go
@@ -21,31 +21,31 @@
 const headerTestLoad = "X-Load"
 
 func testWorkerLoad(header http.Header) (slotqueue.Load, bool) {
-	told, err := strconv.Atoi(header.Get(headerTestLoad))
-	return slotqueue.Load{Slots: 4, Slowness: float64(told) / 100}, err == nil
+	reported, err := strconv.Atoi(header.Get(headerTestLoad))
+	return slotqueue.Load{Slots: 4, Slowness: float64(reported) / 100}, err == nil
 }
 
-// tellSlowness has a worker tell its slowness.
-func tellSlowness(worker *testWorker, told string) {
+// reportSlowness makes a worker report its slowness.
+func reportSlowness(worker *testWorker, reported string) {
 	worker.answer(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(headerTestLoad, told)
+		w.Header().Set(headerTestLoad, reported)
 		_, _ = w.Write([]byte("ok"))
 	})
 }
 
-// record keeps what crosses connections.
+// record records the bytes sent and received on connections.
 type record struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (r *record) keep(p []byte) {
+func (r *record) add(p []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.text.Write(p)
 }
 
-// fields returns how many fields the headers between nodes have had since the last time.
+// fields returns the numbers of fields that the headers between nodes had since its last call.
 func (r *record) fields() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,8 +57,8 @@
 	return strings.Join(counts, " ")
 }
 
-// tells reports whether a header has crossed since the last call of fields.
-func (r *record) tells(header string) bool {
+// contains reports whether a header was sent or received since the last call of fields.
+func (r *record) contains(header string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return strings.Contains(r.text.String(), header+": ")
@@ -70,19 +70,19 @@
 }
 
 func (c recordedConn) Write(p []byte) (int, error) {
-	c.record.keep(p)
+	c.record.add(p)
 	return c.Conn.Write(p)
 }
 
 func (c recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.record.keep(p[:n])
+	c.record.add(p[:n])
 	return n, err
 }
 
-// TestOnlyWorkersThatTellChangeTheWire looks at the headers between two nodes before and
-// after the worker tells its slowness.
-func TestOnlyWorkersThatTellChangeTheWire(t *testing.T) {
+// TestOnlyReportedSlownessChangesTheHopHeaders checks the headers between two nodes before and
+// after the worker reports its slowness.
+func TestOnlyReportedSlownessChangesTheHopHeaders(t *testing.T) {
 	front, back, worker := twoNodes(t)
 	back.plane.config.Dialect.WorkerLoad = testWorkerLoad
 	crossed := &record{}
@@ -93,30 +93,30 @@
 	}
 	get(t, front, "/read/1")
 	get(t, front, "/read/1")
-	if crossed.tells(workHeader) {
-		t.Error("the work of a call is told where the worker tells nothing")
+	if crossed.contains(workHeader) {
+		t.Error("the work of a call is sent where the worker reports nothing")
 	}
 	if got, want := crossed.fields(), fmt.Sprint(hopFieldsLevel, " ", loadFields, " ", hopFieldsLevel, " ", loadFields); got != want {
-		t.Errorf("fields where the worker tells nothing: %s, want %s", got, want)
+		t.Errorf("fields where the worker reports nothing: %s, want %s", got, want)
 	}
-	tellSlowness(worker, "120")
+	reportSlowness(worker, "120")
 	get(t, front, "/read/1")
 	if got, want := crossed.fields(), fmt.Sprint(hopFieldsLevel, " ", loadFieldsSlowness); got != want {
-		t.Errorf("fields where it tells: %s, want %s", got, want)
+		t.Errorf("fields where it reports its slowness: %s, want %s", got, want)
 	}
 	get(t, front, "/read/1")
-	if !crossed.tells(workHeader) {
-		t.Error("the work of a call is not told where the worker tells its slowness")
+	if !crossed.contains(workHeader) {
+		t.Error("the work of a call is not sent where the worker reports its slowness")
 	}
 }
 
-// steady is a slowness that does not change.
-func steady(slowness float64) fadingMean {
-	return fadingMean{latest: slowness, lasting: slowness, latestAt: time.Now()}
+// steady returns the mean of a slowness that does not change.
+func steady(slowness float64) decayingMean {
+	return decayingMean{latest: slowness, longTerm: slowness, latestAt: time.Now()}
 }
 
-// TestSlowWorkerDeclinesWhatAnotherAnswersSooner has the nodes of two workers know these to be
-// slower than the caller's node believes.
+// TestSlowWorkerDeclinesWhatAnotherAnswersSooner makes the nodes of two workers know these to be
+// slower than the node where the call begins has estimated.
 func TestSlowWorkerDeclinesWhatAnotherAnswersSooner(t *testing.T) {
 	const believed, next, slow = 1, 1.5, 50
 	for _, c := range []struct {
@@ -135,16 +135,16 @@
 			worker := startWorker(t)
 			front := startNode(t, "front", "desk", nil)
 			first, second := startNode(t, "first", "ledger", worker), startNode(t, "second", "ledger", worker)
-			introduce(front, first, second)
+			exchangeRecords(front, first, second)
 			configure(t, ledgerRoutes, front, first, second)
 			d := front.plane.destination("ledger")
-			d.endpoints["first"].told, d.endpoints["second"].told = steady(c.firstBelieved), steady(next)
+			d.endpoints["first"].reportedSlowness, d.endpoints["second"].reportedSlowness = steady(c.firstBelieved), steady(next)
 			for node, slowness := range map[*testNode]float64{first: c.first, second: c.second} {
-				leg, err := node.plane.local.find("ledger", workers.Incarnation{})
+				connection, err := node.plane.local.find("ledger", workers.Incarnation{})
 				if err != nil {
 					t.Fatal(err)
 				}
-				leg.told = steady(slowness)
+				connection.reportedSlowness = steady(slowness)
 			}
 			if status, _, _ := post(t, front, "/file/1", "x"); status != http.StatusOK || worker.calls.Load() != 1 {
 				t.Errorf("status %d, the worker had %d calls", status, worker.calls.Load())
@@ -157,57 +157,57 @@
 	}
 }
 
-// TestNewsFadesIntoTheLasting looks at what is expected after news.
-func TestNewsFadesIntoTheLasting(t *testing.T) {
+// TestLatestValueDecaysToTheLongTermMean checks the expected value after new and old reports.
+func TestLatestValueDecaysToTheLongTermMean(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var m fadingMean
+	var m decayingMean
 	if m.known() || m.at(now) != 0 {
-		t.Errorf("before any news: %v", m.at(now))
+		t.Errorf("before any report: %v", m.at(now))
 	}
 	m.observe(1, now)
 	m.observe(1, now.Add(time.Second))
 	now = now.Add(time.Second)
 	m.observe(9, now.Add(-time.Millisecond))
 	if m.at(now) != 1 {
-		t.Errorf("after old news: %v", m.at(now))
+		t.Errorf("after a late report: %v", m.at(now))
 	}
-	now = now.Add(lastingTime)
+	now = now.Add(longTermDecay)
 	m.observe(3, now)
 	if fresh := m.at(now); fresh != 3 {
-		t.Errorf("after news: %v", fresh)
+		t.Errorf("after a new report: %v", fresh)
 	}
-	old := m.at(now.Add(reportLife))
-	if half := m.at(now.Add(reportLife / 2)); half <= old || half >= 3 || old <= 1 || old >= 3 {
-		t.Errorf("%v after half of the life of news, %v after all", half, old)
+	old := m.at(now.Add(reportDecay))
+	if half := m.at(now.Add(reportDecay / 2)); half <= old || half >= 3 || old <= 1 || old >= 3 {
+		t.Errorf("%v after half of reportDecay, %v after all of it", half, old)
 	}
 }
 
-// TestWhatIsSeenCountsBeyondWhatIsTold compares what a request is expected to take by what the
-// worker tells and by what was seen.
-func TestWhatIsSeenCountsBeyondWhatIsTold(t *testing.T) {
-	for _, c := range []struct{ seen, told, want float64 }{
-		{0.4, 0, 0.4}, {3, 0, 3}, {1, 0.55, 0.55}, {0.4, 1.2, 1.2}, {1.9, 1.2, 1.2}, {3 * unexplained, 2, 6},
+// TestObservationsCountBeyondReportedSlowness compares the expected duration of a request by what
+// the worker reports and by what was observed.
+func TestObservationsCountBeyondReportedSlowness(t *testing.T) {
+	for _, c := range []struct{ seen, reported, want float64 }{
+		{0.4, 0, 0.4}, {3, 0, 3}, {1, 0.55, 0.55}, {0.4, 1.2, 1.2}, {1.9, 1.2, 1.2}, {3 * unexplainedFactor, 2, 6},
 	} {
 		e := &endpoint{slowness: c.seen}
-		if got := e.work(wish{work: 1, usual: 1}, c.told); got != c.want {
-			t.Errorf("seen %v, told %v: %v, want %v", c.seen, c.told, got, c.want)
+		if got := e.work(criteria{work: 1, usual: 1}, c.reported); got != c.want {
+			t.Errorf("observed %v, reported %v: %v, want %v", c.seen, c.reported, got, c.want)
 		}
 	}
 }
 
-// TestSlownessBeyondBelief has a worker tell a figure that no work can take.
-func TestSlownessBeyondBelief(t *testing.T) {
-	leg := &workerLeg{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
-	leg.hear(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
-	told := slotqueue.Load{Slots: 4, Slowness: leg.slowness()}
-	if load, _, ok := parseLoad(formatLoad(told, 0)); !ok || load.Slowness != told.Slowness {
-		t.Errorf("a load of %+v reads %+v", told, load)
+// TestImplausibleSlownessIsBounded makes a worker report a slowness that no work can have.
+func TestImplausibleSlownessIsBounded(t *testing.T) {
+	connection := &workerConnection{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
+	connection.observeLoad(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
+	reported := slotqueue.Load{Slots: 4, Slowness: connection.slowness()}
+	if load, _, ok := parseLoad(formatLoad(reported, 0)); !ok || load.Slowness != reported.Slowness {
+		t.Errorf("a load of %+v reads %+v", reported, load)
 	}
-	limit := choice{load: told, lead: time.Second}.slowestWorth(time.Second)
+	limit := choice{load: reported, lead: time.Second}.slowestWorthwhile(time.Second)
 	if read, ok := parseHop(hop{service: "s", work: time.Second, slowest: limit}.encode()); !ok || read.slowest <= 0 {
 		t.Errorf("a limit of %v reads %v, %v", limit, read.slowest, ok)
 	}
-	work := (&endpoint{slowness: 1}).work(wish{usual: time.Hour}, told.Slowness)
+	work := (&endpoint{slowness: 1}).work(criteria{usual: time.Hour}, reported.Slowness)
 	if time.Duration(work) <= 0 {
 		t.Errorf("an hour of work is expected to take %v", time.Duration(work))
 	}
--- a/internal/forwarding/starting_test.go
+++ b/internal/forwarding/starting_test.go
@@ -9,8 +9,8 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// TestCallsThatComeWhileTheNodeStartsAreAnswered replays a loss of power of all machines:
-// callers connect as soon as their node listens, before it knows a configuration or a worker.
+// TestCallsThatComeWhileTheNodeStartsAreAnswered replays a power failure of all machines: callers
+// connect as soon as their node listens, before it knows a configuration or a worker.
 func TestCallsThatComeWhileTheNodeStartsAreAnswered(t *testing.T) {
 	const calls = 20
 	worker := startWorker(t)
@@ -33,7 +33,7 @@
 	testwait.Eventually(t, "the calls wait for a configuration", func() bool { return front.plane.calls.Load() == calls })
 	configure(t, ledgerRoutes, front)
 	testwait.Eventually(t, "the calls wait for a worker", func() bool { return front.plane.knows("ledger") })
-	introduce(front, back)
+	exchangeRecords(front, back)
 	for range calls {
 		if status := <-statuses; status != http.StatusOK {
 			t.Errorf("status %d", status)
@@ -41,14 +41,14 @@
 	}
 }
 
-// knows reports whether a call to the service has been looked at.
+// knows reports whether a call has looked up the service.
 func (p *Plane) knows(service string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.destinations[service] != nil
 }
 
-// TestNodeThatHasRunForLongRefusesAtOnce asks for a service without workers.
+// TestNodeThatHasRunForLongRefusesAtOnce calls a service without workers.
 func TestNodeThatHasRunForLongRefusesAtOnce(t *testing.T) {
 	front := startNode(t, "front", "other", nil)
 	configure(t, ledgerRoutes, front)
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestCallsDoNotCrowdAtTheFirstWorkers has a node know one worker, which is full, before it
+// TestCallsDoNotCrowdAtTheFirstWorkers makes a node know one worker, which is full, before it
 // learns of another one.
 func TestCallsDoNotCrowdAtTheFirstWorkers(t *testing.T) {
 	full, free := startWorker(t), startWorker(t)
@@ -69,7 +69,7 @@
 	front.plane.started = time.Now()
 	first, second := startNode(t, "first", "ledger", full), startNode(t, "second", "ledger", free)
 	configure(t, ledgerRoutes, front, first, second)
-	introduce(front, first)
+	exchangeRecords(front, first)
 	for range 4 { // the slots of a worker
 		go func() {
 			if response, err := http.DefaultClient.Do(callerRequest(t, front, http.MethodGet, "/read/1", nil)); err == nil {
@@ -85,7 +85,7 @@
 		answered <- status
 	}()
 	testwait.Eventually(t, "the call was refused once", func() bool { return first.refusedHops.Load() > 0 })
-	introduce(front, second)
+	exchangeRecords(front, second)
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("status %d", status)
 	}
@@ -101,7 +101,7 @@
 		{"first moments", 10 * ms, 1200 * ms, 100 * ms, 540 * ms},
 		{"long work", 10 * ms, 1200 * ms, 400 * ms, 400 * ms},
 		{"no time for the work", 10 * ms, 200 * ms, 100 * ms, 0},
-		{"node that has run for long", startTime, 1200 * ms, 100 * ms, 0},
+		{"node that has run for long", startPeriod, 1200 * ms, 100 * ms, 0},
 	} {
 		if wait := startWait(test.age, test.left, test.work); wait != test.want {
 			t.Errorf("%s: %v, not %v", test.name, wait, test.want)
