--- a/internal/control/clients.go
+++ b/internal/control/clients.go
@@ -13,7 +13,7 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Bounds of the connections to other nodes, in bytes.
+// Limits of HTTP/2 connections to other nodes, in bytes.
 const (
 	clientHeaderTable = 4 << 10
 	clientFrameBytes  = 64 << 10
@@ -27,7 +27,8 @@
 	client    *http.Client
 
 	mutex sync.Mutex
-	// recent keeps the client of the address called last, which is the parent's.
+	// recent caches the client of recentAddress, normally the parent's address,
+	// to which nearly all calls go.
 	recent        controlpb.Control
 	recentAddress string
 }
@@ -64,7 +65,7 @@
 		scheme:    scheme,
 		prefix:    config.pathPrefix(),
 		transport: transport,
-		client:    &http.Client{Transport: boundedAnswers{transport}},
+		client:    &http.Client{Transport: limitedAnswers{transport}},
 	}
 }
 
@@ -75,7 +76,7 @@
 	return config.Clone()
 }
 
-// newDialer returns a dialer that notices a dead peer within seconds.
+// newDialer returns a dialer whose keepalive probes detect a dead peer within seconds.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: DefaultDialTimeout,
@@ -88,53 +89,53 @@
 	}
 }
 
-// at returns the client of a peer's address.
-func (p *peerClients) at(address string) controlpb.Control {
+// recentClient returns the client of an address and caches it for the next call.
+func (p *peerClients) recentClient(address string) controlpb.Control {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.recent == nil || p.recentAddress != address {
-		p.recent = p.other(address)
+		p.recent = p.newClient(address)
 		p.recentAddress = address
 	}
 	return p.recent
 }
 
-// forget drops connections that nothing waits on, so that the next call to a
+// closeIdle closes the idle connections to all peers, so that the next call to a
 // peer that failed opens a new one.
-func (p *peerClients) forget(string) { p.transport.CloseIdleConnections() }
+func (p *peerClients) closeIdle(string) { p.transport.CloseIdleConnections() }
 
 func (p *peerClients) close() { p.transport.CloseIdleConnections() }
 
 func (p *peerClients) watch(ctx context.Context, peer topology.Peer, request *controlpb.WatchRequest) (*controlpb.WatchResponse, error) {
-	return p.at(peer.ControlAddress).Watch(ctx, request)
+	return p.recentClient(peer.ControlAddress).Watch(ctx, request)
 }
 
 func (p *peerClients) report(ctx context.Context, peer topology.Peer, request *controlpb.ReportRequest) (*controlpb.ReportResponse, error) {
-	return p.at(peer.ControlAddress).Report(ctx, request)
+	return p.recentClient(peer.ControlAddress).Report(ctx, request)
 }
 
 func (p *peerClients) floor(ctx context.Context, peer topology.Peer, request *controlpb.FloorRequest) (*controlpb.FloorResponse, error) {
-	return p.other(peer.ControlAddress).Floor(ctx, request)
+	return p.newClient(peer.ControlAddress).Floor(ctx, request)
 }
 
 func (p *peerClients) status(ctx context.Context, peer topology.Peer, request *controlpb.StatusRequest) (*controlpb.StatusResponse, error) {
-	return p.other(peer.ControlAddress).Status(ctx, request)
+	return p.newClient(peer.ControlAddress).Status(ctx, request)
 }
 
 func (p *peerClients) members(ctx context.Context, address string, request *controlpb.MembersRequest) (*controlpb.MembersResponse, error) {
-	return p.other(address).Members(ctx, request)
+	return p.newClient(address).Members(ctx, request)
 }
 
-// other returns a client without taking the place of the parent's.
-func (p *peerClients) other(address string) controlpb.Control {
+// newClient returns a client that does not replace the cached one of the parent.
+func (p *peerClients) newClient(address string) controlpb.Control {
 	return controlpb.NewControlProtobufClient(p.scheme+"://"+address, p.client, twirp.WithClientPathPrefix(p.prefix))
 }
 
-// boundedAnswers refuses answers that are larger than any node sends.
-type boundedAnswers struct{ next http.RoundTripper }
+// limitedAnswers fails the reading of answers that are larger than any node sends.
+type limitedAnswers struct{ next http.RoundTripper }
 
 // RoundTrip implements http.RoundTripper.
-func (b boundedAnswers) RoundTrip(request *http.Request) (*http.Response, error) {
+func (b limitedAnswers) RoundTrip(request *http.Request) (*http.Response, error) {
 	response, err := b.next.RoundTrip(request)
 	if err != nil {
 		return nil, err
--- a/internal/control/directory.go
+++ b/internal/control/directory.go
@@ -9,15 +9,15 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// directoryAnswer is what a child is to be told of the members.
+// directoryAnswer is the member update for a child.
 type directoryAnswer struct {
-	cursor  *controlpb.DirectoryCursor
-	whole   bool
-	records []membership.Record
+	cursor   *controlpb.DirectoryCursor
+	complete bool
+	records  []membership.Record
 }
 
-// directoryNews reports whether a child has to be woken for changed members.
-func (n *Node) directoryNews(request *controlpb.WatchRequest) bool {
+// hasDirectoryUpdate reports whether published member changes await a child.
+func (n *Node) hasDirectoryUpdate(request *controlpb.WatchRequest) bool {
 	cursor := request.GetCursor()
 	if !n.ownCursor(cursor) {
 		return true
@@ -29,27 +29,27 @@
 	return !found || cursor.GetSequence() < directory.published
 }
 
-// ownCursor reports whether a cursor speaks of this node's present table.
+// ownCursor reports whether a cursor refers to this node's current table.
 func (n *Node) ownCursor(cursor *controlpb.DirectoryCursor) bool {
 	return cursor.GetRelay() == n.self.ID && cursor.GetIncarnation() == n.table.epoch
 }
 
-// directoryAnswer gives a child what it lacks.
+// directoryAnswer returns the members that a child lacks.
 func (n *Node) directoryAnswer(request *controlpb.WatchRequest) directoryAnswer {
 	if request.GetScope().GetAll() {
-		return n.wholeDirectoryAnswer(request.GetCursor())
+		return n.completeDirectoryAnswer(request.GetCursor())
 	}
 	return n.scopedDirectoryAnswer(request)
 }
 
-func (n *Node) wholeDirectoryAnswer(cursor *controlpb.DirectoryCursor) directoryAnswer {
+func (n *Node) completeDirectoryAnswer(cursor *controlpb.DirectoryCursor) directoryAnswer {
 	answer := directoryAnswer{cursor: n.cursorAt(n.table.Sequence())}
 	switch {
 	case n.ownCursor(cursor):
 		answer.records, _ = n.table.Since(cursor.GetSequence())
 	case sumOf(cursor.GetSum()) == n.table.presentSum(nil):
 	default:
-		answer.whole = true
+		answer.complete = true
 		answer.records = n.table.records()
 	}
 	return answer
@@ -64,7 +64,7 @@
 		answer.records = directory.since(cursor.GetSequence())
 	case sumOf(cursor.GetSum()) == directory.presentSum():
 	default:
-		answer.whole = true
+		answer.complete = true
 		answer.records = directory.since(0)
 	}
 	return answer
@@ -82,7 +82,7 @@
 		directory = newScopedDirectory(scope)
 		n.table.scoped[scope] = directory
 	}
-	directory.update(n.table, n.latestWhole(), n.zoneLeaders())
+	directory.update(n.table, n.latestComplete(), n.zoneLeaders())
 	if !found {
 		directory.published = directory.sequence
 	}
@@ -97,8 +97,8 @@
 	}
 }
 
-// publishDirectory lets children and the rest of the process hear of what has
-// changed, once that is due.
+// publishDirectory publishes changed members to children and to the rest of the
+// process, once that is due.
 func (n *Node) publishDirectory(at time.Time) {
 	if !n.table.flush(at) {
 		return
@@ -106,14 +106,14 @@
 	n.directory.Store(n.table.View())
 	n.observers.wake()
 	for _, directory := range n.table.scoped {
-		directory.update(n.table, n.latestWhole(), n.zoneLeaders())
+		directory.update(n.table, n.latestComplete(), n.zoneLeaders())
 		directory.published = directory.sequence
 	}
 	n.waiters.wake()
 }
 
-// latestWhole returns the newest snapshot that holds everything, or nil.
-func (n *Node) latestWhole() *snapshot.Snapshot {
+// latestComplete returns the newest snapshot that holds every resource, or nil.
+func (n *Node) latestComplete() *snapshot.Snapshot {
 	if !n.feed.scope.All {
 		return nil
 	}
@@ -121,7 +121,7 @@
 	return latest
 }
 
-// zoneLeaders returns the leaders of all zones, worked out once for each view.
+// zoneLeaders returns the leaders of all zones, computed once for each view.
 func (n *Node) zoneLeaders() map[string]struct{} {
 	view := n.table.View()
 	if n.plan.leadersView != view {
@@ -130,7 +130,7 @@
 	return n.plan.leaders
 }
 
-// directoryUpdate turns an answer into its message.
+// directoryUpdate converts an answer to its message.
 func directoryUpdate(answer directoryAnswer) (*controlpb.DirectoryUpdate, error) {
 	plain, packed, err := packMembers(answer.records)
 	if err != nil {
@@ -138,24 +138,25 @@
 	}
 	return &controlpb.DirectoryUpdate{
 		Cursor:  answer.cursor,
-		Whole:   answer.whole,
+		Whole:   answer.complete,
 		Members: plain,
 		Packed:  packed,
 	}, nil
 }
 
-// mergeBelow takes in records of this node and of nodes below it: they go on to
-// the parent and to the other children.
+// mergeBelow merges records of this node and of nodes below it, which are
+// forwarded to the parent and to the other children.
 func (n *Node) mergeBelow(at time.Time, records ...membership.Record) []membership.Record {
-	return n.mergeFor(at, true, records)
+	return n.mergeAndReport(at, true, records)
 }
 
-// mergeNews takes in records of nodes elsewhere that the parent may not know.
-func (n *Node) mergeNews(at time.Time, records ...membership.Record) []membership.Record {
-	return n.mergeFor(at, false, records)
+// mergeOutside merges records of nodes outside the subtree that the parent may
+// not know.
+func (n *Node) mergeOutside(at time.Time, records ...membership.Record) []membership.Record {
+	return n.mergeAndReport(at, false, records)
 }
 
-func (n *Node) mergeFor(at time.Time, below bool, records []membership.Record) []membership.Record {
+func (n *Node) mergeAndReport(at time.Time, below bool, records []membership.Record) []membership.Record {
 	changed := n.table.Merge(records...)
 	if len(changed) == 0 {
 		return nil
@@ -167,10 +168,10 @@
 	return changed
 }
 
-// mergeAbove takes in records that came from the parent.
-func (n *Node) mergeAbove(at time.Time, update *controlpb.DirectoryUpdate, records []membership.Record) {
+// mergeFromParent merges records received from the parent.
+func (n *Node) mergeFromParent(at time.Time, update *controlpb.DirectoryUpdate, records []membership.Record) {
 	if update.GetWhole() {
-		n.adoptWhole(records, at)
+		n.adoptComplete(records, at)
 	}
 	changed := n.table.Merge(records...)
 	if len(changed) == 0 {
@@ -178,19 +179,19 @@
 	}
 	var moved []string
 	for _, record := range changed {
-		if n.children.seenElsewhere(record) {
+		if n.children.removeMoved(record) {
 			moved = append(moved, record.ID)
 		}
 	}
-	n.detached(moved, at)
+	n.reportDetached(moved, at)
 	n.membersChanged(changed, at)
 }
 
-// adoptWhole prepares the table for a whole directory from the parent. Records
-// that it does not hold are dropped, and losses that only this node noted are
-// taken back, unless they are of the node itself or of nodes below it. The
-// parent is told of attachments that it does not know.
-func (n *Node) adoptWhole(records []membership.Record, at time.Time) {
+// adoptComplete prepares the table for a complete directory from the parent.
+// Records missing from it are dropped, and losses that only this node recorded
+// are revoked, except for the node itself and nodes below it. Attachments that
+// the parent does not know are reported to it.
+func (n *Node) adoptComplete(records []membership.Record, at time.Time) {
 	named := make(map[string]membership.Record, len(records))
 	for _, record := range records {
 		named[record.ID] = record
@@ -212,9 +213,9 @@
 	n.keepOnly(kept)
 }
 
-// takeBackLosses drops losses that this node noted while another tree, which it
-// has just found, knows better.
-func (n *Node) takeBackLosses(records []membership.Record) {
+// revokeLosses drops losses that this node recorded and that another tree, which
+// it has just found, contradicts.
+func (n *Node) revokeLosses(records []membership.Record) {
 	named := make(map[string]membership.Record, len(records))
 	for _, record := range records {
 		named[record.ID] = record
@@ -236,14 +237,15 @@
 	return sameAttachment && held.State == membership.StateLost && elsewhere.State != membership.StateLost
 }
 
-// keepOnly drops all records but those that are kept.
+// keepOnly drops all records except those given.
 func (n *Node) keepOnly(kept []membership.Record) {
 	if len(kept) < n.table.Len() {
 		n.table.replace(kept)
 	}
 }
 
-// membersChanged does what follows from changed records.
+// membersChanged schedules the publication of changed records and a new plan,
+// and refutes wrong records of this node.
 func (n *Node) membersChanged(changed []membership.Record, at time.Time) {
 	n.table.changed(changed, at)
 	n.plan.invalidate(at)
@@ -251,8 +253,9 @@
 	n.kick()
 }
 
-// refute answers records that call this node lost, or that come from an
-// earlier process of the same name.
+// refute reattaches the node under a higher attachment number when a record
+// supersedes its own: one that marks it as lost, or one of another process of
+// the same name.
 func (n *Node) refute(changed []membership.Record, at time.Time) {
 	for _, record := range changed {
 		if record.ID != n.self.ID || !record.Supersedes(n.self) {
@@ -268,10 +271,11 @@
 	}
 }
 
-// announceSelf passes the node's own changed record on.
+// announceSelf merges and forwards the node's own changed record.
 func (n *Node) announceSelf() {
 	n.mergeBelow(now(), n.self)
 }
 
-// ownSum is the sum that tells a new parent which members are known here.
+// ownSum returns the sum from which a new parent sees whether this node knows
+// the same members.
 func (n *Node) ownSum() rollout.MemberSum { return n.table.presentSum(nil) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -120,19 +120,19 @@
 func (d *Daemon) makeControl() error {
 	d.store = d.newStoreClient()
 	config := control.Config{
-		Self:        d.self(),
-		Mesh:        d.settings.Mesh,
-		Gateway:     d.settings.Gateway,
-		Seeds:       d.settings.Seeds,
-		FanOut:      d.settings.FanOut,
-		Hold:        d.settings.Hold,
-		SilentBound: d.settings.UnresponsiveBound,
-		Listener:    d.listeners.control,
-		Dial:        dialer(d.settings.Source()),
-		Store:       d.store,
-		Machines:    d.store,
-		Validate:    d.validate,
-		Events:      d.log,
+		Self:              d.self(),
+		Mesh:              d.settings.Mesh,
+		Gateway:           d.settings.Gateway,
+		Seeds:             d.settings.Seeds,
+		FanOut:            d.settings.FanOut,
+		Hold:              d.settings.Hold,
+		UnresponsiveBound: d.settings.UnresponsiveBound,
+		Listener:          d.listeners.control,
+		Dial:              dialer(d.settings.Source()),
+		Store:             d.store,
+		Machines:          d.store,
+		Validate:          d.validate,
+		Events:            d.log,
 	}
 	if d.certificates != nil {
 		config.TLS = d.certificates.Mutual(identity.RoleNode, identity.RoleOperator)
--- a/internal/forwarding/lives_test.go
+++ b/internal/forwarding/incarnations_test.go
@@ -10,11 +10,11 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// beatBorn sends the heartbeat of a life of a worker to the node beside it.
-func (n *testNode) beatBorn(t *testing.T, w *testWorker, born int64, sequence uint64, draining bool) {
+// heartbeatOfIncarnation sends the heartbeat of an incarnation of a worker to the node beside it.
+func (n *testNode) heartbeatOfIncarnation(t *testing.T, w *testWorker, startedAt int64, sequence uint64, draining bool) {
 	t.Helper()
 	_, err := n.registry.Heartbeat(workers.Heartbeat{
-		Instance: "w1", StartedAt: born, Service: "ledger", Address: w.address(), Slots: 4, Sequence: sequence, Draining: draining,
+		Instance: "w1", StartedAt: startedAt, Service: "ledger", Address: w.address(), Slots: 4, Sequence: sequence, Draining: draining,
 	}, time.Now())
 	if err != nil {
 		t.Fatal(err)
@@ -23,32 +23,32 @@
 	n.table.Update(func(own *fleet.Node) { own.Workers = n.registry.Workers() })
 }
 
-// TestNextLifeOfAnInstanceBeginsAnew has a worker fill its slots, fail, drain and end, and start
-// again under its instance: what the former life held is not the new one's.
-func TestNextLifeOfAnInstanceBeginsAnew(t *testing.T) {
+// TestNewIncarnationOfAnInstanceStartsAfresh fills the slots of a worker, drains it and starts it
+// again under its instance: what the previous incarnation held is not held by the new one.
+func TestNewIncarnationOfAnInstanceStartsAfresh(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	configure(t, []routeSpec{{prefix: "/read/", service: "ledger", safe: true, timeout: time.Second}}, node)
-	node.beatBorn(t, worker, 100, 7, false)
+	node.heartbeatOfIncarnation(t, worker, 100, 7, false)
 	former, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
 	held := fill(t, node)
-	node.beatBorn(t, worker, 100, 8, true)
+	node.heartbeatOfIncarnation(t, worker, 100, 8, true)
 	if _, err := node.plane.local.find("ledger", workers.Incarnation{}); err == nil {
 		t.Fatal("a worker that drains is given work")
 	}
-	node.beatBorn(t, worker, 200, 1, false)
+	node.heartbeatOfIncarnation(t, worker, 200, 1, false)
 	next, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 200})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if load := next.load(); next == former || load.Running != 0 || load.Slots != 4 {
-		t.Errorf("the new life begins with %+v", load)
+		t.Errorf("the new incarnation begins with %+v", load)
 	}
 	if _, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100}); err == nil {
-		t.Error("a call for the former life reaches the new one")
+		t.Error("a call for the previous incarnation reaches the new one")
 	}
 	for _, permit := range held {
 		permit.Release(false)
@@ -58,49 +58,49 @@
 	}
 }
 
-// TestWhatIsKnownOfAFormerLifeIsNotTheNextOnes looks at an endpoint before and after its worker
-// has started again under its instance, and when its birth becomes known.
-func TestWhatIsKnownOfAFormerLifeIsNotTheNextOnes(t *testing.T) {
+// TestEndpointStateIsNotKeptForTheNextIncarnation checks an endpoint before and after its worker
+// has started again under its instance, and the start time that becomes known.
+func TestEndpointStateIsNotKeptForTheNextIncarnation(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	d := &destination{service: "ledger", self: "a", zone: "z"}
-	look := func(born int64, sequence uint64) *endpoint {
-		node.beatBorn(t, worker, born, sequence, false)
+	look := func(startedAt int64, sequence uint64) *endpoint {
+		node.heartbeatOfIncarnation(t, worker, startedAt, sequence, false)
 		d.refresh(node.table.View(), &steeringTable{})
 		return d.endpoints["a"]
 	}
 	first := look(100, 1)
 	first.slowness, first.outstanding = 7, 3
 	if same := look(100, 2); same != first {
-		t.Error("a heartbeat of the same life has forgotten what is known")
+		t.Error("a heartbeat of the same incarnation has reset the endpoint")
 	}
 	next := look(200, 1)
-	if next.slowness != 1 || next.outstanding != 0 || next.born.Load() != 200 {
-		t.Errorf("the next life has %+v", next)
+	if next.slowness != 1 || next.outstanding != 0 || next.startedAt.Load() != 200 {
+		t.Errorf("the next incarnation has %+v", next)
 	}
 }
 
-// TestCallsReadALifeWhileItsBirthBecomesKnown has calls name the life of an endpoint while a
-// heartbeat tells its birth; the race detector looks on.
+// TestCallsReadALifeWhileItsBirthBecomesKnown reads the incarnation of an endpoint while a
+// heartbeat reports its start time; the race detector finds unsynchronized access.
 func TestCallsReadALifeWhileItsBirthBecomesKnown(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	d := &destination{service: "ledger", self: "a", zone: "z"}
-	node.beatBorn(t, worker, 0, 1, false)
+	node.heartbeatOfIncarnation(t, worker, 0, 1, false)
 	d.refresh(node.table.View(), &steeringTable{})
 	e := d.endpoints["a"]
 	var calls sync.WaitGroup
 	calls.Go(func() {
 		for range 1000 {
-			if e.life().Instance != "w1" {
+			if e.incarnation().Instance != "w1" {
 				t.Error("another instance")
 			}
 		}
 	})
-	node.beatBorn(t, worker, 100, 2, false)
+	node.heartbeatOfIncarnation(t, worker, 100, 2, false)
 	d.refresh(node.table.View(), &steeringTable{})
 	calls.Wait()
-	if same := d.endpoints["a"]; same != e || same.life().StartedAt != 100 {
-		t.Errorf("life %v", same.life())
+	if same := d.endpoints["a"]; same != e || same.incarnation().StartedAt != 100 {
+		t.Errorf("incarnation %v", same.incarnation())
 	}
 }
--- a/internal/forwarding/offer.go
+++ b/internal/forwarding/offer.go
@@ -14,7 +14,7 @@
 
 var propertyLoad = errorx.RegisterProperty("load")
 
-// withLoad attaches the load that a refusing node has told.
+// withLoad attaches the load that a refusing node has reported.
 func withLoad(err error, load slotqueue.Load) error {
 	if typed := errorx.Cast(err); typed != nil {
 		return typed.WithProperty(propertyLoad, load)
@@ -33,10 +33,10 @@
 	return o.call.plane.localLoad(o.destination.service)
 }
 
-// askLocal asks the worker beside this node.
-func (o *offers) askLocal(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
-	o.crossing = 0
-	leg, err := o.call.plane.local.find(o.destination.service, chosen.endpoint.life())
+// offerLocal offers the call to the worker beside this node.
+func (o *offers) offerLocal(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
+	o.roundTrip = 0
+	connection, err := o.call.plane.local.find(o.destination.service, chosen.endpoint.incarnation())
 	if err != nil {
 		return nil, false, err
 	}
@@ -52,14 +52,14 @@
 		repeat:     o.repeated(),
 	}
 	request.level, _ = o.call.plane.suspicion(&request, 0)
-	answered, err := leg.ask(ctx, &request)
-	o.call.plane.countRun(o.destination.service, leg.worker, o.call.request, &request, answered, err)
+	answered, err := connection.run(ctx, &request)
+	o.call.plane.countRun(o.destination.service, connection.worker, o.call.request, &request, answered, err)
 	o.call.report.Waited, o.call.report.Ran = request.waited, request.ran
 	return answered, request.arrived, err
 }
 
-// claim returns the call's claim at a chosen worker. It has work and due time where tenants
-// compete or workers tell how fast they are. Elsewhere rank and arrival decide, and the hop
+// claim returns the call's claim at a chosen worker. It has work and due time only where tenants
+// compete or workers report their slowness. Elsewhere rank and arrival decide, and the hop
 // carries no more than that.
 func (o *offers) claim(chosen choice, latestStart time.Time) claim {
 	wanted := o.call.claim(latestStart)
@@ -69,47 +69,47 @@
 	return wanted
 }
 
-// askNode asks the node beside another worker.
-func (o *offers) askNode(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
+// offerNode offers the call to the node beside another worker.
+func (o *offers) offerNode(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
 	c, e := o.call, chosen.endpoint
 	header := forwardedHeader(c.request, &c.plane.config.Dialect)
 	now := time.Now()
 	level := c.level()
 	o.setHop(header, chosen, latestStart, now, level)
-	exchange := leg{transport: c.plane.peers, request: newRequest(c.request, e.address, header), body: c.body, questioned: c.body.long(), pace: c.plane.pace}
+	exchange := httpExchange{transport: c.plane.peers, request: newRequest(c.request, e.address, header), body: c.body, expectContinue: c.body.long(), pace: c.plane.pace}
 	ctx, stop := exchange.boundTransfer(ctx, c.began.Add(c.target()))
 	defer stop()
 	response, err := exchange.do(ctx)
-	o.crossing = time.Since(now)
+	o.roundTrip = time.Since(now)
 	if err != nil {
-		c.plane.noteFailure(e.node, err)
+		c.plane.recordFailure(e.node, err)
 		return nil, outcome.Of(err) != outcome.NotRun, err
 	}
 	c.plane.config.Contacts.Reached(e.node)
-	o.crossing -= heldOf(response.Header.Get(hopFailureHeader))
+	o.roundTrip -= heldOf(response.Header.Get(hopFailureHeader))
 	answered, arrived, err := readHopAnswer(ctx, response)
 	if outcome.ReasonOf(err) == outcome.WorkerCrashed {
-		c.crashedElsewhere(e.life(), level)
+		c.crashedElsewhere(e.incarnation(), level)
 	}
 	return answered, arrived, err
 }
 
-// setHop writes what the node beside a chosen worker is told of the call.
+// setHop sets the headers that describe the call to the node beside a chosen worker.
 func (o *offers) setHop(header http.Header, chosen choice, latestStart, now time.Time, level int) {
 	c := o.call
 	wanted := o.claim(chosen, latestStart)
 	if c.body.long() {
-		// Until when its answer is due bounds how long a body that has crossed may wait.
+		// The due time bounds how long a body that has been transferred may wait.
 		wanted = c.claim(latestStart)
 	}
 	offered := hop{
-		service:  o.destination.service,
-		life:     chosen.endpoint.life(),
-		caller:   c.plane.serviceHere(),
-		rank:     wanted.rank,
-		patience: latestStart.Sub(now),
-		left:     c.plane.left(c.began, c.end),
-		level:    level,
+		service:     o.destination.service,
+		incarnation: chosen.endpoint.incarnation(),
+		caller:      c.plane.serviceHere(),
+		rank:        wanted.rank,
+		waitLimit:   latestStart.Sub(now),
+		left:        c.plane.left(c.began, c.end),
+		level:       level,
 	}
 	due := max(wanted.due.Sub(now), time.Microsecond)
 	switch offered.slowest = o.slowest(chosen); {
@@ -130,16 +130,16 @@
 	}
 }
 
-// noteFailure keeps that a node could not be reached.
-func (p *Plane) noteFailure(node string, err error) {
+// recordFailure records that a node could not be reached.
+func (p *Plane) recordFailure(node string, err error) {
 	switch outcome.ReasonOf(err) {
 	case outcome.Unreachable, outcome.ConnectionLost:
 		p.config.Contacts.Failed(node, time.Now(), 0)
 	}
 }
 
-// readHopAnswer reads what another node answered: a worker's answer, or why
-// there is none.
+// readHopAnswer reads the answer of another node: a worker's answer, or the reason why there is
+// none.
 func readHopAnswer(ctx context.Context, response *http.Response) (*answer, bool, error) {
 	load, ran, hasLoad := parseLoad(response.Header.Get(hopLoadHeader))
 	if failure := response.Header.Get(hopFailureHeader); failure != "" {
@@ -159,16 +159,16 @@
 	return answered, true, nil
 }
 
-// longestRefusal bounds what is read of the text of a refusal, in bytes: the texts of
-// this program are far shorter.
+// longestRefusal bounds how much is read of the text of a refusal, in bytes: the texts of this
+// program are far shorter.
 const longestRefusal = 1 << 10
 
-// discardRefusal reads the text of a refusal and ends the response. A connection whose
-// answer is not read to its end is closed by the transport: under overload two of three
-// offers then began with a new connection, whose handshake waited behind the queue of a
-// narrow link (40 to 180 ms of the time of a refused call).
+// discardRefusal reads the text of a refusal and closes the response. The transport closes a
+// connection whose response is not read to its end: under overload two of three offers then began
+// with a new connection, whose handshake waited in the queue of a narrow link (40 to 180 ms of
+// the time of a refused call).
 func discardRefusal(response *http.Response) {
-	// An error ends the connection, which costs no more than the next handshake.
+	// An error closes the connection, which costs no more than the next handshake.
 	_, _ = io.CopyN(io.Discard, response.Body, longestRefusal)
 	_ = response.Body.Close()
 }
--- a/internal/forwarding/zones_test.go
+++ b/internal/forwarding/zones_test.go
@@ -25,39 +25,39 @@
 	other := startNode(t, "far", "ledger", far)
 	other.table.Update(func(own *fleet.Node) { own.Zone = "elsewhere" })
 	nodes = append(nodes, other)
-	introduce(nodes...)
+	exchangeRecords(nodes...)
 	configure(t, ledgerRoutes, nodes...)
 	for _, node := range nodes[1 : 1+maximumRefusals] {
-		leg, err := node.plane.local.find("ledger", workers.Incarnation{})
+		w, err := node.plane.local.find("ledger", workers.Incarnation{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		fill(t, node)
 		// So many wait that a call is refused at once.
 		for range waiters {
-			go func() { _, _ = leg.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(patience)}) }()
+			go func() { _, _ = w.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)}) }()
 		}
-		testwait.Eventually(t, "others wait", func() bool { return leg.load().Waiting == waiters })
+		testwait.Eventually(t, "others wait", func() bool { return w.load().Waiting == waiters })
 	}
 	short := callerRequest(t, front, http.MethodGet, "/short/1", nil)
 	if status, _, _ := ask(t, short); status != http.StatusOK || far.calls.Load() != 1 {
 		t.Errorf("a short call: status %d, %d calls in the other zone", status, far.calls.Load())
 	}
-	long := callerRequest(t, front, http.MethodPost, "/short/1", bytes.NewReader(make([]byte, 2*questionedBody)))
+	long := callerRequest(t, front, http.MethodPost, "/short/1", bytes.NewReader(make([]byte, 2*expectContinueBody)))
 	if status, _, _ := ask(t, long); status != http.StatusOK || far.calls.Load() != 2 {
 		t.Errorf("a long one: status %d, %d calls in the other zone", status, far.calls.Load())
 	}
 }
 
-// TestLongBodiesStayWhereLinksAreFree has a long body prefer its own zone as much as its bytes
-// cost, unless bodies wait for the links of that zone.
+// TestLongBodiesStayWhereLinksAreFree checks that a long body prefers its own zone as much as its
+// bytes cost, unless bodies wait for the links of that zone.
 func TestLongBodiesStayWhereLinksAreFree(t *testing.T) {
-	w := wish{long: true, bytes: 60 << 10, target: time.Second, patience: 200 * time.Millisecond}
+	w := criteria{long: true, bytes: 60 << 10, target: time.Second, waitLimit: 200 * time.Millisecond}
 	if price := otherZonePrice(w); price != float64(w.target) {
 		t.Errorf("free links: a price of %v", time.Duration(price))
 	}
 	w.linksFull = true
-	if price := otherZonePrice(w); price > float64(w.patience) {
-		t.Errorf("full links: a price of %v, with a patience of %v", time.Duration(price), w.patience)
+	if price := otherZonePrice(w); price > float64(w.waitLimit) {
+		t.Errorf("full links: a price of %v, with a wait limit of %v", time.Duration(price), w.waitLimit)
 	}
 }
