--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("%s is not null in %s", field, encoded)
 		}
 	}
-	if len(report.Upload.Points) != 1 || !report.Upload.Points[0].Whole {
+	if len(report.Upload.Points) != 1 || !report.Upload.Points[0].Complete {
 		t.Errorf("upload: %+v", report.Upload)
 	}
 }
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -151,7 +151,7 @@
 type UploadPoint struct {
 	Bytes           int64    `json:"bytes"`
 	Seconds         float64  `json:"seconds"`
-	Whole           bool     `json:"whole"`
+	Complete           bool     `json:"whole"`
 	GatewayResident *float64 `json:"gateway_resident_mb"`
 	GatewayPeak     *float64 `json:"gateway_peak_mb"`
 	WorkerResident  *float64 `json:"worker_node_resident_mb"`
--- a/internal/lab/load/upload.go
+++ b/internal/lab/load/upload.go
@@ -29,7 +29,7 @@
 		point := m.upload(ctx, transport, index, size)
 		result.Points = append(result.Points, point)
 		fmt.Fprintf(options.Progress, "upload of %d MB: whole %v in %.2f s, gateway %s, worker's node %s\n",
-			size/megabyte, point.Whole, point.Seconds, showMegabytes(point.GatewayResident), showMegabytes(point.WorkerResident))
+			size/megabyte, point.Complete, point.Seconds, showMegabytes(point.GatewayResident), showMegabytes(point.WorkerResident))
 	}
 	return result, nil
 }
@@ -63,7 +63,7 @@
 	return UploadPoint{
 		Bytes:           size,
 		Seconds:         time.Since(began).Seconds(),
-		Whole:           how.kind == endingAnswered,
+		Complete:           how.kind == endingAnswered,
 		GatewayResident: megabytes(gateway.resident, gateway.measured),
 		GatewayPeak:     megabytes(gateway.peak, gateway.measured),
 		WorkerResident:  megabytes(beside.resident, beside.measured),
@@ -89,7 +89,7 @@
 func (u *Upload) failures() []string {
 	var failures []string
 	for _, point := range u.Points {
-		if !point.Whole {
+		if !point.Complete {
 			failures = append(failures, fmt.Sprintf("upload of %d bytes was not answered", point.Bytes))
 		}
 	}
