--- a/internal/lab/load/caller.go
+++ b/internal/lab/load/caller.go
@@ -16,25 +16,25 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// ending is how a call ended for its caller.
-type ending struct {
-	kind   endingKind
-	reason outcome.Reason // empty when none was given
-	detail string         // the error of a call without an answer
-	// retryAfter is when the caller was told to come again; zero when it was not.
+// callResult is the result of a call as its caller sees it.
+type callResult struct {
+	kind   resultKind
+	reason outcome.Reason // empty when none is known
+	detail string         // error text of a call without an answer
+	// retryAfter is the delay of the Retry-After header; zero without one.
 	retryAfter time.Duration
 }
 
-type endingKind uint8
+type resultKind uint8
 
 const (
-	endingAnswered endingKind = iota
-	endingNotRun
-	endingUnknown
-	endingWrong
+	resultAnswered resultKind = iota
+	resultNotRun
+	resultUnknown
+	resultWrong
 )
 
-// Reasons that the caller itself gives.
+// Reasons that the lab's caller reports itself, without an answer that names one.
 const (
 	reasonNoConnection outcome.Reason = "caller: no connection"
 	reasonNoAnswer     outcome.Reason = "caller: connection ended without an answer"
@@ -48,37 +48,37 @@
 	method string
 	// target is host:port, host the Host header.
 	target, host, path string
-	// size is the length of the body, which is made while it is sent.
+	// size is the length of the body in bytes; the body is generated while it is sent.
 	size int64
-	// pace spreads the sending of the body over this time; zero sends at once.
+	// pace is the time over which the body is sent; zero sends it as fast as possible.
 	pace time.Duration
-	// deadline is told to the node and kept by the caller; zero for none.
+	// deadline is sent to the node and also enforced by the caller; zero for none.
 	deadline time.Duration
 }
 
 const (
 	callerConnections = 4096
-	callerIdle        = 30 * time.Second // below what nodes and workers keep
+	callerIdleTimeout = 30 * time.Second // shorter than the idle timeouts of nodes and workers
 	dialTimeout       = time.Second
-	// deadlineGrace is how much longer than its deadline a caller waits for the
-	// answer that tells what became of the request.
+	// deadlineGrace is how long past its deadline a caller waits for the answer that
+	// reports the outcome of the request.
 	deadlineGrace = 2 * time.Second
 )
 
-// newTransport returns the caller's side. It never sends a request again by itself,
-// because the body cannot be rewound and no call is idempotent to it.
+// newTransport returns the HTTP transport of callers. It never retries a request by itself,
+// because bodies cannot be rewound and it treats no call as idempotent.
 func newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConns:        callerConnections,
 		MaxIdleConnsPerHost: callerConnections,
-		IdleConnTimeout:     callerIdle,
+		IdleConnTimeout:     callerIdleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// do sends the call and checks its answer.
-func (c call) do(ctx context.Context, transport http.RoundTripper) ending {
+// do sends the call and verifies its answer.
+func (c call) do(ctx context.Context, transport http.RoundTripper) callResult {
 	if c.deadline > 0 {
 		bounded, cancel := context.WithTimeout(ctx, c.deadline+deadlineGrace)
 		defer cancel()
@@ -87,17 +87,17 @@
 	digester := worker.NewDigester(c.id)
 	request, err := c.request(ctx, digester)
 	if err != nil {
-		return ending{kind: endingNotRun, reason: reasonNoConnection}
+		return callResult{kind: resultNotRun, reason: reasonNoConnection}
 	}
 	response, err := transport.RoundTrip(request)
 	if err != nil {
-		return endingOf(err)
+		return resultOfError(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	return c.check(response, digester)
 }
 
-// retryAfterOf returns the time of a Retry-After header in seconds; zero without one.
+// retryAfterOf returns the delay of a Retry-After header, which is in seconds; zero without one.
 func retryAfterOf(header http.Header) time.Duration {
 	seconds, err := strconv.ParseUint(header.Get("Retry-After"), 10, 16)
 	if err != nil {
@@ -106,12 +106,12 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// doThroughOverload sends the call again when it is told that it has not run for want of
-// room, after the time that it is told. Any other ending stands.
-func (c call) doThroughOverload(ctx context.Context, transport http.RoundTripper) ending {
+// doRetryingOverload retries a call that was refused as not run because of overload, after the
+// delay that the refusal names. Any other result is final.
+func (c call) doRetryingOverload(ctx context.Context, transport http.RoundTripper) callResult {
 	for {
 		ended := c.do(ctx, transport)
-		refused := ended.kind == endingNotRun && ended.reason == outcome.Overloaded && ended.retryAfter > 0
+		refused := ended.kind == resultNotRun && ended.reason == outcome.Overloaded && ended.retryAfter > 0
 		if !refused || !sleepUntil(ctx, time.Now().Add(ended.retryAfter)) {
 			return ended
 		}
@@ -121,7 +121,7 @@
 func (c call) request(ctx context.Context, digester *worker.Digester) (*http.Request, error) {
 	var body io.Reader
 	if c.size > 0 {
-		body = io.TeeReader(io.LimitReader(&filler{context: ctx, pause: c.pause()}, c.size), digester)
+		body = io.TeeReader(io.LimitReader(&patternReader{context: ctx, pause: c.pause()}, c.size), digester)
 	}
 	request, err := http.NewRequestWithContext(ctx, c.method, "http://"+c.target+c.path, body)
 	if err != nil {
@@ -136,54 +136,55 @@
 	return request, nil
 }
 
-// endingOf sorts out a call without an answer. Only a connection that was never
-// made shows by itself that nothing ran.
-func endingOf(err error) ending {
+// resultOfError classifies a call without an answer. Only a failed dial proves that the
+// request did not run.
+func resultOfError(err error) callResult {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
-		return ending{kind: endingNotRun, reason: reasonNoConnection}
+		return callResult{kind: resultNotRun, reason: reasonNoConnection}
 	}
-	return ending{kind: endingUnknown, reason: reasonNoAnswer, detail: err.Error()}
+	return callResult{kind: resultUnknown, reason: reasonNoAnswer, detail: err.Error()}
 }
 
-// check reads the answer and sorts it out. The digest covers the body sent by then.
-func (c call) check(response *http.Response, digester *worker.Digester) ending {
+// check reads and classifies the answer. The digest covers the part of the body that has been
+// sent by then.
+func (c call) check(response *http.Response, digester *worker.Digester) callResult {
 	switch kind, reason := outcome.FromResponse(response.Header); kind {
 	case outcome.NotRun:
-		return ending{kind: endingNotRun, reason: reason, retryAfter: retryAfterOf(response.Header)}
+		return callResult{kind: resultNotRun, reason: reason, retryAfter: retryAfterOf(response.Header)}
 	case outcome.Unknown:
-		return ending{kind: endingUnknown, reason: reason}
+		return callResult{kind: resultUnknown, reason: reason}
 	}
 	if response.StatusCode != http.StatusOK {
-		return ending{kind: endingUnknown, reason: reasonStatus}
+		return callResult{kind: resultUnknown, reason: reasonStatus}
 	}
 	err := worker.VerifyAnswer(response.Body, digester.Sum(), worker.DefaultAnswerSize)
 	switch {
 	case err == nil:
-		return ending{kind: endingAnswered}
+		return callResult{kind: resultAnswered}
 	case errorx.IsOfType(err, worker.ErrAnswer):
-		return ending{kind: endingWrong}
+		return callResult{kind: resultWrong}
 	default:
-		return ending{kind: endingUnknown, reason: reasonCutShort} // the caller was told so
+		return callResult{kind: resultUnknown, reason: reasonCutShort} // the broken answer shows the caller that it is incomplete
 	}
 }
 
-const pacedPart = 32 << 10
+const pacedPartBytes = 32 << 10
 
-// pause returns the time before each part of a paced body.
+// pause returns the delay before each part of a paced body.
 func (c call) pause() time.Duration {
-	return time.Duration(float64(c.pace) * pacedPart / float64(max(c.size, pacedPart)))
+	return time.Duration(float64(c.pace) * pacedPartBytes / float64(max(c.size, pacedPartBytes)))
 }
 
-// filler is an endless body, sent in parts with pauses when it is paced.
-type filler struct {
+// patternReader generates an endless body, in parts with a pause before each when it is paced.
+type patternReader struct {
 	context context.Context
 	pause   time.Duration
 }
 
-func (f *filler) Read(part []byte) (int, error) {
+func (f *patternReader) Read(part []byte) (int, error) {
 	if f.pause > 0 {
-		part = part[:min(len(part), pacedPart)]
+		part = part[:min(len(part), pacedPartBytes)]
 		if !sleepUntil(f.context, time.Now().Add(f.pause)) {
 			return 0, f.context.Err()
 		}
--- a/internal/lab/load/caller_test.go
+++ b/internal/lab/load/caller_test.go
@@ -13,20 +13,21 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// TestOnlyRefusalsForOverloadAreSentAgain guards against rolling runs that hide an ending: a call
-// that may have run, or was refused for another reason than overload, is never sent again.
+// TestOnlyRefusalsForOverloadAreSentAgain guards against rolling runs that hide a failed call by
+// retrying it: a call that may have run, or that was refused for another reason than overload, is
+// never sent again.
 func TestOnlyRefusalsForOverloadAreSentAgain(t *testing.T) {
 	cases := []struct {
 		name    string
 		outcome string
 		reason  outcome.Reason
 		sent    int64
-		want    endingKind
+		want    resultKind
 	}{
-		{"overloaded", "not-run", outcome.Overloaded, 2, endingAnswered},
-		{"draining", "not-run", outcome.Draining, 1, endingNotRun},
-		{"no worker", "not-run", outcome.NoWorker, 1, endingNotRun},
-		{"lost", "unknown", outcome.ConnectionLost, 1, endingUnknown},
+		{"overloaded", "not-run", outcome.Overloaded, 2, resultAnswered},
+		{"draining", "not-run", outcome.Draining, 1, resultNotRun},
+		{"no worker", "not-run", outcome.NoWorker, 1, resultNotRun},
+		{"lost", "unknown", outcome.ConnectionLost, 1, resultUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,24 +47,24 @@
 				rw.WriteHeader(http.StatusServiceUnavailable)
 			}))
 			t.Cleanup(first.Close)
-			transport := &turning{first: strings.TrimPrefix(first.URL, "http://"), then: w.Address()}
-			upload := call{id: "upload", method: http.MethodPost, host: onceHost, path: "/", target: transport.first, size: 10}
-			ended := upload.doThroughOverload(context.Background(), transport)
+			transport := &redirectingTransport{first: strings.TrimPrefix(first.URL, "http://"), then: w.Address()}
+			upload := call{id: "upload", method: http.MethodPost, host: unrepeatableHost, path: "/", target: transport.first, size: 10}
+			ended := upload.doRetryingOverload(context.Background(), transport)
 			if ended.kind != c.want || transport.sent != c.sent || sent.Load() != 1 {
-				t.Errorf("ended %+v after %d tries", ended, transport.sent)
+				t.Errorf("ended %+v after %d attempts", ended, transport.sent)
 			}
 		})
 	}
 }
 
-// turning sends the first request to one address and all others to another one.
-type turning struct {
+// redirectingTransport sends the first request to one address and all others to another one.
+type redirectingTransport struct {
 	first, then string
 	sent        int64
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *turning) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *redirectingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if t.sent++; t.sent > 1 {
 		r.URL.Host = t.then
 	}
--- a/internal/lab/load/chain.go
+++ b/internal/lab/load/chain.go
@@ -15,23 +15,23 @@
 	chainLevels   = 6
 	chainPerLevel = 2
 	chainSlots    = 1000
-	// chainDeadline is far above what a call through all levels takes, also on a busy
-	// machine (2.1 to 4.2 s at three to four times its processors): a call that ends by
-	// it does not reach the last level and would hide how calls grow.
-	chainDeadline = callTimeout
-	chainService  = time.Millisecond
+	// chainDeadline is far above the time of a call through all levels, also on a busy machine
+	// (2.1 to 4.2 s at a load of three to four times its processors): a call that times out
+	// does not reach the last level and would hide how retries multiply calls.
+	chainDeadline    = callTimeout
+	chainServiceTime = time.Millisecond
 )
 
-// chainCases keep the rate low where all fail, since without bounds on retries
-// one call becomes hundreds.
+// chainCases use a low rate where every request fails, since without bounds on retries one
+// call multiplies into hundreds.
 var chainCases = []ChainCase{
 	{FailedShare: 0.5, RatePerSecond: 20},
 	{FailedShare: 1, RatePerSecond: 4},
 }
 
-// measureChain calls through six services, each of which calls the next, while
-// workers of the last one cut connections. It runs on data planes inside the
-// lab, since the bounds on retries cannot be switched off in a process.
+// measureChain makes calls through six services, each of which calls the next, while workers of
+// the last one cut connections. It uses data planes inside the lab's process, since levertided has
+// no switch that turns the retry budget off.
 func measureChain(ctx context.Context, options Options) (*Chain, error) {
 	result := &Chain{Levels: chainLevels}
 	for _, item := range chainCases {
@@ -62,7 +62,7 @@
 	return point, nil
 }
 
-// chain is a gateway and some workers at each level.
+// chain is a gateway and several workers, each with its node, at each level.
 type chain struct {
 	rate        float64
 	failedShare float64
@@ -104,11 +104,11 @@
 	}
 }
 
-// add starts a worker that calls the next level through the node beside it.
+// add starts a worker and its node; the worker calls the next level through that node.
 func (c *chain) add(ctx context.Context, level, index int) error {
 	w, err := worker.Start(worker.Config{
 		ID: fmt.Sprintf("%s-%d", levelService(level), index), Slots: chainSlots, Connections: chainSlots,
-		Service:          worker.Distribution{Median: chainService},
+		Service:          worker.Distribution{Median: chainServiceTime},
 		CutOnNextFailure: true,
 	})
 	if err != nil {
@@ -145,7 +145,7 @@
 		})
 	seen := executions{}
 	for _, item := range c.levels[chainLevels-1] {
-		seen.take(item.worker)
+		seen.collect(item.worker)
 	}
 	point := ChainPoint{Top: top.result(nil), Bottom: seen.total()}
 	if point.Top.Calls > 0 {
@@ -164,7 +164,7 @@
 	}
 }
 
-// failures lists cases in which calls grew beyond what the budget permits.
+// failures lists the cases in which retries multiplied calls beyond what the budget permits.
 func (c *Chain) failures() []string {
 	var failures []string
 	for _, item := range c.Cases {
--- a/internal/lab/load/command.go
+++ b/internal/lab/load/command.go
@@ -46,21 +46,21 @@
 				return err
 			}
 			if *events != "" {
-				kept, err := os.Create(*events)
+				eventsFile, err := os.Create(*events)
 				if err != nil {
 					return err
 				}
-				defer func() { _ = kept.Close() }()
-				options.Events = kept
+				defer func() { _ = eventsFile.Close() }()
+				options.Events = eventsFile
 			}
 			return runAndWrite(ctx, options, *file)
 		},
 	}
 }
 
-// runAndWrite writes the report also when something failed that it shows.
+// runAndWrite writes the report even when the run failed, since the report shows the failures.
 func runAndWrite(ctx context.Context, options Options, file string) error {
-	report, failed := Run(ctx, options)
+	report, runErr := Run(ctx, options)
 	encoded, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
 		return err
@@ -71,8 +71,8 @@
 	} else {
 		err = os.WriteFile(file, encoded, reportPermissions)
 	}
-	if failed != nil {
-		return failed
+	if runErr != nil {
+		return runErr
 	}
 	return err
 }
--- a/internal/lab/load/crash.go
+++ b/internal/lab/load/crash.go
@@ -9,13 +9,13 @@
 	"github.com/levertide/levertide/internal/lab/worker"
 )
 
-// crashPause is the longest time of calls before and after each crash.
+// crashPause is the longest time for which calls run before and after each crash.
 const crashPause = 5 * time.Second
 
-// measureCrash kills one machine, a worker with its node, and then half of all
-// machines at once, while calls go on. The list of machines tells at once; the
-// nodes find out as the calls and the control messages show it. All machines are
-// in one zone, so that all of them take calls.
+// measureCrash kills one machine, that is a worker with its node, and then half of all machines at
+// once, while calls go on. The platform's list of machines drops them at once; the nodes detect the
+// loss by failing calls and missing control messages. All machines are in one zone, so that all
+// of them receive calls.
 func measureCrash(ctx context.Context, options Options) (*Crash, error) {
 	options.Zones = 1
 	config := worker.Config{Slots: options.Slots, Service: options.Service}
@@ -29,7 +29,7 @@
 	calling, stop := context.WithCancel(ctx)
 	defer stop()
 	var load sync.WaitGroup
-	load.Go(func() { run.callOn(ctx, calling) })
+	load.Go(func() { run.makeCalls(ctx, calling) })
 	pause := min(crashPause, options.Duration)
 	result := &Crash{}
 	for _, machines := range []int{1, max(options.Workers/2, 1)} {
@@ -42,13 +42,13 @@
 	sleepUntil(ctx, time.Now().Add(pause))
 	stop()
 	load.Wait()
-	run.seen.take(m.workers()...)
-	result.Once, result.Any = run.once.result(run.seen), run.any.result(run.seen)
+	run.seen.collect(m.workers()...)
+	result.Once, result.Any = run.unrepeatable.result(run.seen), run.repeatable.result(run.seen)
 	fmt.Fprintf(options.Progress, "crash: %+v\n", *result)
 	return result, nil
 }
 
-// crash kills the first machines of the mesh at once and watches the calls.
+// crash kills the first machines of the mesh at once and measures how long calls then fail.
 func (r *rollingRun) crash(ctx context.Context, machines int, pause time.Duration) CrashEvent {
 	event := CrashEvent{Machines: machines, Of: len(r.mesh.members)}
 	moment := time.Now()
@@ -59,16 +59,16 @@
 	}
 	killing.Wait()
 	sleepUntil(ctx, moment.Add(pause))
-	failing := max(r.once.failedUntil(moment), r.any.failedUntil(moment))
+	failing := max(r.unrepeatable.failedUntil(moment), r.repeatable.failedUntil(moment))
 	event.FailingMS = float64(failing) / float64(time.Millisecond)
 	return event
 }
 
-// replaceCrashed starts new machines in place of the crashed ones, all at once,
-// and keeps the records of the latter.
+// replaceCrashed starts as many new machines as crashed, and first collects the execution records
+// of the crashed workers.
 func (r *rollingRun) replaceCrashed(ctx context.Context, config worker.Config, machines int) error {
 	for _, item := range r.mesh.members[:machines] {
-		r.seen.take(item.worker)
+		r.seen.collect(item.worker)
 	}
 	r.mesh.members = r.mesh.members[machines:]
 	for index := range machines {
--- a/internal/lab/load/doc.go
+++ b/internal/lab/load/doc.go
@@ -1,7 +1,7 @@
-// Package load measures calls: directly to workers and through two nodes, side
-// by side in one run. Calls start at the moments of a Poisson process whatever
-// the answers do, and each time is taken from that moment, so that a slow
-// answer hides no other (no coordinated omission).
+// Package load measures the latency and outcome of calls made directly to workers and of calls
+// through two nodes, side by side in one run. Calls start at the times of a Poisson process
+// regardless of the answers, and each latency is measured from the scheduled start, so that a slow
+// answer does not delay or hide other calls (no coordinated omission).
 //
 // The nodes are levertided processes when Options.Levertided names the program,
 // and data planes inside the lab's process otherwise; the report says which.
--- a/internal/lab/load/errors.go
+++ b/internal/lab/load/errors.go
@@ -5,11 +5,11 @@
 var (
 	errorsNamespace = errorx.NewNamespace("lab_load")
 
-	// ErrOptions tells that the options cannot be run.
+	// ErrOptions reports invalid options.
 	ErrOptions = errorsNamespace.NewType("options")
-	// ErrStart tells that nodes or workers did not come up.
+	// ErrStart reports that nodes or workers did not start or become ready.
 	ErrStart = errorsNamespace.NewType("start")
-	// ErrFailed tells that something measured must not happen at all: a wrong
-	// answer, a duplicate execution, or a call cut off by a planned stop.
+	// ErrFailed reports that the run observed something that must never happen: a
+	// wrong answer, a duplicate execution, or a call cut off by a planned stop.
 	ErrFailed = errorsNamespace.NewType("failed")
 )
--- a/internal/lab/load/executions.go
+++ b/internal/lab/load/executions.go
@@ -2,19 +2,19 @@
 
 import "github.com/levertide/levertide/internal/lab/worker"
 
-// executions merges the records of workers, so that a request that ran on two
-// of them shows as well.
+// executions counts how often each request was started, by its identifier, over all workers, so
+// that a request that ran on two workers counts as a duplicate.
 type executions map[string]int
 
-// executionsOf takes the records of workers.
+// executionsOf collects the records of workers.
 func executionsOf(workers []*worker.Worker) executions {
 	seen := executions{}
-	seen.take(workers...)
+	seen.collect(workers...)
 	return seen
 }
 
-// take adds the records of a worker and forgets them there.
-func (e executions) take(workers ...*worker.Worker) {
+// collect adds the records of the workers and clears them there.
+func (e executions) collect(workers ...*worker.Worker) {
 	for _, w := range workers {
 		records, _ := w.Records()
 		for _, record := range records {
@@ -24,7 +24,7 @@
 	}
 }
 
-// duplicates counts requests that were started more than once and must not be.
+// duplicates counts the unrepeatable requests that were started more than once.
 func (e executions) duplicates(unrepeatable func(id string) bool) int {
 	count := 0
 	for id, started := range e {
@@ -35,7 +35,7 @@
 	return count
 }
 
-// total returns how often requests were started.
+// total returns the number of starts of all requests.
 func (e executions) total() int {
 	sum := 0
 	for _, started := range e {
--- a/internal/lab/load/faults.go
+++ b/internal/lab/load/faults.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	faultRate     = 200 // calls a second of both kinds together
+	faultRate     = 200 // calls a second, unrepeatable and repeatable ones together
 	faultShare    = 0.1
 	faultDeadline = time.Second
 )
 
-// faultKinds are tried one after another.
+// faultKinds are injected one after another.
 var faultKinds = []worker.FaultKind{
 	worker.DieBeforeFirstByte, worker.DieAfterExecuting, worker.DieMidAnswer,
 	worker.Hang, worker.Shed, worker.ServerError,
 }
 
-// measureFaults makes calls while a part of the requests at every worker fails.
+// measureFaults makes calls while a share of the requests at every worker fails.
 func measureFaults(ctx context.Context, options Options) ([]FaultPoint, error) {
 	config := worker.Config{Slots: options.Slots, Service: options.Service}
 	m, err := startMesh(ctx, options, config, serviceShape{slots: options.Slots, queue: 2 * options.Slots})
@@ -45,7 +45,7 @@
 		w.SetFaults(worker.Fault{Kind: kind, Probability: faultShare})
 		defer w.SetFaults()
 	}
-	once, any := newTally(), newTally()
+	unrepeatable, repeatable := newTally(), newTally()
 	pacing{rate: faultRate, duration: min(options.Duration, longestStep), seed: options.Seed}.run(ctx,
 		func(index int, moment time.Time) {
 			c := call{
@@ -53,14 +53,14 @@
 				method: http.MethodGet, host: serviceHost, path: callerPath,
 				target: m.gateway.callerAddress(), deadline: faultDeadline,
 			}
-			into := any
+			into := repeatable
 			if index%2 == 0 {
-				c.id = fmt.Sprintf("%s%s%d", kind, onceMark, index)
-				c.method, c.host, c.size = http.MethodPost, onceHost, smallBody
-				into = once
+				c.id = fmt.Sprintf("%s%s%d", kind, unrepeatableMark, index)
+				c.method, c.host, c.size = http.MethodPost, unrepeatableHost, smallBodyBytes
+				into = unrepeatable
 			}
 			into.add(c.id, c.do(ctx, transport), time.Since(moment))
 		})
 	seen := executionsOf(m.workers())
-	return FaultPoint{Fault: kind, Share: faultShare, Once: once.result(seen), Any: any.result(seen)}
+	return FaultPoint{Fault: kind, Share: faultShare, Once: unrepeatable.result(seen), Any: repeatable.result(seen)}
 }
--- a/internal/lab/load/fleet.go
+++ b/internal/lab/load/fleet.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// lab region of all nodes.
+// region is the region of all nodes.
 const region = "lab"
 
 // nodeSpec describes a node to start.
@@ -25,7 +25,7 @@
 	callerAddress() string
 	// usage reads processor time and memory; false when the node is no process.
 	usage() (process.Usage, bool)
-	// memory reads the resident memory now and at its peak, in bytes.
+	// memory reads the current and the peak resident memory, in bytes; false when it cannot.
 	memory() (resident, peak uint64, ok bool)
 	// stop ends the node as planned and reports whether it ended by itself.
 	stop(bound time.Duration) bool
@@ -36,14 +36,15 @@
 // fleet starts nodes and gives them their configuration.
 type fleet interface {
 	start(ctx context.Context, spec nodeSpec) (node, error)
-	// apply puts the resources in force on every node started so far.
+	// apply brings the resources into force on every node started so far.
 	apply(ctx context.Context, resources []model.Resource) error
 	// settle waits until every node is ready and knows all the others.
 	settle(ctx context.Context) error
 	close()
 }
 
-// newFleet returns processes or data planes inside the lab, as asked for.
+// newFleet returns a fleet of levertided processes if the options name the program, and of data
+// planes inside the lab's process otherwise.
 func newFleet(options Options) (fleet, error) {
 	if options.Levertided == "" {
 		return newInsideFleet(false), nil
--- a/internal/lab/load/fleet_inside.go
+++ b/internal/lab/load/fleet_inside.go
@@ -15,8 +15,8 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// insideFleet runs data planes inside the lab, with one snapshot and one
-// directory for all.
+// insideFleet runs data planes inside the lab's process. All of them share one snapshot and one
+// node directory.
 type insideFleet struct {
 	noRetryBudget bool
 	current       atomic.Pointer[snapshot.Snapshot]
@@ -33,7 +33,7 @@
 	return f
 }
 
-// insideNode is one data plane with its two listeners.
+// insideNode is one data plane with its servers for callers and for other nodes.
 type insideNode struct {
 	fleet   *insideFleet
 	record  membership.Record
--- a/internal/lab/load/fleet_process.go
+++ b/internal/lab/load/fleet_process.go
@@ -29,7 +29,7 @@
 	operator      = "levertide-lab load"
 )
 
-// processFleet runs levertided processes and the platform's stand-in.
+// processFleet runs levertided processes and a stand-in for the platform.
 type processFleet struct {
 	program  string
 	platform *platform.Server
@@ -58,8 +58,8 @@
 	return f, nil
 }
 
-// listening is the event that tells the addresses of a node.
-type listening struct {
+// listeningEvent is the event in which a node reports its addresses.
+type listeningEvent struct {
 	Number  int    `json:"event"`
 	Caller  string `json:"caller_address"`
 	Call    string `json:"call_address"`
@@ -67,7 +67,7 @@
 	Admin   string `json:"admin_address"`
 }
 
-// eventListening is its number in the catalogue of events.
+// eventListening is the number of that event in the catalogue of events.
 const eventListening = 102
 
 // processNode is one levertided process.
@@ -75,18 +75,18 @@
 	fleet     *processFleet
 	spec      nodeSpec
 	process   *process.Process
-	addresses listening
+	addresses listeningEvent
 }
 
 func (f *processFleet) start(ctx context.Context, spec nodeSpec) (node, error) {
-	heard := make(chan listening, 1)
+	listeningEvents := make(chan listeningEvent, 1)
 	running, err := f.group.Start(process.Options{
 		Name: spec.id, Path: f.program, Arguments: f.arguments(spec),
 		OnErrorLine: func(line []byte) {
-			f.keepEvent(line)
-			var event listening
+			f.writeEvent(line)
+			var event listeningEvent
 			if json.Unmarshal(line, &event) == nil && event.Number == eventListening {
-				heard <- event
+				listeningEvents <- event
 			}
 		},
 	})
@@ -96,7 +96,7 @@
 	timer := time.NewTimer(startBound)
 	defer timer.Stop()
 	select {
-	case event := <-heard:
+	case event := <-listeningEvents:
 		return f.add(spec, running, event), nil
 	case <-running.Done():
 		return nil, ErrStart.New("node %s ended with exit code %d", spec.id, running.ExitCode())
@@ -107,7 +107,7 @@
 	}
 }
 
-func (f *processFleet) keepEvent(line []byte) {
+func (f *processFleet) writeEvent(line []byte) {
 	f.eventsMutex.Lock()
 	defer f.eventsMutex.Unlock()
 	_, _ = fmt.Fprintf(f.events, "%s\n", line)
@@ -127,8 +127,8 @@
 	return arguments
 }
 
-// add puts the node on the platform's list of machines.
-func (f *processFleet) add(spec nodeSpec, running *process.Process, addresses listening) *processNode {
+// add registers the node on the platform's list of machines.
+func (f *processFleet) add(spec nodeSpec, running *process.Process, addresses listeningEvent) *processNode {
 	n := &processNode{fleet: f, spec: spec, process: running, addresses: addresses}
 	host, port, _ := net.SplitHostPort(addresses.Control)
 	number, _ := strconv.Atoi(port)
@@ -157,7 +157,7 @@
 	return f.settle(ctx)
 }
 
-// status is the part of a node's status that is waited for.
+// status holds the fields of a node's status that settle waits for.
 type status struct {
 	Ready          bool   `json:"ready"`
 	Reason         string `json:"reason"`
@@ -221,7 +221,7 @@
 	return usage, err == nil
 }
 
-// stop takes the node off the list of machines and ends it as planned.
+// stop marks the node as leaving, ends it as planned and removes it from the list of machines.
 func (n *processNode) stop(bound time.Duration) bool {
 	n.fleet.platform.SetLeaving(n.spec.id, true)
 	ended := n.process.Stop(bound)
--- a/internal/lab/load/identity.go
+++ b/internal/lab/load/identity.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// onceMark is part of the identifiers of requests that must not be repeated.
-const onceMark = "-once-"
+// unrepeatableMark occurs in the identifier of every request that must not be repeated.
+const unrepeatableMark = "-once-"
 
-func isOnce(id string) bool { return strings.Contains(id, onceMark) }
+func isUnrepeatable(id string) bool { return strings.Contains(id, unrepeatableMark) }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -14,7 +14,7 @@
 func short(modes ...Mode) Options {
 	return Options{
 		Modes: modes, Rates: []float64{100}, Duration: 300 * time.Millisecond,
-		// Slots are plenty, so that a pause of the machine makes no call wait.
+		// There are far more slots than calls, so that no call queues after a pause of the machine.
 		Workers: 2, Zones: 2, Slots: 500, UploadSizes: []int64{1 << 20},
 		Service: worker.Distribution{Median: time.Millisecond},
 	}
@@ -38,8 +38,8 @@
 			t.Errorf("%s: %+v", name, counts)
 		}
 	}
-	// A time is taken from the moment at which its own call was due, so that
-	// none can be shorter than the time that the worker takes.
+	// A latency is measured from the scheduled start of its own call, so that
+	// none can be shorter than the service time of the worker.
 	if step.DirectMS.P50 < 1 || step.ThroughMS.P50 < 1 {
 		t.Errorf("times below the worker's own: direct %v, through %v", step.DirectMS, step.ThroughMS)
 	}
@@ -97,7 +97,7 @@
 
 func TestDuplicatesAcrossWorkers(t *testing.T) {
 	seen := executions{"a-once-1": 1, "a-once-2": 2, "b-3": 2}
-	if got := seen.duplicates(isOnce); got != 1 {
+	if got := seen.duplicates(isUnrepeatable); got != 1 {
 		t.Errorf("%d duplicates, want 1", got)
 	}
 	if got := seen.total(); got != 5 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestRollingReplacesEverything guards against calls and uploads that are lost while every node and
-// worker is replaced.
+// TestRollingReplacesEverything guards against calls and uploads that are lost while every node
+// and worker is replaced.
 func TestRollingReplacesEverything(t *testing.T) {
 	t.Parallel()
 	options := short(ModeRolling)
@@ -148,10 +148,10 @@
 	}
 }
 
-func TestFalseNotRunIsSeen(t *testing.T) {
+func TestFalseNotRunIsCounted(t *testing.T) {
 	seen := newTally()
-	seen.add("a", ending{kind: endingNotRun}, time.Second)
-	seen.add("b", ending{kind: endingNotRun}, time.Second)
+	seen.add("a", callResult{kind: resultNotRun}, time.Second)
+	seen.add("b", callResult{kind: resultNotRun}, time.Second)
 	if counts := seen.result(executions{"b": 1}); counts.NotRun != 2 || counts.FalseNotRun != 1 {
 		t.Errorf("%+v", counts)
 	}
@@ -180,11 +180,11 @@
 
 func TestUnknownCallsAreNamed(t *testing.T) {
 	seen := newTally()
-	for range 2 * maximumNamed {
-		seen.add("once-7", ending{kind: endingUnknown, reason: reasonNoAnswer, detail: "EOF"}, 30*time.Millisecond)
+	for range 2 * maxUnknownCalls {
+		seen.add("once-7", callResult{kind: resultUnknown, reason: reasonNoAnswer, detail: "EOF"}, 30*time.Millisecond)
 	}
 	rolling := &Rolling{Once: seen.result(executions{})}
-	if named := len(rolling.Once.UnknownCalls); named != maximumNamed {
+	if named := len(rolling.Once.UnknownCalls); named != maxUnknownCalls {
 		t.Errorf("%d calls are named", named)
 	}
 	if text := strings.Join(rolling.failures(), "\n"); !strings.Contains(text, "once-7 after 30 ms") || !strings.Contains(text, "EOF") {
--- a/internal/lab/load/memory.go
+++ b/internal/lab/load/memory.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Lines of /proc/<pid>/status, in kilobytes.
+// Fields of /proc/<pid>/status, which are in kilobytes, and the units of memory figures.
 const (
 	residentLine = "VmRSS:"
 	peakLine     = "VmHWM:"
--- a/internal/lab/load/mesh.go
+++ b/internal/lab/load/mesh.go
@@ -9,15 +9,15 @@
 	"github.com/levertide/levertide/pkg/model"
 )
 
-// Hosts and services of the measurements.
+// Hosts, services and timeouts of the measurements.
 const (
 	serviceName = "ledger"
 	serviceHost = "ledger.lab"
-	// onceHost routes to the same service; its requests must not be repeated.
-	onceHost      = "once.ledger.lab"
-	gatewayID     = "gateway"
-	callTimeout   = 30 * time.Second
-	uploadTimeout = 10 * time.Minute
+	// unrepeatableHost routes to the same service; its requests must not be repeated.
+	unrepeatableHost = "once.ledger.lab"
+	gatewayID        = "gateway"
+	callTimeout      = 30 * time.Second
+	uploadTimeout    = 10 * time.Minute
 )
 
 // member is a worker and the node beside it.
@@ -26,7 +26,7 @@
 	worker *worker.Worker
 }
 
-// mesh is a gateway node and some workers, each with its node.
+// mesh is a gateway node and several workers, each with its node.
 type mesh struct {
 	fleet   fleet
 	shape   serviceShape
@@ -34,18 +34,19 @@
 	members []member
 }
 
-// serviceShape is what the manifest of the service says.
+// serviceShape holds the settings of the service's manifest that differ between measurements.
 type serviceShape struct {
 	slots, queue int
 	slowStart    time.Duration
 }
 
-// connections is how many connections each worker accepts, as its manifest says: a worker that
-// closes connections within that number loses requests that nodes have written on them.
+// connections is how many connections each worker accepts, and the limit in its manifest. The two
+// must agree: a worker that closes connections below the limit loses requests that nodes have
+// already written on them.
 func (s serviceShape) connections() int { return worker.DefaultConnections + s.slots }
 
-// startMesh starts a gateway and the workers, and puts the routes in force. Close it, unless an
-// error is returned.
+// startMesh starts a gateway and the workers and brings the routes into force. The caller closes
+// the mesh, unless an error is returned.
 func startMesh(ctx context.Context, options Options, config worker.Config, shape serviceShape) (*mesh, error) {
 	f, err := newFleet(options)
 	if err != nil {
@@ -104,7 +105,7 @@
 			},
 		},
 		routeTo("any", serviceName, serviceHost, model.RepeatAlways),
-		routeTo("once", serviceName, onceHost, model.RepeatNever),
+		routeTo("once", serviceName, unrepeatableHost, model.RepeatNever),
 	}
 }
 
@@ -129,7 +130,8 @@
 	return workers
 }
 
-// processorTime returns what all nodes have used; false when they are no processes.
+// processorTime returns the processor time that all nodes have used; false when nodes are not
+// processes of their own.
 func (m *mesh) processorTime() (time.Duration, bool) {
 	total, ok := m.gateway.usage()
 	sum := total.Processor
--- a/internal/lab/load/mesh_test.go
+++ b/internal/lab/load/mesh_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestWorkersAcceptTheConnectionsOfTheirManifest guards against calls that are lost because a
-// worker closes connections that nodes may open by its manifest.
+// worker closes connections that its manifest allows nodes to open.
 func TestWorkersAcceptTheConnectionsOfTheirManifest(t *testing.T) {
 	t.Parallel()
 	shape := serviceShape{slots: 70, queue: 1}
--- a/internal/lab/load/meter.go
+++ b/internal/lab/load/meter.go
@@ -20,7 +20,7 @@
 	perMillisecond    = 1000.0
 )
 
-// meter collects times.
+// meter is a histogram of durations.
 type meter struct {
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -37,7 +37,7 @@
 	_ = m.histogram.RecordValue(microseconds)
 }
 
-// quantiles returns nil when nothing was recorded.
+// quantiles returns the quantiles in milliseconds; nil when nothing was recorded.
 func (m *meter) quantiles() *results.Quantiles {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// merge adds the times of another meter.
+// merge adds the durations of another meter.
 func (m *meter) merge(other *meter) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -83,7 +83,7 @@
 	return (values[middle-1] + values[middle]) / 2
 }
 
-// difference subtracts quantile from quantile; nil when one is missing.
+// difference subtracts each quantile of direct from that of through; nil when one is missing.
 func difference(through, direct *results.Quantiles) *results.Quantiles {
 	if through == nil || direct == nil {
 		return nil
@@ -95,54 +95,54 @@
 	}
 }
 
-// tally counts how calls ended, and the times of those that were answered.
+// tally counts the results of calls and records the latency of the answered ones.
 type tally struct {
 	mutex  sync.Mutex
 	counts Counts
 	notRun []string // identifiers of the calls that were refused as not run
 	times  *meter
-	// lastFailed is when a call last ended without its answer.
+	// lastFailed is when a call last ended without a correct answer.
 	lastFailed time.Time
 }
 
 func newTally() *tally { return &tally{times: newMeter()} }
 
-func (t *tally) add(id string, ended ending, length time.Duration) {
-	if ended.kind == endingAnswered {
+func (t *tally) add(id string, ended callResult, length time.Duration) {
+	if ended.kind == resultAnswered {
 		t.times.record(length)
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts.Calls++
-	if ended.kind != endingAnswered {
+	if ended.kind != resultAnswered {
 		t.lastFailed = time.Now()
 	}
 	if ended.reason != "" {
 		t.addReason(ended.reason, 1)
 	}
 	switch ended.kind {
-	case endingAnswered:
+	case resultAnswered:
 		t.counts.Answered++
-	case endingNotRun:
+	case resultNotRun:
 		t.counts.NotRun++
 		t.notRun = append(t.notRun, id)
-	case endingUnknown:
+	case resultUnknown:
 		t.counts.Unknown++
-		t.name(UnknownCall{ID: id, Reason: ended.reason, Detail: ended.detail, Milliseconds: length.Milliseconds()})
-	case endingWrong:
+		t.addUnknownCalls(UnknownCall{ID: id, Reason: ended.reason, Detail: ended.detail, Milliseconds: length.Milliseconds()})
+	case resultWrong:
 		t.counts.Wrong++
 	}
 }
 
-// maximumNamed bounds the calls that a tally names.
-const maximumNamed = 10
+// maxUnknownCalls bounds the calls with an unknown outcome that a tally lists.
+const maxUnknownCalls = 10
 
-func (t *tally) name(calls ...UnknownCall) {
-	room := maximumNamed - len(t.counts.UnknownCalls)
-	t.counts.UnknownCalls = append(t.counts.UnknownCalls, calls[:min(len(calls), room)]...)
+func (t *tally) addUnknownCalls(calls ...UnknownCall) {
+	free := maxUnknownCalls - len(t.counts.UnknownCalls)
+	t.counts.UnknownCalls = append(t.counts.UnknownCalls, calls[:min(len(calls), free)]...)
 }
 
-// merge adds the calls of another tally that has come to its end.
+// merge adds the calls of another tally, to which no more calls are added.
 func (t *tally) merge(other *tally) {
 	t.times.merge(other.times)
 	t.counts.Calls += other.counts.Calls
@@ -151,7 +151,7 @@
 	t.counts.Unknown += other.counts.Unknown
 	t.counts.Wrong += other.counts.Wrong
 	t.notRun = append(t.notRun, other.notRun...)
-	t.name(other.counts.UnknownCalls...)
+	t.addUnknownCalls(other.counts.UnknownCalls...)
 	for reason, count := range other.counts.Reasons {
 		t.addReason(reason, count)
 	}
@@ -164,20 +164,21 @@
 	t.counts.Reasons[reason] += count
 }
 
-// failedUntil returns how long after moment calls went on failing.
+// failedUntil returns the time from moment to the last failed call; zero if none failed after it.
 func (t *tally) failedUntil(moment time.Time) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return max(t.lastFailed.Sub(moment), 0)
 }
 
-// result returns the counts, with what the workers' records show of these calls.
+// result returns the counts, completed with the duplicate and false not-run counts that the
+// workers' execution records show.
 func (t *tally) result(seen executions) Counts {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts := t.counts
 	counts.Reasons = maps.Clone(counts.Reasons)
-	counts.Duplicates = seen.duplicates(isOnce)
+	counts.Duplicates = seen.duplicates(isUnrepeatable)
 	for _, id := range t.notRun {
 		if seen[id] > 0 {
 			counts.FalseNotRun++
--- a/internal/lab/load/options.go
+++ b/internal/lab/load/options.go
@@ -17,9 +17,9 @@
 const (
 	// ModeSteady compares direct calls with calls through two nodes.
 	ModeSteady Mode = "steady"
-	// ModeOverload goes up to three times the capacity of the workers.
+	// ModeOverload offers loads of up to three times the capacity of the workers.
 	ModeOverload Mode = "overload"
-	// ModeChain calls through six services of which the last one fails.
+	// ModeChain makes calls through a chain of six services of which the last one fails.
 	ModeChain Mode = "chain"
 	// ModeUpload sends larger and larger bodies and reads the memory of the nodes.
 	ModeUpload Mode = "upload"
@@ -62,11 +62,11 @@
 	Service               worker.Distribution
 	// UploadSizes are the bodies of ModeUpload, in bytes.
 	UploadSizes []int64
-	// Seed makes the moments of the calls the same again.
+	// Seed makes the start times of the calls reproducible.
 	Seed uint64
-	// Events takes the events of levertided processes, a line each; nil drops them.
+	// Events receives the events of levertided processes, one a line; nil discards them.
 	Events io.Writer
-	// Progress takes a line for each step; nil drops them.
+	// Progress receives a line for each step; nil discards them.
 	Progress io.Writer
 }
 
@@ -130,7 +130,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		rate, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
 		if err != nil || !(rate > 0) || rate > 1e6 {
-			return nil, ErrOptions.New("rate %q is no number above 0 and up to a million", part)
+			return nil, ErrOptions.New("rate %q: expected a number above 0 and at most a million", part)
 		}
 		rates = append(rates, rate)
 	}
@@ -143,7 +143,7 @@
 	for part := range strings.SplitSeq(text, ",") {
 		megabytes, err := strconv.ParseUint(strings.TrimSpace(part), 10, 20)
 		if err != nil || megabytes == 0 {
-			return nil, ErrOptions.New("size %q is no whole number of megabytes", part)
+			return nil, ErrOptions.New("size %q: expected a whole number of megabytes above 0", part)
 		}
 		sizes = append(sizes, int64(megabytes)<<20)
 	}
--- a/internal/lab/load/overload.go
+++ b/internal/lab/load/overload.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	overloadService  = 40 * time.Millisecond
-	overloadSpread   = 0.3
-	overloadDeadline = 500 * time.Millisecond
-	longestStep      = 5 * time.Second
-	pauseBetween     = 2 * time.Second
-	// unbounded stands for slots and queues that refuse nothing.
+	overloadServiceMedian = 40 * time.Millisecond
+	overloadServiceSigma  = 0.3
+	overloadDeadline      = 500 * time.Millisecond
+	longestStep           = 5 * time.Second
+	pauseBetween          = 2 * time.Second
+	// unbounded is a number of slots or queue places that is never reached, so that nothing is refused.
 	unbounded = 10_000
 	// callerPath is the path of small requests.
 	callerPath = "/balances"
 )
 
-// overloadMultiples are the offered loads as multiples of the capacity.
+// overloadMultiples are the offered loads, as multiples of the workers' capacity.
 var overloadMultiples = []float64{0.5, 0.8, 1, 1.5, 2, 3}
 
-// measureOverload runs the same loads twice: with admission, where the node
-// knows the slots and the worker refuses what is beyond them, and without,
-// where the node lets everything through and the worker queues it. All workers
-// are in one zone: without admission there is no load to spill over by.
+// measureOverload runs the same loads twice: with admission, where the node knows the slots and the
+// worker refuses requests beyond them, and without admission, where the node forwards everything
+// and the worker queues it. All workers are in one zone, because without admission nodes observe
+// no load that would make calls spill over to another zone.
 func measureOverload(ctx context.Context, options Options) (*Overload, error) {
-	service := worker.Distribution{Median: overloadService, Sigma: overloadSpread}
+	service := worker.Distribution{Median: overloadServiceMedian, Sigma: overloadServiceSigma}
 	slots := options.Slots
 	options.Zones = 1
 	result := &Overload{
@@ -89,7 +89,7 @@
 			ended := c.do(ctx, transport)
 			length := time.Since(moment)
 			seen.add(c.id, ended, length)
-			if ended.kind == endingAnswered && length <= overloadDeadline {
+			if ended.kind == resultAnswered && length <= overloadDeadline {
 				good.Add(1)
 			}
 		})
@@ -103,7 +103,7 @@
 	}
 }
 
-// shareOfPeak is the goodput of the last point over the best one.
+// shareOfPeak returns the goodput of the last point divided by the highest goodput.
 func shareOfPeak(points []OverloadPoint) *float64 {
 	peak := 0.0
 	for _, point := range points {
--- a/internal/lab/load/pacing.go
+++ b/internal/lab/load/pacing.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// pacing starts calls at the moments of a Poisson process.
+// pacing starts calls at the times of a Poisson process.
 type pacing struct {
 	rate     float64 // calls a second
 	duration time.Duration
 	seed     uint64
-	lateness *meter // nil when nobody asks
+	lateness *meter // nil when lateness is not measured
 }
 
-// run calls start in a goroutine of its own at each moment and waits for all.
+// run calls start at each scheduled time, in a goroutine of its own, and waits for all of them.
 func (p pacing) run(ctx context.Context, start func(index int, moment time.Time)) {
 	random := rand.New(rand.NewPCG(p.seed, uint64(p.rate)))
 	var calls sync.WaitGroup
@@ -25,7 +25,7 @@
 	for index := 0; ; index++ {
 		gap := random.ExpFloat64() / p.rate
 		elapsed += time.Duration(gap * float64(time.Second))
-		moment := began.Add(elapsed) // one for each call: calls keep it
+		moment := began.Add(elapsed) // a new variable for each call, since the call's goroutine captures it
 		if elapsed > p.duration || !sleepUntil(ctx, moment) {
 			return
 		}
@@ -36,7 +36,7 @@
 	}
 }
 
-// sleepUntil reports false when the context ended first.
+// sleepUntil waits until moment; it returns false when the context ended first.
 func sleepUntil(ctx context.Context, moment time.Time) bool {
 	left := time.Until(moment)
 	if left <= 0 {
--- a/internal/lab/load/report.go
+++ b/internal/lab/load/report.go
@@ -11,7 +11,7 @@
 // step of ModeSteady; what was not measured is nil.
 type Report struct {
 	results.Load
-	// Nodes tells what the calls went through.
+	// Nodes says what kind of nodes the calls went through, NodesProcesses or NodesInside.
 	Nodes    string       `json:"nodes"`
 	Seed     uint64       `json:"seed"`
 	Machine  Machine      `json:"machine"`
@@ -31,30 +31,31 @@
 	NodesInside    = "data planes inside the lab"
 )
 
-// Machine tells how busy the machine was with this and with other work.
+// Machine describes the machine and its load, by this run and by other work.
 type Machine struct {
 	Cores int `json:"cores"`
 	// The load averages are those of one minute, at the start and at the end;
-	// nil where the system tells none.
+	// nil where the system provides none.
 	LoadAtStart *float64 `json:"load_average_at_start"`
 	LoadAtEnd   *float64 `json:"load_average_at_end"`
 }
 
-// Counts are the calls of one kind by how they ended.
+// Counts are the calls of one kind by their result.
 type Counts struct {
 	Calls    int `json:"calls"`
 	Answered int `json:"answered"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
-	// Reasons counts the calls of both kinds by the reason that was given.
+	// Reasons counts the calls that ended as not run or unknown by the reason given.
 	Reasons map[outcome.Reason]int `json:"reasons,omitempty"`
-	// Wrong answers are not the whole answer to their own request, and said to be.
+	// Wrong counts answers that claim to be complete but are not the complete answer to their
+	// own request.
 	Wrong int `json:"wrong_answers"`
-	// Duplicates are requests that ran more than once although they must not.
+	// Duplicates counts unrepeatable requests that ran more than once.
 	Duplicates int `json:"duplicate_executions"`
-	// FalseNotRun are requests refused as not run that a worker has started.
+	// FalseNotRun counts requests that were refused as not run although a worker started them.
 	FalseNotRun int `json:"not_run_but_started"`
-	// UnknownCalls names some of the calls that are counted in Unknown.
+	// UnknownCalls lists some of the calls that are counted in Unknown.
 	UnknownCalls []UnknownCall `json:"unknown_calls,omitempty"`
 }
 
@@ -81,13 +82,13 @@
 	Through     Counts             `json:"through"`
 	DirectMS    *results.Quantiles `json:"direct_ms"`
 	ThroughMS   *results.Quantiles `json:"through_ms"`
-	// AddedMS is the median over the rounds of the difference between the
-	// quantiles of the two; a burst of other work on the machine spoils one
-	// round and not the step.
+	// AddedMS is the median over the rounds of the difference between the quantiles of
+	// ThroughMS and DirectMS, so that a burst of other work on the machine distorts one
+	// round and not the whole step.
 	AddedMS *results.Quantiles `json:"added_ms"`
 	// AddedRounds are the differences of each round.
 	AddedRounds []results.Quantiles `json:"added_rounds_ms"`
-	// LatenessMS is how late the lab itself started calls; it is part of both times.
+	// LatenessMS is how late the lab itself started calls; DirectMS and ThroughMS include it.
 	LatenessMS *results.Quantiles `json:"lateness_ms"`
 	// CallsPerCoreSecond is the calls for each second of processor time that all
 	// node processes used together.
@@ -96,12 +97,12 @@
 
 // Overload compares goodput at several multiples of the capacity.
 type Overload struct {
-	// CapacityPerSecond is worked out from slots and mean service time.
+	// CapacityPerSecond is computed from slots and mean service time.
 	CapacityPerSecond float64         `json:"capacity_per_second"`
 	DeadlineMS        float64         `json:"deadline_ms"`
 	Admission         []OverloadPoint `json:"with_admission"`
 	NoAdmission       []OverloadPoint `json:"without_admission"`
-	// The shares are the goodput at the highest load over the best goodput.
+	// The shares are the goodput at the highest load divided by the highest goodput.
 	ShareWith    *float64 `json:"share_of_peak_with_admission"`
 	ShareWithout *float64 `json:"share_of_peak_without_admission"`
 }
@@ -110,13 +111,14 @@
 type OverloadPoint struct {
 	Multiple         float64 `json:"multiple_of_capacity"`
 	OfferedPerSecond float64 `json:"offered_per_second"`
-	// GoodputPerSecond counts whole answers within the caller's deadline.
+	// GoodputPerSecond counts complete answers within the caller's deadline.
 	GoodputPerSecond float64            `json:"goodput_per_second"`
 	Counts           Counts             `json:"counts"`
 	AnsweredMS       *results.Quantiles `json:"answered_ms"`
 }
 
-// Chain compares calls that reach the failing end of a chain of services.
+// Chain compares how many calls reach the failing last service of a chain, with and without
+// the retry budget.
 type Chain struct {
 	Levels int         `json:"levels"`
 	Cases  []ChainCase `json:"cases"`
@@ -126,8 +128,8 @@
 type ChainCase struct {
 	FailedShare   float64 `json:"failed_share"`
 	RatePerSecond float64 `json:"rate_per_second"`
-	// Bound is the most calls at the last level for one call that the allowance
-	// of a call permits.
+	// Bound is the highest number of calls at the last level for one call at the top that
+	// the retry allowance of a call permits.
 	Bound    float64    `json:"bound_per_call"`
 	Budget   ChainPoint `json:"with_budget"`
 	NoBudget ChainPoint `json:"without_budget"`
@@ -141,7 +143,7 @@
 	Answered float64 `json:"answered_share"`
 }
 
-// Upload is the memory of the nodes against the size of a body.
+// Upload is the memory of the nodes for each size of a body.
 type Upload struct {
 	Points []UploadPoint `json:"points"`
 }
@@ -151,47 +153,51 @@
 type UploadPoint struct {
 	Bytes           int64    `json:"bytes"`
 	Seconds         float64  `json:"seconds"`
-	Complete           bool     `json:"whole"`
+	Complete        bool     `json:"whole"`
 	GatewayResident *float64 `json:"gateway_resident_mb"`
 	GatewayPeak     *float64 `json:"gateway_peak_mb"`
 	WorkerResident  *float64 `json:"worker_node_resident_mb"`
 	WorkerPeak      *float64 `json:"worker_node_peak_mb"`
 }
 
-// Rolling is what callers saw while every worker and node was replaced.
+// Rolling is what callers observed while every worker and node was replaced. Once counts the
+// requests that must not be repeated, Any those that may be.
 type Rolling struct {
 	Replaced int     `json:"replaced"`
 	Seconds  float64 `json:"seconds"`
 	Once     Counts  `json:"unrepeatable"`
 	Any      Counts  `json:"repeatable"`
-	// UploadsStarted and UploadsWhole count long uploads that were in flight.
+	// UploadsStarted counts the slow uploads made during the run, UploadsWhole those of them that
+	// were answered.
 	UploadsStarted int `json:"uploads_started"`
 	UploadsWhole   int `json:"uploads_whole"`
 	// UploadReasons are the reasons of uploads that were not answered.
 	UploadReasons map[outcome.Reason]int `json:"upload_reasons,omitempty"`
 	// Killed counts nodes that did not end by themselves.
 	Killed int `json:"killed"`
-	// ClosedConnections counts connections that workers closed for want of room. A call on
-	// one of them ends with an unknown outcome, whatever the nodes do.
+	// ClosedConnections counts connections that workers closed because they were at their limit.
+	// A call on one of them ends with an unknown outcome, whatever the nodes do.
 	ClosedConnections int `json:"closed_connections"`
 }
 
-// Crash is what callers saw while machines crashed.
+// Crash is what callers observed while machines crashed. Once counts the requests that must not
+// be repeated, Any those that may be.
 type Crash struct {
 	Events []CrashEvent `json:"events"`
 	Once   Counts       `json:"unrepeatable"`
 	Any    Counts       `json:"repeatable"`
 }
 
-// CrashEvent is the crash of some machines, worker and node together, at once.
+// CrashEvent is the simultaneous crash of Machines out of Of machines, worker and node together.
 type CrashEvent struct {
 	Machines int `json:"machines"`
 	Of       int `json:"of"`
-	// FailingMS is how long after it calls of either kind went on failing.
+	// FailingMS is the time from the crash to the last failed call of either kind.
 	FailingMS float64 `json:"calls_failed_for_ms"`
 }
 
-// FaultPoint is what callers saw while workers failed in one way.
+// FaultPoint is what callers observed while workers failed in one way. Once counts the requests
+// that must not be repeated, Any those that may be.
 type FaultPoint struct {
 	Fault worker.FaultKind `json:"fault"`
 	// Share is the part of the requests at each worker that fail.
--- a/internal/lab/load/rolling.go
+++ b/internal/lab/load/rolling.go
@@ -12,33 +12,33 @@
 )
 
 const (
-	rollingRate       = 100 // calls a second of each kind
-	rollingCold       = time.Second
-	rollingSuffix     = "-replacement"
-	rollingStopBound  = 2 * time.Minute
-	rollingAtOnce     = 3 // uploads
-	rollingUpload     = 4 << 20
-	rollingUploadTime = 5 * time.Second
+	rollingRate              = 100 // calls a second of each kind
+	rollingColdStart         = time.Second
+	rollingSuffix            = "-replacement"
+	rollingStopBound         = 2 * time.Minute
+	rollingConcurrentUploads = 3
+	rollingUploadBytes       = 4 << 20
+	rollingUploadTime        = 5 * time.Second
 	// rollingTail is how long calls go on after the last replacement.
 	rollingTail = 3 * time.Second
 )
 
 // rollingRun replaces every worker and node while calls go on.
 type rollingRun struct {
-	options   Options
-	mesh      *mesh
-	transport *http.Transport
-	target    atomic.Pointer[string]
-	once, any *tally
-	uploads   *tally
-	seen      executions
-	killed    int
+	options                  Options
+	mesh                     *mesh
+	transport                *http.Transport
+	target                   atomic.Pointer[string]
+	unrepeatable, repeatable *tally
+	uploads                  *tally
+	seen                     executions
+	killed                   int
 }
 
 func measureRolling(ctx context.Context, options Options) (*Rolling, error) {
-	config := worker.Config{Slots: options.Slots, Service: options.Service, ColdStart: rollingCold}
+	config := worker.Config{Slots: options.Slots, Service: options.Service, ColdStart: rollingColdStart}
 	m, err := startMesh(ctx, options, config, serviceShape{
-		slots: options.Slots, queue: 2 * options.Slots, slowStart: rollingCold,
+		slots: options.Slots, queue: 2 * options.Slots, slowStart: rollingColdStart,
 	})
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 func newRollingRun(options Options, m *mesh) *rollingRun {
 	run := &rollingRun{
 		options: options, mesh: m, transport: newTransport(),
-		once: newTally(), any: newTally(), uploads: newTally(), seen: executions{},
+		unrepeatable: newTally(), repeatable: newTally(), uploads: newTally(), seen: executions{},
 	}
 	address := m.gateway.callerAddress()
 	run.target.Store(&address)
@@ -63,8 +63,8 @@
 	began := time.Now()
 	calling, stop := context.WithCancel(ctx)
 	var load sync.WaitGroup
-	load.Go(func() { r.callOn(ctx, calling) })
-	load.Go(func() { r.uploadOn(ctx, calling) })
+	load.Go(func() { r.makeCalls(ctx, calling) })
+	load.Go(func() { r.makeUploads(ctx, calling) })
 	replaced, err := r.replaceAll(ctx, config)
 	sleepUntil(ctx, time.Now().Add(min(rollingTail, r.options.Duration)))
 	stop()
@@ -73,11 +73,11 @@
 		return nil, err
 	}
 	closed := closedConnections(r.mesh.workers())
-	r.seen.take(r.mesh.workers()...)
+	r.seen.collect(r.mesh.workers()...)
 	uploads := r.uploads.result(r.seen)
 	result := &Rolling{
 		Replaced: replaced, Seconds: time.Since(began).Seconds(),
-		Once: r.once.result(r.seen), Any: r.any.result(r.seen),
+		Once: r.unrepeatable.result(r.seen), Any: r.repeatable.result(r.seen),
 		UploadsStarted: uploads.Calls, UploadsWhole: uploads.Answered, UploadReasons: uploads.Reasons, Killed: r.killed,
 		ClosedConnections: closed,
 	}
@@ -85,7 +85,7 @@
 	return result, nil
 }
 
-// closedConnections adds up what workers closed for want of room.
+// closedConnections returns how many connections workers closed because they were at their limit.
 func closedConnections(workers []*worker.Worker) int {
 	sum := 0
 	for _, w := range workers {
@@ -95,8 +95,8 @@
 	return sum
 }
 
-// callOn makes calls until calling ends; calls under way end by themselves.
-func (r *rollingRun) callOn(ctx, calling context.Context) {
+// makeCalls starts calls until the context calling ends; calls in flight then run to their end.
+func (r *rollingRun) makeCalls(ctx, calling context.Context) {
 	endless := pacing{rate: 2 * rollingRate, duration: time.Hour, seed: r.options.Seed}
 	endless.run(calling, func(index int, moment time.Time) {
 		c := call{
@@ -104,40 +104,41 @@
 			method: http.MethodGet, host: serviceHost, path: callerPath,
 			target: *r.target.Load(), deadline: callTimeout,
 		}
-		into := r.any
+		into := r.repeatable
 		if index%2 == 0 {
-			c.id = fmt.Sprintf("post%s%d", onceMark, index)
-			c.method, c.host, c.size = http.MethodPost, onceHost, smallBody
-			into = r.once
+			c.id = fmt.Sprintf("post%s%d", unrepeatableMark, index)
+			c.method, c.host, c.size = http.MethodPost, unrepeatableHost, smallBodyBytes
+			into = r.unrepeatable
 		}
 		into.add(c.id, c.do(ctx, r.transport), time.Since(moment))
 	})
 }
 
-// uploadOn keeps some slow uploads under way until calling ends. One that is refused for
-// overload comes again, as the callers of such uploads do: what is measured is whether a
-// replacement cuts uploads off.
-func (r *rollingRun) uploadOn(ctx, calling context.Context) {
+// makeUploads keeps several slow uploads in flight until the context calling ends. An upload that
+// is refused for overload is retried, as the callers of such uploads do: what is measured is
+// whether a replacement cuts uploads off.
+func (r *rollingRun) makeUploads(ctx, calling context.Context) {
 	var uploads sync.WaitGroup
-	for lane := range rollingAtOnce {
+	for uploader := range rollingConcurrentUploads {
 		uploads.Go(func() {
 			for index := 0; calling.Err() == nil; index++ {
 				began := time.Now()
 				c := call{
-					id:     fmt.Sprintf("upload%s%d-%d", onceMark, lane, index),
-					method: http.MethodPost, host: onceHost, path: "/receipts",
-					target: *r.target.Load(), size: rollingUpload,
+					id:     fmt.Sprintf("upload%s%d-%d", unrepeatableMark, uploader, index),
+					method: http.MethodPost, host: unrepeatableHost, path: "/receipts",
+					target: *r.target.Load(), size: rollingUploadBytes,
 					pace: min(rollingUploadTime, r.options.Duration),
 				}
-				r.uploads.add(c.id, c.doThroughOverload(ctx, r.transport), time.Since(began))
+				r.uploads.add(c.id, c.doRetryingOverload(ctx, r.transport), time.Since(began))
 			}
 		})
 	}
 	uploads.Wait()
 }
 
-// replaceAll replaces the workers with their nodes one after another, and then
-// the gateway, to which callers turn before the old one stops.
+// replaceAll replaces the workers with their nodes one after another, and then the gateway;
+// callers switch to the new gateway before the old one stops. It returns how many machines it
+// replaced.
 func (r *rollingRun) replaceAll(ctx context.Context, config worker.Config) (int, error) {
 	old := append([]member(nil), r.mesh.members...)
 	for index, item := range old {
@@ -172,7 +173,7 @@
 	}
 }
 
-// failures lists what a planned stop must not do.
+// failures lists the effects that a planned stop must not have.
 func (r *Rolling) failures() []string {
 	var failures []string
 	if r.Once.Unknown > 0 {
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -8,8 +8,8 @@
 	"github.com/levertide/levertide/internal/lab/results"
 )
 
-// Run measures what the options ask for. A report with failures comes together
-// with an error of type ErrFailed.
+// Run carries out the measurements that the options name. It returns a report with failures
+// together with an error of type ErrFailed.
 func Run(ctx context.Context, options Options) (report Report, err error) {
 	options = options.withDefaults()
 	report = Report{Nodes: NodesInside, Seed: options.Seed}
@@ -26,7 +26,7 @@
 	report.fill()
 	report.Failures = report.failures()
 	if len(report.Failures) > 0 {
-		return report, ErrFailed.New("%d things must not happen: %v", len(report.Failures), report.Failures)
+		return report, ErrFailed.New("%d violations: %v", len(report.Failures), report.Failures)
 	}
 	return report, nil
 }
@@ -51,7 +51,7 @@
 	return err
 }
 
-// fill takes the figures of the last steady step to the top of the report.
+// fill copies the figures of the last steady step to the top of the report.
 func (r *Report) fill() {
 	if len(r.Steady) == 0 {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// failures lists what must not happen whatever the load is.
+// failures lists what was observed but must not happen at any load.
 func (r *Report) failures() []string {
 	failures := []string{}
 	note := func(where string, counts Counts) {
@@ -117,10 +117,10 @@
 
 func logStep(options Options, step Step) {
 	fmt.Fprintf(options.Progress, "steady %g calls/s: direct %s, through %s, added %s, lateness %s, through counts %+v\n",
-		step.RatePerNode, show(step.DirectMS), show(step.ThroughMS), show(step.AddedMS), show(step.LatenessMS), step.Through)
+		step.RatePerNode, formatQuantiles(step.DirectMS), formatQuantiles(step.ThroughMS), formatQuantiles(step.AddedMS), formatQuantiles(step.LatenessMS), step.Through)
 }
 
-func show(quantiles *results.Quantiles) string {
+func formatQuantiles(quantiles *results.Quantiles) string {
 	if quantiles == nil {
 		return "not measured"
 	}
--- a/internal/lab/load/steady.go
+++ b/internal/lab/load/steady.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	smallBody = 256
+	smallBodyBytes = 256
 	// postEvery makes one call in so many a request that must not be repeated.
 	postEvery = 5
 	warmUp    = 2 * time.Second
 )
 
-// steadyRun holds what ModeSteady needs: a mesh, and as many workers of the same
-// kind again for direct calls, so that neither takes the other's slots.
+// steadyRun holds the state of ModeSteady: a mesh, and an equal set of workers for direct calls,
+// so that direct calls and calls through the mesh do not compete for slots.
 type steadyRun struct {
 	options   Options
 	mesh      *mesh
@@ -56,7 +56,7 @@
 	return steps
 }
 
-// round is a part of a step.
+// round holds the measurements of one part of a step.
 type round struct {
 	direct, through *tally
 	lateness        *meter
@@ -114,7 +114,7 @@
 	return part
 }
 
-// issue makes one call; every fifth is a POST that must not be repeated.
+// issue makes one call; one in postEvery is a POST that must not be repeated.
 func (r *steadyRun) issue(ctx context.Context, into *tally, target string, number, index int, moment time.Time) {
 	c := call{
 		id:     fmt.Sprintf("any-%d-%d", number, index),
@@ -123,8 +123,8 @@
 		deadline: callTimeout,
 	}
 	if index%postEvery == 0 {
-		c.id = fmt.Sprintf("post%s%d-%d", onceMark, number, index)
-		c.method, c.host, c.size = http.MethodPost, onceHost, smallBody
+		c.id = fmt.Sprintf("post%s%d-%d", unrepeatableMark, number, index)
+		c.method, c.host, c.size = http.MethodPost, unrepeatableHost, smallBodyBytes
 	}
 	ended := c.do(ctx, r.transport)
 	into.add(c.id, ended, time.Since(moment))
--- a/internal/lab/load/upload.go
+++ b/internal/lab/load/upload.go
@@ -9,8 +9,8 @@
 	"github.com/levertide/levertide/internal/lab/worker"
 )
 
-// sampleEvery is how often memory is read while a body is on its way.
-const sampleEvery = 50 * time.Millisecond
+// sampleInterval is the time between readings of memory while a body is being sent.
+const sampleInterval = 50 * time.Millisecond
 
 // measureUpload sends one body after another, each larger than the one before,
 // through a gateway to the node of a worker.
@@ -29,49 +29,49 @@
 		point := m.upload(ctx, transport, index, size)
 		result.Points = append(result.Points, point)
 		fmt.Fprintf(options.Progress, "upload of %d MB: whole %v in %.2f s, gateway %s, worker's node %s\n",
-			size/megabyte, point.Complete, point.Seconds, showMegabytes(point.GatewayResident), showMegabytes(point.WorkerResident))
+			size/megabyte, point.Complete, point.Seconds, formatMegabytes(point.GatewayResident), formatMegabytes(point.WorkerResident))
 	}
 	return result, nil
 }
 
 func (m *mesh) upload(ctx context.Context, transport *http.Transport, index int, size int64) UploadPoint {
 	began := time.Now()
-	ended := make(chan ending, 1)
+	ended := make(chan callResult, 1)
 	go func() {
 		c := call{
-			id:     fmt.Sprintf("upload%s%d", onceMark, index),
-			method: http.MethodPost, host: onceHost, path: "/receipts",
+			id:     fmt.Sprintf("upload%s%d", unrepeatableMark, index),
+			method: http.MethodPost, host: unrepeatableHost, path: "/receipts",
 			target: m.gateway.callerAddress(), size: size,
 		}
 		ended <- c.do(ctx, transport)
 	}()
-	gateway, beside := &peakReader{node: m.gateway}, &peakReader{node: m.members[0].node}
-	ticker := time.NewTicker(sampleEvery)
+	gateway, workerNode := &peakReader{node: m.gateway}, &peakReader{node: m.members[0].node}
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		gateway.read()
-		beside.read()
+		workerNode.read()
 		select {
-		case how := <-ended:
-			return uploadPoint(size, began, how, gateway, beside)
+		case result := <-ended:
+			return uploadPoint(size, began, result, gateway, workerNode)
 		case <-ticker.C:
 		}
 	}
 }
 
-func uploadPoint(size int64, began time.Time, how ending, gateway, beside *peakReader) UploadPoint {
+func uploadPoint(size int64, began time.Time, result callResult, gateway, workerNode *peakReader) UploadPoint {
 	return UploadPoint{
 		Bytes:           size,
 		Seconds:         time.Since(began).Seconds(),
-		Complete:           how.kind == endingAnswered,
+		Complete:        result.kind == resultAnswered,
 		GatewayResident: megabytes(gateway.resident, gateway.measured),
 		GatewayPeak:     megabytes(gateway.peak, gateway.measured),
-		WorkerResident:  megabytes(beside.resident, beside.measured),
-		WorkerPeak:      megabytes(beside.peak, beside.measured),
+		WorkerResident:  megabytes(workerNode.resident, workerNode.measured),
+		WorkerPeak:      megabytes(workerNode.peak, workerNode.measured),
 	}
 }
 
-// peakReader keeps the highest memory that was read of a node.
+// peakReader holds the highest memory figures that were read from a node.
 type peakReader struct {
 	node           node
 	resident, peak uint64
@@ -85,7 +85,7 @@
 	r.measured = r.measured || ok
 }
 
-// failures lists bodies that did not arrive whole.
+// failures lists the uploads that were not answered.
 func (u *Upload) failures() []string {
 	var failures []string
 	for _, point := range u.Points {
@@ -96,7 +96,7 @@
 	return failures
 }
 
-func showMegabytes(value *float64) string {
+func formatMegabytes(value *float64) string {
 	if value == nil {
 		return "not measured"
 	}
