--- a/internal/lab/mesh/apply.go
+++ b/internal/lab/mesh/apply.go
@@ -26,19 +26,19 @@
 // outcomes maps exit codes to outcomes.
 var outcomes = []ApplyOutcome{ApplyAccepted, ApplyRejected, ApplyConflict, ApplyUnknown, ApplyUnreachable}
 
-// ApplyResult is what one run of the apply command told.
+// ApplyResult is what one run of the apply command reported.
 type ApplyResult struct {
 	Outcome ApplyOutcome
-	// Version is the number that the set was given; zero when none.
+	// Version is the number that the set was given; zero if it got none.
 	Version uint64
-	// Message is what the command told people.
+	// Message is the message that the command printed for people.
 	Message string
 	// Began and Ended are when the command started and ended.
 	Began time.Time
 	Ended time.Time
 }
 
-// applyReport is the part of the command's JSON output that is used.
+// applyReport holds the fields of the command's JSON output that Apply uses.
 type applyReport struct {
 	Version uint64 `json:"version"`
 	Message string `json:"message"`
@@ -66,13 +66,13 @@
 		OnErrorLine:  func(line []byte) { errorOutput.Write(append(line, '\n')) },
 	})
 	if err != nil {
-		return ApplyResult{}, ErrCommand.Wrap(err, "apply")
+		return ApplyResult{}, ErrCommand.Wrap(err, "start levertide apply")
 	}
 	select {
 	case <-running.Done():
 	case <-ctx.Done():
 		running.Kill()
-		return ApplyResult{}, ErrCommand.Wrap(ctx.Err(), "apply")
+		return ApplyResult{}, ErrCommand.Wrap(ctx.Err(), "wait for levertide apply")
 	}
 	result.Ended = time.Now()
 	result.Outcome = outcomeOf(running.ExitCode())
--- a/internal/lab/mesh/certificates.go
+++ b/internal/lab/mesh/certificates.go
@@ -11,13 +11,13 @@
 // certificateValidity is longer than any run.
 const certificateValidity = 24 * time.Hour
 
-// certificates are throw-away certificates of the nodes of one mesh.
+// certificates issues temporary certificates to the nodes of one mesh.
 type certificates struct {
 	directory string
 	authority *identity.Authority
 }
 
-// newCertificates makes an authority and a directory for what it issues.
+// newCertificates creates an authority, and a directory for the files that it issues.
 func newCertificates() (*certificates, error) {
 	authority, err := identity.GenerateAuthority()
 	if err != nil {
@@ -25,12 +25,12 @@
 	}
 	directory, err := os.MkdirTemp("", "levertide-certificates-")
 	if err != nil {
-		return nil, ErrCertificates.Wrap(err, "directory")
+		return nil, ErrCertificates.Wrap(err, "create the directory")
 	}
 	return &certificates{directory: directory, authority: authority}, nil
 }
 
-// issue writes the files of one node.
+// issue issues a certificate to one node and writes its files.
 func (c *certificates) issue(region string, node *Node) (identity.Files, error) {
 	holder := identity.Identity{Region: region, Zone: node.Zone, Role: identity.RoleNode, Node: node.Name}
 	bundle, err := c.authority.Issue(holder, certificateValidity)
@@ -40,5 +40,5 @@
 	return bundle.Write(filepath.Join(c.directory, node.Name))
 }
 
-// remove removes everything that was issued.
+// remove deletes all issued files.
 func (c *certificates) remove() { _ = os.RemoveAll(c.directory) }
--- a/internal/lab/mesh/errors.go
+++ b/internal/lab/mesh/errors.go
@@ -5,20 +5,21 @@
 // errorsNamespace holds the error types of this package.
 var errorsNamespace = errorx.NewNamespace("lab_mesh")
 
-// ErrPorts tells that no free ports were found.
+// ErrPorts reports that no free ports were found, or that the store stand-in cannot listen on
+// its port or be reached there.
 var ErrPorts = errorsNamespace.NewType("ports")
 
-// ErrNoNode tells that a node's name is not known.
+// ErrNoNode reports an unknown node name.
 var ErrNoNode = errorsNamespace.NewType("no_node")
 
-// ErrWorker tells that a worker did not say where it listens.
+// ErrWorker reports that a worker did not report where it listens.
 var ErrWorker = errorsNamespace.NewType("worker")
 
-// ErrCommand tells that the levertide command could not be run or understood.
+// ErrCommand reports that the levertide command could not be run.
 var ErrCommand = errorsNamespace.NewType("command")
 
-// ErrCertificates tells that certificates could not be written.
+// ErrCertificates reports that certificates could not be written.
 var ErrCertificates = errorsNamespace.NewType("certificates")
 
-// ErrMetrics tells that the metrics of a node could not be read.
+// ErrMetrics reports that the metrics of a node could not be read.
 var ErrMetrics = errorsNamespace.NewType("metrics")
--- a/internal/lab/mesh/mesh.go
+++ b/internal/lab/mesh/mesh.go
@@ -25,31 +25,31 @@
 	// FirstZone is the number of the deployment's first zone. Meshes that run
 	// at the same time have different ones.
 	FirstZone fabric.ZoneNumber
-	// Processes takes every process that the mesh starts.
+	// Processes is the group in which the mesh starts every process.
 	Processes *process.Group
-	// Recorder takes the events of every node.
+	// Recorder receives the events of every node.
 	Recorder *observe.Recorder
-	// OnErrorLine, when set, also takes each line that a node writes.
+	// OnErrorLine, when set, also receives each line that a node writes to standard error.
 	OnErrorLine func(node string, line []byte)
 }
 
 // stopBound is how long a process may take to end before it is killed.
 const stopBound = 15 * time.Second
 
-// Mesh is one running deployment. Its methods may be called from several
-// goroutines, those that concern one node only from one at a time.
+// Mesh is one running deployment. Its methods are safe for concurrent use, except that those
+// concerning the same node must be called from one goroutine at a time.
 type Mesh struct {
 	options Options
 	links   *fabric.Links
 	store   *storeStandIn
 	nodes   []*Node
-	// certificates is nil when nodes speak without TLS.
+	// certificates is nil when nodes communicate without TLS.
 	certificates *certificates
 }
 
-// Start starts the store stand-in, the workers and the nodes; it does not wait
-// until nodes are ready. Close ends the mesh, also one that Start could not
-// start completely. It fails with the error of what could not be started.
+// Start starts the store stand-in, the workers and the nodes; it does not wait until nodes are
+// ready. The caller ends the mesh with Close; a mesh that Start could not start completely is
+// closed by Start itself. It fails with the error of the part that could not be started.
 func Start(ctx context.Context, options Options) (*Mesh, error) {
 	mesh := &Mesh{options: options, links: newLinks(options)}
 	if err := mesh.start(ctx); err != nil {
@@ -59,7 +59,7 @@
 	return mesh, nil
 }
 
-// newLinks returns the delays of the deployment.
+// newLinks returns links with the delays of the deployment.
 func newLinks(options Options) *fabric.Links {
 	links := fabric.NewLinks(options.Deployment.ZoneDelay)
 	for i := range options.Deployment.Zones {
@@ -70,10 +70,10 @@
 	return links
 }
 
-// start starts everything in order.
+// start starts the store, the workers and the nodes, in this order.
 func (m *Mesh) start(ctx context.Context) error {
-	m.layOut()
-	base, err := freeBase(m.addresses())
+	m.placeNodes()
+	base, err := freeBasePort(m.addresses())
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// issueCertificates gives every node its certificate if the deployment asks for that.
+// issueCertificates issues a certificate to every node if the deployment uses TLS.
 func (m *Mesh) issueCertificates() error {
 	if !m.options.Deployment.TLS {
 		return nil
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// layOut names the nodes and spreads them over the zones.
-func (m *Mesh) layOut() {
+// placeNodes creates the nodes with their names and spreads them over the zones.
+func (m *Mesh) placeNodes() {
 	deployment := m.options.Deployment
 	perZone := make([]uint8, len(deployment.Zones))
 	place := func(name, service string) {
@@ -154,10 +154,10 @@
 	return addresses
 }
 
-// seedCount is how many other nodes a node is told of at its start.
+// seedCount is the number of other nodes whose addresses a node gets at its start.
 const seedCount = 3
 
-// seedsFor returns control addresses of some other nodes of other hosts.
+// seedsFor returns the control addresses of up to seedCount other nodes, which are on other hosts.
 func (m *Mesh) seedsFor(node *Node) []string {
 	var seeds []string
 	for _, other := range m.nodes {
@@ -196,7 +196,7 @@
 	return selected, nil
 }
 
-// ZoneNumber returns the number of a zone of the deployment.
+// ZoneNumber returns the number of a zone of the deployment; zero if it has no such zone.
 func (m *Mesh) ZoneNumber(name string) fabric.ZoneNumber {
 	for i, zone := range m.options.Deployment.Zones {
 		if zone == name {
@@ -220,7 +220,8 @@
 	return names
 }
 
-// Close ends the relays and the store stand-in. Processes are ended by their group.
+// Close heals all cuts, ends the relays and the store stand-in and deletes the certificates.
+// Processes are ended by their group.
 func (m *Mesh) Close() {
 	m.links.HealAll()
 	for _, node := range m.nodes {
--- a/internal/lab/mesh/metrics.go
+++ b/internal/lab/mesh/metrics.go
@@ -11,16 +11,16 @@
 	"github.com/levertide/levertide/internal/lab/results"
 )
 
-// Names in the metrics of a node.
+// Names of the metrics of a node that are read.
 const (
 	metricControlBytes  = "levertide_control_bytes_total"
 	metricStoreRequests = "levertide_store_requests_total"
 )
 
-// NodeCounters are running totals of one node's process.
+// NodeCounters are totals of one node's process since it started.
 type NodeCounters struct {
-	// Bytes are control bytes of both directions under all roles, and
-	// HighestRole is the largest role that any were counted under.
+	// Bytes are the control bytes of both directions and all roles, and HighestRole is the
+	// highest role for which any were counted.
 	Bytes         float64
 	HighestRole   string
 	StoreRequests float64
@@ -36,17 +36,17 @@
 func ReadCounters(ctx context.Context, adminAddress string) (NodeCounters, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+adminAddress+"/metrics", nil)
 	if err != nil {
-		return NodeCounters{}, ErrMetrics.Wrap(err, "request")
+		return NodeCounters{}, ErrMetrics.Wrap(err, "create the metrics request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return NodeCounters{}, ErrMetrics.Wrap(err, "read")
+		return NodeCounters{}, ErrMetrics.Wrap(err, "request metrics")
 	}
 	defer func() { _ = response.Body.Close() }()
 	return parseCounters(response.Body)
 }
 
-// parseCounters reads the text form of metrics.
+// parseCounters reads metrics in the text format.
 func parseCounters(source io.Reader) (NodeCounters, error) {
 	var counters NodeCounters
 	lines := bufio.NewScanner(source)
@@ -62,12 +62,12 @@
 		counters.add(name, value)
 	}
 	if err := lines.Err(); err != nil {
-		return NodeCounters{}, ErrMetrics.Wrap(err, "read")
+		return NodeCounters{}, ErrMetrics.Wrap(err, "read metrics")
 	}
 	return counters, nil
 }
 
-// add takes one sample.
+// add adds one sample.
 func (c *NodeCounters) add(name string, value float64) {
 	switch {
 	case name == metricStoreRequests:
@@ -78,15 +78,15 @@
 	}
 }
 
-// higherRole returns the higher of a role and the one that a sample's labels name.
+// higherRole returns the higher of the role known so far and the role in a sample's labels.
 func higherRole(known, labels string) string {
 	highest := known
-	seen := known == ""
+	reachedKnown := known == ""
 	for _, role := range results.Roles() {
 		if role == known {
-			seen = true
+			reachedKnown = true
 		}
-		if seen && strings.Contains(labels, `role="`+role+`"`) {
+		if reachedKnown && strings.Contains(labels, `role="`+role+`"`) {
 			highest = role
 		}
 	}
--- a/internal/lab/mesh/node.go
+++ b/internal/lab/mesh/node.go
@@ -18,11 +18,13 @@
 
 // Node is one node of the mesh and, unless it is a gateway, its worker.
 type Node struct {
-	// Name is the node's identifier, Service that of its worker, empty for a gateway.
+	// Name is the node's identifier, Service the name of its worker's service, empty for a gateway.
 	Name    string
 	Service string
 	Zone    string
 
+	// number is the number of Zone, host the node's host number in it, and base
+	// the base port of the deployment.
 	mesh   *Mesh
 	number fabric.ZoneNumber
 	host   uint8
@@ -31,38 +33,38 @@
 	files  identity.Files
 	relays []*fabric.Relay
 
-	// change is held while the process is started or ended, so that a start
-	// waits until the process before has ended.
-	change  sync.Mutex
-	mutex   sync.Mutex
-	process *process.Process
+	// lifecycle is held while the process is started or ended, so that a start
+	// waits until the previous process has ended.
+	lifecycle sync.Mutex
+	mutex     sync.Mutex
+	process   *process.Process
 }
 
 // address returns the node's IP address.
 func (n *Node) address() netip.Addr { return fabric.Address(n.number, n.host) }
 
-// at returns IP:port of one of the node's ports.
-func (n *Node) at(offset int) string { return fabric.HostPort(n.number, n.host, n.base+offset) }
+// hostPort returns the IP:port of the node's port with the given offset.
+func (n *Node) hostPort(offset int) string { return fabric.HostPort(n.number, n.host, n.base+offset) }
 
 // CallerAddress is where callers reach the node; they add the delays themselves
 // with a fabric.Dialer.
-func (n *Node) CallerAddress() string { return n.at(offsetCaller) }
+func (n *Node) CallerAddress() string { return n.hostPort(offsetCaller) }
 
 // CallAddress is where other nodes send calls.
-func (n *Node) CallAddress() string { return n.at(offsetCall) }
+func (n *Node) CallAddress() string { return n.hostPort(offsetCall) }
 
 // ControlAddress is where other nodes send control messages.
-func (n *Node) ControlAddress() string { return n.at(offsetControl) }
+func (n *Node) ControlAddress() string { return n.hostPort(offsetControl) }
 
 // AdminAddress is where metrics and status are served, without any delay.
-func (n *Node) AdminAddress() string { return n.at(offsetAdmin) }
+func (n *Node) AdminAddress() string { return n.hostPort(offsetAdmin) }
 
-// Worker returns a client of the worker's control; nil for a gateway.
+// Worker returns a client of the worker's control interface; nil for a gateway.
 func (n *Node) Worker() *worker.Client {
 	if n.Service == "" {
 		return nil
 	}
-	return worker.NewClient(n.at(offsetWorkerControl))
+	return worker.NewClient(n.hostPort(offsetWorkerControl))
 }
 
 // workerStartBound is how long a worker may take to listen.
@@ -94,13 +96,13 @@
 	case <-listening:
 		return nil
 	case <-running.Done():
-		return ErrWorker.New("%s ended at once", running.Name())
+		return ErrWorker.New("%s ended before it listened", running.Name())
 	case <-ctx.Done():
-		return ErrWorker.Wrap(ctx.Err(), "%s does not listen", running.Name())
+		return ErrWorker.Wrap(ctx.Err(), "%s did not listen in time", running.Name())
 	}
 }
 
-// Times that a request takes at a worker.
+// Distribution of the service time of a request at a worker.
 const (
 	serviceMedian = 4 * time.Millisecond
 	serviceSigma  = 0.5
@@ -108,27 +110,27 @@
 
 // workerArguments returns the command line of the worker.
 func (n *Node) workerArguments() []string {
-	described := n.mesh.options.Deployment.Worker
+	spec := n.mesh.options.Deployment.Worker
 	return []string{
 		"worker",
 		"--id", n.Name,
-		"--listen", n.at(offsetWorker),
-		"--control-listen", n.at(offsetWorkerControl),
-		"--slots", fmt.Sprint(described.Slots),
-		"--connections", fmt.Sprint(described.Connections),
+		"--listen", n.hostPort(offsetWorker),
+		"--control-listen", n.hostPort(offsetWorkerControl),
+		"--slots", fmt.Sprint(spec.Slots),
+		"--connections", fmt.Sprint(spec.Connections),
 		"--service-median", serviceMedian.String(),
 		"--service-sigma", fmt.Sprint(serviceSigma),
 	}
 }
 
-// Start starts the node's process once the one before has ended. The relays in
+// Start starts the node's process once the previous one has ended. The relays in
 // front of it open as soon as it listens.
 func (n *Node) Start() error {
-	n.change.Lock()
-	defer n.change.Unlock()
-	if before := n.running(); before != nil {
-		<-before.Done()
-		n.gone()
+	n.lifecycle.Lock()
+	defer n.lifecycle.Unlock()
+	if previous := n.currentProcess(); previous != nil {
+		<-previous.Done()
+		n.markEnded()
 	}
 	n.makeRelays()
 	options := n.mesh.options
@@ -160,8 +162,8 @@
 		"--region", n.mesh.options.Deployment.Region,
 		"--zone", n.Zone,
 		"--caller-address", n.CallerAddress(),
-		"--call-address", n.at(offsetCallBehind),
-		"--control-address", n.at(offsetControlBehind),
+		"--call-address", n.hostPort(offsetCallTarget),
+		"--control-address", n.hostPort(offsetControlTarget),
 		"--admin-address", n.AdminAddress(),
 		"--advertise-call-address", n.CallAddress(),
 		"--advertise-control-address", n.ControlAddress(),
@@ -176,24 +178,24 @@
 	if n.Service == "" {
 		return append(arguments, "--gateway")
 	}
-	return append(arguments, "--service", n.Service, "--worker-address", n.at(offsetWorker))
+	return append(arguments, "--service", n.Service, "--worker-address", n.hostPort(offsetWorker))
 }
 
-// makeRelays makes the relays in front of the node's listeners, once.
+// makeRelays creates the relays in front of the node's listeners unless they exist already.
 func (n *Node) makeRelays() {
 	if n.relays == nil {
 		for offset := offsetCall; offset <= offsetControl; offset++ {
 			n.relays = append(n.relays, fabric.NewRelay(fabric.RelayOptions{
 				Links:  n.mesh.links,
 				Zone:   n.number,
-				Listen: n.at(offset),
-				Target: n.at(offset + offsetCallBehind),
+				Listen: n.hostPort(offset),
+				Target: n.hostPort(offset + offsetCallTarget),
 			}))
 		}
 	}
 }
 
-// openWhenListening opens the relays when a line tells that the process listens.
+// openWhenListening opens the relays when the line is the event that the process listens.
 func (n *Node) openWhenListening(line []byte) {
 	event, ok := observe.ParseEvent(line)
 	if !ok || event.Number != observe.EventListening {
@@ -217,7 +219,7 @@
 
 // Running reports whether the node's process runs.
 func (n *Node) Running() bool {
-	present := n.running()
+	present := n.currentProcess()
 	if present == nil {
 		return false
 	}
@@ -229,50 +231,52 @@
 	}
 }
 
-// Kill ends the node's process as a crash does. Its worker goes on.
+// Kill ends the node's process as a crash does. Its worker keeps running.
 func (n *Node) Kill() {
-	n.change.Lock()
-	defer n.change.Unlock()
-	n.running().Kill()
-	n.gone()
+	n.lifecycle.Lock()
+	defer n.lifecycle.Unlock()
+	n.currentProcess().Kill()
+	n.markEnded()
 }
 
-// running returns the node's present or last process.
-func (n *Node) running() *process.Process {
+// currentProcess returns the node's process, which may have ended already; nil before the first start.
+func (n *Node) currentProcess() *process.Process {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.process
 }
 
-// Stop ends the node's process as planned. It reports whether the process
-// ended by itself in time.
+// Stop ends the node's process as planned. It reports whether the process ended by itself within
+// stopBound with exit code 0.
 func (n *Node) Stop() bool {
-	n.change.Lock()
-	defer n.change.Unlock()
-	stopping := n.running()
+	n.lifecycle.Lock()
+	defer n.lifecycle.Unlock()
+	stopping := n.currentProcess()
 	orderly := stopping.Stop(stopBound)
-	n.gone()
+	n.markEnded()
 	return orderly && stopping.ExitCode() == 0
 }
 
-// gone makes dials to the node fail, as they do once a process has ended.
-func (n *Node) gone() {
+// markEnded makes dials to the node fail, as they do once a process has ended, and records that
+// the node has ended.
+func (n *Node) markEnded() {
 	for _, relay := range n.relays {
 		relay.CloseListener()
 	}
 	n.mesh.options.Recorder.Gone(n.Name)
 }
 
-// Pause stops the process without ending it, and Resume lets it go on.
+// Pause suspends the node's process; Resume continues it.
 func (n *Node) Pause() { n.signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (n *Node) Resume() { n.signal(syscall.SIGCONT) }
 
 // signal sends a signal to the node's process.
-func (n *Node) signal(signal syscall.Signal) { n.running().Signal(signal) }
+func (n *Node) signal(signal syscall.Signal) { n.currentProcess().Signal(signal) }
 
-// Usage returns what the node's process has used. It fails with process.ErrUsage.
+// Usage returns the processor time and memory that the node's process uses. It fails with
+// process.ErrUsage.
 func (n *Node) Usage() (process.Usage, error) {
-	return n.running().Usage()
+	return n.currentProcess().Usage()
 }
--- a/internal/lab/mesh/ports.go
+++ b/internal/lab/mesh/ports.go
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// Offsets of a node's ports from the base port of its deployment. Relays
-// listen on the first two, the processes on the others.
+// Offsets of a node's ports from the base port of its deployment. Relays listen on the first two
+// and forward to the next two; the processes listen on all but the first two.
 const (
 	offsetCall = iota
 	offsetControl
-	offsetCallBehind
-	offsetControlBehind
+	offsetCallTarget
+	offsetControlTarget
 	offsetCaller
 	offsetAdmin
 	offsetWorker
@@ -21,16 +21,16 @@
 	portsPerNode
 )
 
-// Base ports are below the ports that the kernel gives to outgoing connections.
+// Base ports are below the range from which the kernel takes ports of outgoing connections.
 const (
 	lowestBase   = 10000
 	highestBase  = 30000
 	portAttempts = 100
 )
 
-// freeBase returns a base port whose ports are free on every address given. It
+// freeBasePort returns a base port from which portsPerNode ports are free on every address given. It
 // fails with ErrPorts.
-func freeBase(addresses []netip.Addr) (int, error) {
+func freeBasePort(addresses []netip.Addr) (int, error) {
 	for range portAttempts {
 		base := lowestBase + rand.IntN((highestBase-lowestBase)/portsPerNode)*portsPerNode
 		if allFree(addresses, base) {
@@ -40,7 +40,7 @@
 	return 0, ErrPorts.New("no %d free ports in a row after %d attempts", portsPerNode, portAttempts)
 }
 
-// allFree reports whether every port from the base on can be listened on.
+// allFree reports whether portsPerNode ports from the base on are free on every address.
 func allFree(addresses []netip.Addr, base int) bool {
 	for _, address := range addresses {
 		for offset := range portsPerNode {
--- a/internal/lab/mesh/store.go
+++ b/internal/lab/mesh/store.go
@@ -14,11 +14,13 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// storeStandIn is the platform's store, with the network in front of it.
+// storeStandIn is a stand-in for the platform's store, with a relay in front of it that applies the
+// network delays.
 type storeStandIn struct {
 	server *platform.Server
 	relay  *fabric.Relay
-	// address is where nodes reach the store; direct has no delay.
+	// address is where nodes reach the store, through the relay; direct is its own address,
+	// without delays.
 	address string
 	direct  string
 }
@@ -32,7 +34,7 @@
 	direct, err := started.server.Listen(fabric.HostPort(fabric.ZonePlatform, uint8(firstZone), base+1))
 	if err != nil {
 		started.server.Close()
-		return nil, ErrPorts.Wrap(err, "store stand-in")
+		return nil, ErrPorts.Wrap(err, "listen for the store stand-in")
 	}
 	started.direct = direct
 	started.relay = fabric.NewRelay(fabric.RelayOptions{
@@ -48,7 +50,7 @@
 	return started, nil
 }
 
-// register puts a node on the machine list.
+// register adds a node to the platform's list of machines.
 func (s *storeStandIn) register(node *Node) {
 	host, port, _ := net.SplitHostPort(node.CallAddress())
 	number, _ := strconv.Atoi(port)
@@ -73,14 +75,14 @@
 	s.server.Close()
 }
 
-// StoreCounters returns what was asked of the store from outside.
+// StoreCounters returns the counts of the requests that the store received.
 func (m *Mesh) StoreCounters() platform.Counters { return m.store.server.Counters() }
 
-// nodeClientPrefix begins the name that every node gives itself at the store.
+// nodeClientPrefix is the prefix of the client name that every node sends to the store.
 const nodeClientPrefix = "levertided/"
 
-// NodesAskingStore returns how many nodes have asked the store anything since
-// its counters were reset.
+// NodesAskingStore returns how many nodes have sent the store a request since its counters were
+// reset.
 func (m *Mesh) NodesAskingStore() int {
 	nodes := 0
 	for client := range m.StoreCounters().ByClient {
@@ -91,7 +93,8 @@
 	return nodes
 }
 
-// SetStoreOutage makes the store refuse connections, or ends that.
+// SetStoreOutage makes the store refuse connections while down is true, and accept them again
+// afterwards.
 func (m *Mesh) SetStoreOutage(down bool) {
 	if down {
 		m.store.relay.CloseListener()
@@ -102,28 +105,28 @@
 	_ = m.store.relay.Open()
 }
 
-// SlowStore delays each answer of the store; a zero delay ends that.
+// SlowStore delays each answer of the store; a zero delay ends the delays.
 func (m *Mesh) SlowStore(slow experiment.Slow) {
 	m.store.server.SetFaults(platform.Faults{Delay: slow.Delay})
 }
 
-// LoseAnswers makes the store lose the answers of the next transactions, which
-// take effect.
+// LoseAnswers makes the store carry out the next transactions without answering them.
 func (m *Mesh) LoseAnswers(lost experiment.Lost) {
 	m.store.server.SetFaults(platform.Faults{LoseAnswers: lost.Count, OnlyPath: wire.PathTransaction})
 }
 
-// AwaitStore waits until the store takes connections.
+// AwaitStore opens one connection to the store, to check that it accepts connections. It fails with
+// ErrPorts.
 func (m *Mesh) AwaitStore(ctx context.Context) error {
 	var dialer net.Dialer
 	open, err := dialer.DialContext(ctx, "tcp4", m.store.direct)
 	if err != nil {
-		return ErrPorts.Wrap(err, "store stand-in")
+		return ErrPorts.Wrap(err, "connect to the store stand-in")
 	}
 	return open.Close()
 }
 
-// ResetStoreCounters starts to count the store's requests anew.
+// ResetStoreCounters resets the counts of the store's requests to zero.
 func (m *Mesh) ResetStoreCounters() { m.store.server.ResetCounters() }
 
 // CommittedVersions reads from the store which versions were committed. It
