--- a/internal/lab/demo/command.go
+++ b/internal/lab/demo/command.go
@@ -17,9 +17,9 @@
 	"github.com/levertide/levertide/internal/lab/results"
 )
 
-// zonesApart is how far apart the zone numbers of experiments are that run at
+// zoneNumberSpacing is the distance between the first zone numbers of experiments that run at
 // the same time.
-const zonesApart = 50
+const zoneNumberSpacing = 50
 
 // demoExperiments are the experiments of the demo, in the examples directory.
 var demoExperiments = []string{"experiments/vennema.yaml", "experiments/blue-mahoe.yaml"}
@@ -72,7 +72,7 @@
 	}
 }
 
-// findPrograms returns the programs beside this one. It fails with ErrPrograms.
+// findPrograms returns the programs in the directory of this one. It fails with ErrPrograms.
 func findPrograms() (mesh.Programs, error) {
 	own, err := os.Executable()
 	if err != nil {
@@ -91,8 +91,8 @@
 	return programs, nil
 }
 
-// runAll carries out experiments at the same time. It fails with ErrChecks when
-// a check did not hold.
+// runAll runs experiments at the same time, prints their summaries and writes their results to the
+// directory, if one is given. It fails with ErrChecks when a check did not hold.
 func runAll(ctx context.Context, files []*experiment.File, output io.Writer, directory string) error {
 	programs, err := findPrograms()
 	if err != nil {
@@ -106,7 +106,7 @@
 		running.Go(func() {
 			outcomes[i], failures[i] = Run(ctx, Options{
 				File: file, Programs: programs, Progress: progress,
-				FirstZone: fabric.ZoneNumber(1 + i*zonesApart),
+				FirstZone: fabric.ZoneNumber(1 + i*zoneNumberSpacing),
 			})
 		})
 	}
--- a/internal/lab/demo/conclude.go
+++ b/internal/lab/demo/conclude.go
@@ -12,14 +12,14 @@
 	"github.com/levertide/levertide/internal/lab/worker"
 )
 
-// Bounds that checks compare with.
+// Limits of the checks, and of the number of notices in a result.
 const (
-	mostReaders      = 3
+	maxReaders       = 3
 	convergenceBound = results.BudgetConvergenceMilliseconds
 	maxNotices       = 20
 )
 
-// conclude checks everything and returns the result.
+// conclude runs the final checks, stops every process and returns the result.
 func (r *run) conclude(ctx context.Context) *results.Experiment {
 	result := &results.Experiment{
 		Experiment: r.file.Name,
@@ -45,19 +45,19 @@
 	return result
 }
 
-// readersWindow is the time over which readers are counted. It holds the commit
-// of a version, on which every reader asks the store again.
+// readersWindow is the time over which readers are counted. It is long enough to include the commit
+// of a version, on which every reader sends the store a request again.
 const readersWindow = time.Second
 
-// countReaders counts the nodes that ask the store around the commit of a
-// version, once, before the first fault; after it nodes take the part over from
+// countReaders counts the nodes that send the store requests around the commit of a version. It is
+// called once, before the first fault, since after a fault nodes take over the role of reader from
 // one another.
 func (r *run) countReaders(ctx context.Context) {
 	pause(ctx, readersWindow)
 	r.readers = r.mesh.NodesAskingStore()
 }
 
-// checkNotices checks that no node failed to start and that no part of one failed.
+// checkNotices checks that no node failed to start and that no part of a node failed.
 func (r *run) checkNotices() {
 	failed := 0
 	for _, notice := range r.recorder.Notices() {
@@ -68,25 +68,25 @@
 	r.check("no-part-failed", failed == 0, "%d starts or parts of nodes failed", failed)
 }
 
-// concludeStore notes the store's requests and its readers.
+// concludeStore records the request rate of the store and checks the number of its readers.
 func (r *run) concludeStore(result *results.Experiment) {
 	counters := r.mesh.StoreCounters()
 	rate := float64(counters.Total) / time.Since(counters.Since).Seconds()
 	result.StoreRequests = &rate
 	result.StoreReaders = &r.readers
-	r.check("store-readers", r.readers > 0 && r.readers <= mostReaders,
-		"%d nodes asked the store around the commit of a version before the first fault, at most %d may", r.readers, mostReaders)
+	r.check("store-readers", r.readers > 0 && r.readers <= maxReaders,
+		"%d nodes asked the store around the commit of a version before the first fault, at most %d may", r.readers, maxReaders)
 }
 
-// concludeVersions checks versions and works out convergence.
+// concludeVersions checks the versions on the nodes and in the store and computes convergence.
 func (r *run) concludeVersions(ctx context.Context, result *results.Experiment) {
 	waiting, cancel := context.WithTimeout(ctx, settleBound)
 	defer cancel()
 	last := r.current()
 	err := r.recorder.AwaitVersion(waiting, last, r.mesh.LiveNames())
-	r.check("newest-version-everywhere", err == nil, "version %d on %d nodes %s", last, len(r.mesh.LiveNames()), textOf(err))
+	r.check("newest-version-everywhere", err == nil, "version %d on %d nodes %s", last, len(r.mesh.LiveNames()), errorText(err))
 	committed, err := r.mesh.CommittedVersions(ctx)
-	r.check("history-readable", err == nil, "%d versions committed %s", len(committed), textOf(err))
+	r.check("history-readable", err == nil, "%d versions committed %s", len(committed), errorText(err))
 	r.recorder.CheckCommitted(committed)
 	for _, accepted := range r.applied {
 		r.check("accepted-is-committed", slices.Contains(committed, accepted.result.Version),
@@ -99,16 +99,16 @@
 	r.check("no-violations", count == 0, "%d violations %v", count, violations)
 }
 
-// textOf returns an error's text, or nothing.
-func textOf(err error) string {
+// errorText returns an error's text; empty for nil.
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
 	return err.Error()
 }
 
-// convergence works out how long each accepted version took on the nodes that
-// ran all along. The first version is left out: nodes were starting.
+// convergence computes how long each accepted version took to come into force on the nodes that ran
+// throughout. The first version does not count, because nodes were still starting.
 func (r *run) convergence(result *results.Experiment) {
 	var times []float64
 	for _, accepted := range r.applied {
@@ -126,7 +126,7 @@
 		}
 		held := version.Milliseconds != nil && (*version.Milliseconds <= convergenceBound || r.duringFault(accepted.result.Began))
 		r.check("convergence", held, "version %d of step %s in force on %d nodes after %s ms",
-			version.Number, version.Step, version.Nodes, number(version.Milliseconds))
+			version.Number, version.Step, version.Nodes, formatMilliseconds(version.Milliseconds))
 		if version.Milliseconds != nil {
 			times = append(times, *version.Milliseconds)
 		}
@@ -145,16 +145,16 @@
 	return slowest
 }
 
-// duringFault reports whether a fault was going on or had just ended.
+// duringFault reports whether at falls within a fault or within faultTail after its end.
 func (r *run) duringFault(at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return slices.ContainsFunc(r.faults, func(fault span) bool {
+	return slices.ContainsFunc(r.faults, func(fault faultWindow) bool {
 		return !at.Before(fault.from) && at.Before(fault.to)
 	})
 }
 
-// concludeCalls compares what callers were told with what workers did.
+// concludeCalls compares the results that callers saw with the executions that workers recorded.
 func (r *run) concludeCalls(ctx context.Context, result *results.Experiment) {
 	if r.caller == nil {
 		return
@@ -182,10 +182,10 @@
 	}
 }
 
-// firstDetails returns a few details for people.
+// firstDetails returns the first five details, to keep messages short.
 func firstDetails(details []calls.Detail) []calls.Detail { return details[:min(len(details), 5)] }
 
-// checkUnknown checks that calls came out as unknown only around faults.
+// checkUnknown checks that calls ended with an unknown outcome only during faults or shortly after.
 func (r *run) checkUnknown() {
 	outside := 0
 	for _, at := range r.caller.UnknownAt() {
@@ -196,7 +196,7 @@
 	r.check("unknown-only-around-faults", outside == 0, "%d calls ended as unknown while no fault went on", outside)
 }
 
-// records reads what every worker did.
+// records reads the execution records of every worker.
 func (r *run) records(ctx context.Context) ([]worker.Record, error) {
 	var all []worker.Record
 	for _, node := range r.mesh.Nodes() {
@@ -221,8 +221,8 @@
 	r.check("nothing-left-running", len(r.group.Running()) == 0, "%d processes are left", len(r.group.Running()))
 }
 
-// number shows a figure that may lack.
-func number(figure *float64) string {
+// formatMilliseconds formats a time in milliseconds; nil means that not every node reached the version.
+func formatMilliseconds(figure *float64) string {
 	if figure == nil {
 		return "(not reached everywhere)"
 	}
--- a/internal/lab/demo/conclude_test.go
+++ b/internal/lab/demo/conclude_test.go
@@ -10,11 +10,11 @@
 
 func TestFaultsCoverTheirTail(t *testing.T) {
 	began := time.Now()
-	going := &run{faults: []span{{began, began.Add(time.Second)}}}
+	r := &run{faults: []faultWindow{{began, began.Add(time.Second)}}}
 	for after, want := range map[time.Duration]bool{
 		-time.Millisecond: false, 0: true, 999 * time.Millisecond: true, time.Second: false,
 	} {
-		if got := going.duringFault(began.Add(after)); got != want {
+		if got := r.duringFault(began.Add(after)); got != want {
 			t.Errorf("%v after the start of a fault: %v, want %v", after, got, want)
 		}
 	}
--- a/internal/lab/demo/doc.go
+++ b/internal/lab/demo/doc.go
@@ -1,4 +1,4 @@
-// Package demo carries out experiments on deployments of real processes: it
-// starts them, applies file sets with the operators' command, lets faults
-// happen while calls run, and checks at the end what must always hold.
+// Package demo runs experiments on deployments of real processes: it starts the processes, applies
+// file sets with the operators' command, injects faults while calls run, and finally checks the
+// properties that must always hold.
 package demo
--- a/internal/lab/demo/meter.go
+++ b/internal/lab/demo/meter.go
@@ -13,8 +13,8 @@
 // meterInterval is how often the counters of nodes are read.
 const meterInterval = 2 * time.Second
 
-// meter adds up the control bytes of every node from its metrics, across
-// restarts of its process.
+// meter sums the control bytes of every node from its metrics, across restarts of
+// its process.
 type meter struct {
 	mesh *mesh.Mesh
 
@@ -28,12 +28,12 @@
 	done   chan struct{}
 }
 
-// newMeter returns a meter that has read nothing.
+// newMeter returns a meter that has not read any counters yet.
 func newMeter(measured *mesh.Mesh) *meter {
 	return &meter{mesh: measured, last: make(map[string]float64), totals: make(map[string]float64)}
 }
 
-// start begins to read.
+// start resets the totals and reads the counters every meterInterval until stop.
 func (m *meter) start(ctx context.Context) {
 	m.began = time.Now()
 	m.mesh.ResetStoreCounters()
@@ -58,7 +58,7 @@
 	}()
 }
 
-// stop reads once more and ends.
+// stop reads the counters a last time and ends the measurement.
 func (m *meter) stop(ctx context.Context) {
 	m.cancel()
 	<-m.done
@@ -66,7 +66,7 @@
 	m.ended = time.Now()
 }
 
-// readAll reads every node that runs.
+// readAll reads the counters of every running node.
 func (m *meter) readAll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, meterInterval)
 	defer cancel()
@@ -84,7 +84,8 @@
 	reading.Wait()
 }
 
-// add takes one reading; a process that has started again counts from zero.
+// add adds one reading. A reading below the last one means that the process was restarted and
+// counts from zero.
 func (m *meter) add(node string, bytes float64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -96,7 +97,7 @@
 	m.last[node] = bytes
 }
 
-// figures returns control bytes per node and second, and in all.
+// figures returns the spread of the control bytes per second over the nodes, and their total.
 func (m *meter) figures() (*results.Spread, *float64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/lab/demo/progress.go
+++ b/internal/lab/demo/progress.go
@@ -9,15 +9,15 @@
 	"github.com/levertide/levertide/internal/lab/results"
 )
 
-// Progress prints lines with the time since the start, also for experiments
-// that run at the same time.
+// Progress prints lines with the time since the start. Experiments that run at the same time may
+// share one.
 type Progress struct {
 	mutex   sync.Mutex
 	started time.Time
 	output  io.Writer
 }
 
-// NewProgress returns a progress that starts now.
+// NewProgress returns a Progress whose time starts now.
 func NewProgress(output io.Writer) *Progress {
 	return &Progress{started: time.Now(), output: output}
 }
@@ -36,17 +36,17 @@
 	out := p.output
 	fmt.Fprintf(out, "\n%s: %d nodes, %d workers\n", result.Experiment, result.Nodes, result.Workers)
 	for _, version := range result.Versions {
-		fmt.Fprintf(out, "  version %-3d %-26s in force on %2d nodes after %s ms\n", version.Number, version.Step, version.Nodes, number(version.Milliseconds))
+		fmt.Fprintf(out, "  version %-3d %-26s in force on %2d nodes after %s ms\n", version.Number, version.Step, version.Nodes, formatMilliseconds(version.Milliseconds))
 	}
-	fmt.Fprintf(out, "  convergence               %s\n", quantiles(result.Convergence))
-	fmt.Fprintf(out, "  control bytes             %s\n", bytes(result))
-	fmt.Fprintf(out, "  store                     %s readers, %s requests/s\n", count(result.StoreReaders), decimal(result.StoreRequests))
-	fmt.Fprintf(out, "  calls                     %s, %s answered\n", count(result.Calls), count(result.Answered))
-	fmt.Fprintf(out, "  not run                   %s\n", count(result.NotRun))
-	fmt.Fprintf(out, "  unknown                   %s\n", count(result.Unknown))
-	fmt.Fprintf(out, "  wrong answers             %s\n", count(result.WrongAnswers))
-	fmt.Fprintf(out, "  duplicate executions      %s\n", count(result.Duplicates))
-	fmt.Fprintf(out, "  version violations        %s\n", count(result.Violations))
+	fmt.Fprintf(out, "  convergence               %s\n", formatQuantiles(result.Convergence))
+	fmt.Fprintf(out, "  control bytes             %s\n", formatControlBytes(result))
+	fmt.Fprintf(out, "  store                     %s readers, %s requests/s\n", formatCount(result.StoreReaders), formatDecimal(result.StoreRequests))
+	fmt.Fprintf(out, "  calls                     %s, %s answered\n", formatCount(result.Calls), formatCount(result.Answered))
+	fmt.Fprintf(out, "  not run                   %s\n", formatCount(result.NotRun))
+	fmt.Fprintf(out, "  unknown                   %s\n", formatCount(result.Unknown))
+	fmt.Fprintf(out, "  wrong answers             %s\n", formatCount(result.WrongAnswers))
+	fmt.Fprintf(out, "  duplicate executions      %s\n", formatCount(result.Duplicates))
+	fmt.Fprintf(out, "  version violations        %s\n", formatCount(result.Violations))
 	held := 0
 	for _, check := range result.Checks {
 		if check.Held {
@@ -61,19 +61,19 @@
 	}
 }
 
-// notMeasured stands in place of a figure that is nil.
+// notMeasured is printed in place of a figure that is nil.
 const notMeasured = "not measured"
 
-// quantiles shows times in one line.
-func quantiles(figure *results.Quantiles) string {
+// formatQuantiles formats quantiles of times in one line.
+func formatQuantiles(figure *results.Quantiles) string {
 	if figure == nil {
 		return notMeasured
 	}
 	return fmt.Sprintf("p50 %.0f ms, max %.0f ms", figure.P50, figure.Max)
 }
 
-// bytes shows control bytes in one line.
-func bytes(result *results.Experiment) string {
+// formatControlBytes formats the control bytes of a result in one line.
+func formatControlBytes(result *results.Experiment) string {
 	if result.ControlBytes == nil || result.ControlBytesTotal == nil {
 		return notMeasured
 	}
@@ -81,16 +81,16 @@
 		*result.ControlBytesTotal/1024, result.ControlBytes.Mean, result.ControlBytes.Max)
 }
 
-// count shows a whole figure.
-func count(figure *int) string {
+// formatCount formats an integer figure.
+func formatCount(figure *int) string {
 	if figure == nil {
 		return notMeasured
 	}
 	return fmt.Sprint(*figure)
 }
 
-// decimal shows a figure.
-func decimal(figure *float64) string {
+// formatDecimal formats a figure with one decimal.
+func formatDecimal(figure *float64) string {
 	if figure == nil {
 		return notMeasured
 	}
--- a/internal/lab/demo/run.go
+++ b/internal/lab/demo/run.go
@@ -36,7 +36,7 @@
 // firstStep names the version that is applied before the timeline starts.
 const firstStep = "first-version"
 
-// run is one experiment while it goes on.
+// run is the state of one running experiment.
 type run struct {
 	options  Options
 	file     *experiment.File
@@ -47,48 +47,46 @@
 	meter    *meter
 	started  time.Time
 
-	// counting is set when the store's readers have been or are being counted.
-	counting atomic.Bool
-	readers  int
+	// readerCountStarted is set once the count of the store's readers has started.
+	readerCountStarted atomic.Bool
+	readers            int
 
-	mutex   sync.Mutex
-	applied []applied
-	passed  map[string]struct{}
-	faults  []span
-	checks  []results.Check
-	marks   []results.Mark
+	mutex          sync.Mutex
+	applied        []applied
+	completedSteps map[string]struct{}
+	faults         []faultWindow
+	checks         []results.Check
+	marks          []results.Mark
 }
 
 // applied is one version that was accepted.
 type applied struct {
 	step   string
 	result mesh.ApplyResult
-	// live are the nodes that ran when the version was accepted and are not
-	// hit by a fault of the same time.
+	// live are the nodes that were running when the version was accepted.
 	live []string
 }
 
-// Run carries out an experiment. An error tells that it could not be carried
-// out; checks that did not hold are in the result. Every process that it
-// started has ended when it returns.
+// Run runs an experiment. An error means that it could not be run; checks that did not hold are in
+// the result. Every process that Run started has ended when it returns.
 func Run(ctx context.Context, options Options) (*results.Experiment, error) {
-	going := &run{
-		options:  options,
-		file:     options.File,
-		group:    &process.Group{},
-		recorder: observe.NewRecorder(),
-		passed:   make(map[string]struct{}),
+	r := &run{
+		options:        options,
+		file:           options.File,
+		group:          &process.Group{},
+		recorder:       observe.NewRecorder(),
+		completedSteps: make(map[string]struct{}),
 	}
-	defer going.group.StopAll(stopBound)
-	if err := going.start(ctx); err != nil {
+	defer r.group.StopAll(stopBound)
+	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	defer going.mesh.Close()
-	going.work(ctx)
+	defer r.mesh.Close()
+	r.work(ctx)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return going.conclude(ctx), nil
+	return r.conclude(ctx), nil
 }
 
 // say prints a line about this experiment.
@@ -96,7 +94,7 @@
 	r.options.Progress.Say(r.file.Name, format, arguments...)
 }
 
-// start starts the deployment and puts the first version in force.
+// start starts the deployment and brings the first version into force.
 func (r *run) start(ctx context.Context) error {
 	deployment := *r.file.Deployment
 	started, err := mesh.Start(ctx, mesh.Options{
@@ -142,7 +140,7 @@
 	if result.Outcome != mesh.ApplyAccepted {
 		return ErrStart.New("the first file set ended as %s: %s", result.Outcome, result.Message)
 	}
-	r.note(firstStep, result)
+	r.recordApplied(firstStep, result)
 	if err := r.recorder.AwaitVersion(ctx, result.Version, r.mesh.LiveNames()); err != nil {
 		return err
 	}
@@ -153,8 +151,8 @@
 	return nil
 }
 
-// note keeps a version that was accepted.
-func (r *run) note(step string, result mesh.ApplyResult) {
+// recordApplied records an accepted version with the nodes that are running now.
+func (r *run) recordApplied(step string, result mesh.ApplyResult) {
 	live := r.mesh.LiveNames()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -172,7 +170,7 @@
 	return highest
 }
 
-// work makes calls and carries out the timeline.
+// work makes calls and runs the timeline until the duration of the experiment is over.
 func (r *run) work(ctx context.Context) {
 	r.started = time.Now()
 	r.meter.start(ctx)
@@ -185,7 +183,7 @@
 			Seed:    r.file.Seed,
 			Dial:    r.callerDialer().DialContext,
 			Targets: r.targets,
-			Passed:  r.hasPassed,
+			Passed:  r.hasCompleted,
 		})
 		running.Go(func() { r.caller.Run(calling) })
 		running.Go(func() { r.showCalls(calling) })
@@ -197,14 +195,14 @@
 	r.meter.stop(ctx)
 }
 
-// callerDialer opens the connections of callers, with their delays.
+// callerDialer returns the dialer of callers, which applies their network delays.
 func (r *run) callerDialer() *fabric.Dialer {
 	source := fabric.Address(fabric.ZoneClients, uint8(r.options.FirstZone))
 	return fabric.NewDialer(r.mesh.Links(), fabric.ZoneClients, source)
 }
 
-// targets returns where callers send a kind of call: to gateways, and to nodes
-// of services that hold its route, whose process runs.
+// targets returns the addresses to which callers send a kind of call: those of running gateways and
+// of running nodes of the services in Through, which hold its route.
 func (r *run) targets(kind experiment.Call) []string {
 	var addresses []string
 	for _, node := range r.mesh.Nodes() {
@@ -216,18 +214,18 @@
 	return addresses
 }
 
-// hasPassed reports whether a step of the timeline is over.
-func (r *run) hasPassed(step string) bool {
+// hasCompleted reports whether the version of a step of the timeline has been applied.
+func (r *run) hasCompleted(step string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_, ok := r.passed[step]
+	_, ok := r.completedSteps[step]
 	return ok
 }
 
-// showInterval is how often the calls so far are shown.
+// showInterval is the time between progress lines about calls.
 const showInterval = 10 * time.Second
 
-// showCalls prints how calls go until the context ends.
+// showCalls prints the results of calls so far, every showInterval, until the context ends.
 func (r *run) showCalls(ctx context.Context) {
 	ticker := time.NewTicker(showInterval)
 	defer ticker.Stop()
--- a/internal/lab/demo/steps.go
+++ b/internal/lab/demo/steps.go
@@ -11,21 +11,21 @@
 	"github.com/levertide/levertide/internal/lab/results"
 )
 
-// Names of the operators who apply sets.
+// Names of the operators that apply file sets; the second one applies only in a race.
 const (
-	operatorName = "first-operator"
-	rivalName    = "second-operator"
+	operatorName       = "first-operator"
+	secondOperatorName = "second-operator"
 )
 
-// faultTail is how long after the end of a fault calls may still come out as
-// unknown because of it.
+// faultTail is how long after the end of a fault calls may still end with an unknown outcome
+// because of it.
 const faultTail = 5 * time.Second
 
-// span is a time in which calls may come out as unknown.
-type span struct{ from, to time.Time }
+// faultWindow is a period in which calls may end with an unknown outcome.
+type faultWindow struct{ from, to time.Time }
 
-// timeline carries out every step at its time. Steps that last go on beside
-// the later ones.
+// timeline starts every step at its time, without waiting for earlier steps, and waits until all
+// have ended.
 func (r *run) timeline(ctx context.Context) {
 	var lasting sync.WaitGroup
 	defer lasting.Wait()
@@ -34,19 +34,19 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.mark(event.Name)
+		r.recordMark(event.Name)
 		lasting.Go(func() { r.step(ctx, event) })
 	}
 }
 
-// mark notes when a step began.
-func (r *run) mark(name string) {
+// recordMark records when a step began.
+func (r *run) recordMark(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.marks = append(r.marks, results.Mark{Second: time.Since(r.started).Seconds(), Name: name})
 }
 
-// check notes whether something held.
+// check records the result of a check and prints it if it did not hold.
 func (r *run) check(name string, held bool, format string, arguments ...any) {
 	detail := fmt.Sprintf(format, arguments...)
 	r.mutex.Lock()
@@ -57,15 +57,16 @@
 	}
 }
 
-// fault notes that calls may come out as unknown from now until after a while.
-func (r *run) fault(length time.Duration) {
+// recordFault records that calls may end with an unknown outcome from now until faultTail after a
+// fault of the given length.
+func (r *run) recordFault(length time.Duration) {
 	now := time.Now()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults = append(r.faults, span{now, now.Add(length + faultTail)})
+	r.faults = append(r.faults, faultWindow{now, now.Add(length + faultTail)})
 }
 
-// step carries out one step.
+// step runs one step of the timeline.
 func (r *run) step(ctx context.Context, event experiment.Event) {
 	switch {
 	case event.Apply != nil:
@@ -73,7 +74,7 @@
 	case event.Race != nil:
 		r.race(ctx, event.Name, *event.Race)
 	case event.Kill != nil:
-		r.onNodes(event.Name, *event.Kill, "killed", func(node *mesh.Node) { r.fault(0); node.Kill() })
+		r.forEachNode(event.Name, *event.Kill, "killed", func(node *mesh.Node) { r.recordFault(0); node.Kill() })
 	case event.Stop != nil:
 		r.stopNodes(event.Name, *event.Stop)
 	case event.Restart != nil:
@@ -99,9 +100,9 @@
 	}
 }
 
-// apply applies a set and checks how that ended.
+// apply applies a file set and checks that the outcome is the expected one.
 func (r *run) apply(ctx context.Context, step string, wanted experiment.Apply) {
-	first := r.counting.CompareAndSwap(false, true)
+	first := r.readerCountStarted.CompareAndSwap(false, true)
 	if first {
 		r.mesh.ResetStoreCounters()
 	}
@@ -121,10 +122,10 @@
 	}
 }
 
-// accepted keeps an accepted version and waits until all nodes run it, so that
-// calls of its routes can begin.
+// accepted records an accepted version and waits until all live nodes run it, so that calls to its
+// routes can begin.
 func (r *run) accepted(ctx context.Context, step string, result mesh.ApplyResult) {
-	r.note(step, result)
+	r.recordApplied(step, result)
 	ctx, cancel := context.WithTimeout(ctx, settleBound)
 	defer cancel()
 	if err := r.recorder.AwaitVersion(ctx, result.Version, r.mesh.LiveNames()); err != nil {
@@ -132,7 +133,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.passed[step] = struct{}{}
+	r.completedSteps[step] = struct{}{}
 }
 
 // race applies two sets at once and checks that exactly one was accepted.
@@ -142,7 +143,7 @@
 	var firstErr, secondErr error
 	var racing sync.WaitGroup
 	racing.Go(func() { first, firstErr = r.mesh.Apply(ctx, r.file.Paths(sets.First), base, operatorName) })
-	racing.Go(func() { second, secondErr = r.mesh.Apply(ctx, r.file.Paths(sets.Second), base, rivalName) })
+	racing.Go(func() { second, secondErr = r.mesh.Apply(ctx, r.file.Paths(sets.Second), base, secondOperatorName) })
 	racing.Wait()
 	if firstErr != nil || secondErr != nil {
 		r.check(step, false, "%v, %v", firstErr, secondErr)
@@ -151,8 +152,8 @@
 	won := (first.Outcome == mesh.ApplyAccepted) != (second.Outcome == mesh.ApplyAccepted)
 	lost := first.Outcome == mesh.ApplyConflict || second.Outcome == mesh.ApplyConflict
 	r.check(step, won && lost, "%s: %s; %s: %s; expected one accepted and one conflict",
-		operatorName, first.Outcome, rivalName, second.Outcome)
-	r.say("%s: %s ended as %s, %s as %s", step, operatorName, first.Outcome, rivalName, second.Outcome)
+		operatorName, first.Outcome, secondOperatorName, second.Outcome)
+	r.say("%s: %s ended as %s, %s as %s", step, operatorName, first.Outcome, secondOperatorName, second.Outcome)
 	for _, result := range []mesh.ApplyResult{first, second} {
 		if result.Outcome == mesh.ApplyAccepted {
 			r.accepted(ctx, step, result)
@@ -160,8 +161,8 @@
 	}
 }
 
-// onNodes does something to every node of a target at the same time.
-func (r *run) onNodes(step string, target experiment.Target, done string, do func(*mesh.Node)) {
+// forEachNode calls do for every node of a target concurrently and prints done for each.
+func (r *run) forEachNode(step string, target experiment.Target, done string, do func(*mesh.Node)) {
 	nodes, err := r.mesh.Select(target)
 	if err != nil {
 		r.check(step, false, "%v", err)
@@ -177,9 +178,9 @@
 	doing.Wait()
 }
 
-// stopNodes stops nodes as planned and checks that each ends in time.
+// stopNodes stops nodes as planned and checks that each ends in time with exit code 0.
 func (r *run) stopNodes(step string, target experiment.Target) {
-	r.onNodes(step, target, "stopped as planned", func(node *mesh.Node) {
+	r.forEachNode(step, target, "stopped as planned", func(node *mesh.Node) {
 		r.check(step, node.Stop(), "a planned stop of %s ends in time with exit code 0", node.Name)
 	})
 }
@@ -187,7 +188,7 @@
 // restart starts nodes again and waits until they are ready.
 func (r *run) restart(ctx context.Context, step string, target experiment.Target) {
 	began := time.Now()
-	r.onNodes(step, target, "started again", func(node *mesh.Node) {
+	r.forEachNode(step, target, "started again", func(node *mesh.Node) {
 		if err := node.Start(); err != nil {
 			r.check(step, false, "%v", err)
 			return
@@ -199,18 +200,18 @@
 	})
 }
 
-// pauseNode stops a node's process for a while without ending it.
+// pauseNode suspends a node's process for a while and then continues it.
 func (r *run) pauseNode(ctx context.Context, step string, wanted experiment.Pause) {
-	r.fault(wanted.For)
-	r.onNodes(step, experiment.Target{Node: wanted.Node}, "paused", (*mesh.Node).Pause)
+	r.recordFault(wanted.For)
+	r.forEachNode(step, experiment.Target{Node: wanted.Node}, "paused", (*mesh.Node).Pause)
 	pause(ctx, wanted.For)
-	r.onNodes(step, experiment.Target{Node: wanted.Node}, "goes on", (*mesh.Node).Resume)
+	r.forEachNode(step, experiment.Target{Node: wanted.Node}, "goes on", (*mesh.Node).Resume)
 }
 
-// cut holds back traffic between two zones for a while.
+// cut holds back traffic between two zones for a while, in one direction or in both.
 func (r *run) cut(ctx context.Context, step string, wanted experiment.Cut) {
 	from, to := r.mesh.ZoneNumber(wanted.From), r.mesh.ZoneNumber(wanted.To)
-	r.fault(wanted.For)
+	r.recordFault(wanted.For)
 	r.say("%s: from %s to %s nothing passes for %v", step, wanted.From, wanted.To, wanted.For)
 	if wanted.OneWay {
 		r.mesh.Links().CutOneWay(from, to)
