--- a/internal/lab/process/group.go
+++ b/internal/lab/process/group.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Group keeps the processes of one experiment, so that all of them can be
-// stopped together. Its methods may be called from several goroutines.
+// Group holds the processes of one experiment, so that all of them can be stopped together. Its
+// methods are safe for concurrent use.
 type Group struct {
 	mutex     sync.Mutex
 	processes []*Process
@@ -29,9 +29,9 @@
 	return started, nil
 }
 
-// StopAll stops every process at once, kills those that have not ended after
-// the bound, and waits for all. It returns how many had to be killed. No
-// process can be started afterwards.
+// StopAll stops all processes concurrently, kills those that have not ended within the bound, and
+// waits for all of them. It returns how many had to be killed. No process can be started in the
+// group afterwards.
 func (g *Group) StopAll(bound time.Duration) int {
 	g.mutex.Lock()
 	g.closed = true
--- a/internal/lab/process/process.go
+++ b/internal/lab/process/process.go
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// maxLine bounds one line of output in bytes; longer lines are cut.
+// maxLine is the limit of one line of output, in bytes. A longer line ends the reading of lines;
+// the rest of the output is discarded.
 const maxLine = 1 << 20
 
 // Options describes one program.
 type Options struct {
-	// Name identifies the process in reports.
+	// Name identifies the process in reports and errors.
 	Name string
-	// Path is the program, and Arguments are its arguments.
+	// Path is the program, and Arguments are its arguments without the program's name.
 	Path      string
 	Arguments []string
 	// Environment is added to the lab's own environment, as "KEY=value".
 	Environment []string
-	// OnErrorLine takes each line of standard error, in order, from one
-	// goroutine; the slice is valid during the call only. Nil drops them.
+	// OnErrorLine is called with each line of standard error, in order, from one
+	// goroutine; the slice is valid only during the call. Nil discards the lines.
 	OnErrorLine func(line []byte)
-	// OnOutputLine takes each line of standard output likewise.
+	// OnOutputLine is called with each line of standard output in the same way.
 	OnOutputLine func(line []byte)
 	// Input, when true, gives the process a pipe as standard input.
 	Input bool
 }
 
-// Process is one started program. Its methods may be called from several goroutines.
+// Process is one started program. Its methods are safe for concurrent use.
 type Process struct {
 	options Options
 	command *exec.Cmd
@@ -53,20 +54,20 @@
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "attach to %s", options.Name)
 	}
-	if err := shared.start(command); err != nil {
+	if err := sharedStarter.start(command); err != nil {
 		return nil, ErrStart.Wrap(err, "start %s", options.Name)
 	}
 	go started.watch(readers)
 	return started, nil
 }
 
-// lineReader is one output of a process and who takes its lines.
+// lineReader is one output of a process and the function that receives its lines.
 type lineReader struct {
 	source io.Reader
-	take   func([]byte)
+	onLine func([]byte)
 }
 
-// attach connects the outputs and the input that are asked for.
+// attach connects pipes to both outputs, and to standard input if the options ask for it.
 func (p *Process) attach() ([]lineReader, error) {
 	errorOutput, err := p.command.StderrPipe()
 	if err != nil {
@@ -103,13 +104,13 @@
 	close(p.done)
 }
 
-// readLines hands over each line until the output ends.
+// readLines passes each line to the reader's function until the output ends.
 func readLines(reader lineReader) {
 	lines := bufio.NewScanner(reader.source)
 	lines.Buffer(make([]byte, 0, 4096), maxLine)
 	for lines.Scan() {
-		if reader.take != nil {
-			reader.take(lines.Bytes())
+		if reader.onLine != nil {
+			reader.onLine(lines.Bytes())
 		}
 	}
 	_, _ = io.Copy(io.Discard, reader.source)
@@ -121,10 +122,10 @@
 // PID returns the identifier of the process.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Input returns the standard input; nil unless it was asked for.
+// Input returns the standard input; nil unless Options.Input was true.
 func (p *Process) Input() io.Writer { return p.input }
 
-// Done is closed when the process has ended and all its output was taken.
+// Done returns a channel that is closed when the process has ended and all its output was read.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 // ExitCode returns the exit code of an ended process; -1 when a signal ended
@@ -138,19 +139,19 @@
 	}
 }
 
-// Signal sends a signal; a process that has ended ignores it.
+// Signal sends a signal; it does nothing once the process has ended.
 func (p *Process) Signal(signal syscall.Signal) {
 	_ = p.command.Process.Signal(signal)
 }
 
-// Kill ends the process at once, as a crash does, and waits for its end.
+// Kill ends the process immediately, as a crash does, and waits for its end.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Stop asks the process to end, kills it if it has not ended after the bound,
-// and waits for its end. It reports whether the process ended by itself.
+// Stop sends SIGTERM, and before it SIGCONT in case the process is paused. It kills the process if
+// it has not ended within the bound, waits for its end and reports whether it ended by itself.
 func (p *Process) Stop(bound time.Duration) bool {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGTERM)
--- a/internal/lab/process/starter.go
+++ b/internal/lab/process/starter.go
@@ -6,22 +6,22 @@
 	"sync"
 )
 
-// starter starts programs on one operating system thread that never ends. The
-// kernel sends the parent-death signal when the starting thread ends, so a
-// thread that ends early would kill its programs.
+// starter starts programs from one operating system thread that never ends. The kernel sends the
+// parent-death signal when the thread that started a program ends, so a thread that ends early
+// would kill its programs.
 type starter struct {
 	once     sync.Once
 	requests chan startRequest
 }
 
-// startRequest asks for one program and gets the error of its start.
+// startRequest is a request to start one program; started receives the error of the start.
 type startRequest struct {
 	command *exec.Cmd
 	started chan error
 }
 
-// shared is the starter of the lab's process.
-var shared = starter{requests: make(chan startRequest)}
+// sharedStarter is the only starter of the lab's process.
+var sharedStarter = starter{requests: make(chan startRequest)}
 
 // start starts the program.
 func (s *starter) start(command *exec.Cmd) error {
--- a/internal/lab/process/usage.go
+++ b/internal/lab/process/usage.go
@@ -11,7 +11,7 @@
 // clockTick is the unit of processor time in /proc; Linux fixes it for user space.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used.
+// Usage is the processor time and memory of a process.
 type Usage struct {
 	// Processor is the processor time since the start, in user and kernel mode.
 	Processor time.Duration
@@ -34,7 +34,7 @@
 	}
 	fields := bytes.Fields(content[bytes.LastIndexByte(content, ')')+1:])
 	if len(fields) <= statResident {
-		return Usage{}, ErrUsage.New("process %d: short record", pid)
+		return Usage{}, ErrUsage.New("process %d: too few fields in its stat file", pid)
 	}
 	var numbers [3]uint64
 	for i, position := range [3]int{statUserTime, statSystemTime, statResident} {
