--- a/internal/lab/fabric/address.go
+++ b/internal/lab/fabric/address.go
@@ -6,20 +6,20 @@
 	"strconv"
 )
 
-// ZoneNumber numbers a zone of the emulated network; it is the third byte of
-// the zone's loopback addresses.
+// ZoneNumber identifies a zone of the emulated network; it is the third byte of the zone's loopback
+// addresses.
 type ZoneNumber uint8
 
 // Zone numbers that no zone of a deployment may have.
 const (
 	// ZoneClients is where callers outside the mesh dial from.
 	ZoneClients ZoneNumber = 200
-	// ZonePlatform is where the platform's store answers.
+	// ZonePlatform is the zone of the platform's store.
 	ZonePlatform ZoneNumber = 201
 )
 
-// FirstRealHost is the first host number of real processes in a zone where
-// nodes inside the lab's process have the lower ones.
+// FirstRealHost is the first host number of real processes in a zone. Lower host numbers belong to
+// nodes inside the lab's process.
 const FirstRealHost = 200
 
 // Address returns the loopback address of one host of a zone.
--- a/internal/lab/fabric/connection.go
+++ b/internal/lab/fabric/connection.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// burstGap is the longest pause between two reads or writes that are taken to
-// belong to one burst, whose later parts were already under way.
+// burstGap is the longest pause between two reads or writes that count as one burst. Only the first
+// part of a burst is delayed, since the later parts were already in flight.
 const burstGap = 200 * time.Microsecond
 
-// connection delays what passes between two zones: what is read comes from the
-// remote zone, and what is written goes to it. It has a goroutine of its own
-// only while a cut holds back what was written.
+// connection delays the traffic between two zones: reads come from the remote zone, and writes go
+// to it. It has a goroutine of its own only while a cut holds back written data.
 type connection struct {
 	net.Conn
 	links         *Links
@@ -23,14 +22,14 @@
 	lastWrite     time.Time
 
 	mutex sync.Mutex
-	// kept is what was written during a cut, and flushed is closed when it has
-	// been sent; nil when nothing is kept.
-	kept    []byte
+	// pending is the data written during a cut, and flushed is closed when it has
+	// been sent; both are nil when nothing is held back.
+	pending []byte
 	flushed chan struct{}
 }
 
-// wrap returns a connection between two zones over an undelayed one.
-func wrap(inner net.Conn, links *Links, local, remote ZoneNumber) *connection {
+// newConnection returns a connection between two zones over an undelayed one.
+func newConnection(inner net.Conn, links *Links, local, remote ZoneNumber) *connection {
 	return &connection{
 		Conn:   inner,
 		links:  links,
@@ -40,7 +39,7 @@
 	}
 }
 
-// Read returns what arrived, no earlier than the delay after it was sent.
+// Read returns received data, no earlier than the delay after it was sent.
 func (c *connection) Read(buffer []byte) (int, error) {
 	started := time.Now()
 	count, err := c.Conn.Read(buffer)
@@ -55,10 +54,10 @@
 	return count, err
 }
 
-// Write sends after the delay. While the direction is cut, what is written is
-// kept, as a kernel keeps it, and sent after the heal.
+// Write sends after the delay. While the direction is cut, data is buffered, as a kernel buffers it,
+// and sent after the cut has healed.
 func (c *connection) Write(buffer []byte) (int, error) {
-	if c.keep(buffer) {
+	if c.enqueue(buffer) {
 		return len(buffer), nil
 	}
 	if time.Since(c.lastWrite) >= burstGap {
@@ -69,21 +68,21 @@
 	return count, err
 }
 
-// maxKept bounds what is kept during a cut, in bytes; beyond it writers wait.
-const maxKept = 256 << 10
+// maxPendingBytes is the limit of the data buffered during a cut, in bytes; beyond it writers wait.
+const maxPendingBytes = 256 << 10
 
-// keep takes what cannot be sent now; false tells that it can.
-func (c *connection) keep(buffer []byte) bool {
+// enqueue buffers data that cannot be sent now; it returns false if the data can be sent at once.
+func (c *connection) enqueue(buffer []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	cut, _ := c.links.cutState(c.local, c.remote)
 	if !cut && c.flushed == nil {
 		return false
 	}
-	for c.flushed != nil && len(c.kept) > maxKept {
+	for c.flushed != nil && len(c.pending) > maxPendingBytes {
 		c.awaitFlushLocked()
 	}
-	c.kept = append(c.kept, buffer...)
+	c.pending = append(c.pending, buffer...)
 	if c.flushed == nil {
 		c.flushed = make(chan struct{})
 		go c.flush(c.flushed)
@@ -91,7 +90,7 @@
 	return true
 }
 
-// awaitFlushLocked waits, without the lock, until what was kept has been sent.
+// awaitFlushLocked waits until the pending data has been sent. It releases the lock while it waits.
 func (c *connection) awaitFlushLocked() {
 	flushed := c.flushed
 	c.mutex.Unlock()
@@ -99,7 +98,7 @@
 	c.mutex.Lock()
 }
 
-// flush sends what was kept once the direction is open.
+// flush sends the pending data once the direction is open.
 func (c *connection) flush(flushed chan struct{}) {
 	defer close(flushed)
 	if c.links.awaitOpen(c.local, c.remote, c.closed) {
@@ -107,13 +106,13 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	_, _ = c.Conn.Write(c.kept)
-	c.kept = nil
+	_, _ = c.Conn.Write(c.pending)
+	c.pending = nil
 	c.flushed = nil
 }
 
-// CloseWrite ends the sending direction, if the inner connection can, after
-// what was kept has been sent.
+// CloseWrite closes the sending direction after the pending data has been sent. If the inner
+// connection cannot close one direction, it closes both.
 func (c *connection) CloseWrite() error {
 	c.mutex.Lock()
 	for c.flushed != nil {
@@ -126,7 +125,7 @@
 	return c.Close()
 }
 
-// Close ends both directions and wakes whoever waits for a cut to heal.
+// Close closes both directions and wakes goroutines that wait for a cut to heal.
 func (c *connection) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	return c.Conn.Close()
--- a/internal/lab/fabric/dialer.go
+++ b/internal/lab/fabric/dialer.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// keepAlive notices within about three seconds that the other side is gone.
+// keepAlive detects within about three seconds that the other side is gone.
 var keepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     time.Second,
@@ -28,8 +28,8 @@
 }
 
 // DialContext opens a connection to a loopback address. It takes one round
-// trip between the zones, as a TCP handshake does, and does not end while
-// either direction is cut.
+// trip between the zones, as a TCP handshake does, and does not return while either
+// direction is cut, unless the context ends.
 func (d *Dialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	remote, err := remoteZone(address)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return wrap(opened, d.links, d.zone, remote), nil
+	return newConnection(opened, d.links, d.zone, remote), nil
 }
 
 // handshake waits as long as a TCP handshake between the zones would take.
--- a/internal/lab/fabric/links.go
+++ b/internal/lab/fabric/links.go
@@ -10,8 +10,8 @@
 	from, to ZoneNumber
 }
 
-// Links holds the one-way delays and the cuts between zones. Its methods may
-// be called from several goroutines.
+// Links holds the one-way delays and the cuts between zones. Its methods are safe for concurrent
+// use.
 type Links struct {
 	mutex        sync.RWMutex
 	defaultDelay time.Duration
@@ -76,7 +76,7 @@
 	l.change(func() { clear(l.cuts) })
 }
 
-// change alters the cuts and wakes everyone who waits for a heal.
+// change alters the cuts and wakes all goroutines that wait for a cut to heal.
 func (l *Links) change(alter func()) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -85,7 +85,8 @@
 	l.changed = make(chan struct{})
 }
 
-// cutState tells whether a direction is cut, and what is closed at the next change.
+// cutState reports whether a direction is cut, and returns a channel that is closed at the next
+// change of the cuts.
 func (l *Links) cutState(from, to ZoneNumber) (cut bool, changed <-chan struct{}) {
 	l.mutex.RLock()
 	defer l.mutex.RUnlock()
@@ -93,8 +94,7 @@
 	return cut, l.changed
 }
 
-// awaitOpen waits until a direction is not cut; false tells that stop was
-// closed first.
+// awaitOpen waits until a direction is not cut; it returns false if stop was closed first.
 func (l *Links) awaitOpen(from, to ZoneNumber, stop <-chan struct{}) bool {
 	for {
 		cut, changed := l.cutState(from, to)
--- a/internal/lab/fabric/listener.go
+++ b/internal/lab/fabric/listener.go
@@ -27,5 +27,5 @@
 	if !ok || hostOf(source) < FirstRealHost {
 		return accepted, nil
 	}
-	return wrap(accepted, l.links, l.zone, zone), nil
+	return newConnection(accepted, l.links, l.zone, zone), nil
 }
--- a/internal/lab/fabric/relay.go
+++ b/internal/lab/fabric/relay.go
@@ -12,7 +12,7 @@
 	Links *Links
 	// Zone is where the listener behind the relay is.
 	Zone ZoneNumber
-	// Listen is the IP:port that others dial.
+	// Listen is the IP:port on which the relay listens.
 	Listen string
 	// Target is the IP:port that the process behind the relay listens on.
 	Target string
@@ -21,8 +21,8 @@
 	FirstDelayedHost uint8
 }
 
-// Relay stands in front of one listener of a real process and delays or holds
-// back what passes. Its methods may be called from several goroutines.
+// Relay forwards connections to one listener of a real process and delays or holds back their
+// traffic. Its methods are safe for concurrent use.
 type Relay struct {
 	options RelayOptions
 
@@ -37,8 +37,7 @@
 	return &Relay{options: options, connections: make(map[net.Conn]struct{})}
 }
 
-// Open starts listening. It fails with ErrListen, and does nothing if the
-// relay listens already.
+// Open starts listening; it does nothing if the relay listens already. It fails with ErrListen.
 func (r *Relay) Open() error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -55,8 +54,8 @@
 	return nil
 }
 
-// CloseListener stops listening, so that dials are refused as they are for a
-// process that is gone. Connections under way stay.
+// CloseListener stops listening, so that dials are refused as they are once a process has ended.
+// Open connections stay open.
 func (r *Relay) CloseListener() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -67,7 +66,7 @@
 	r.listener = nil
 }
 
-// Close stops listening, ends every connection and waits until all is ended.
+// Close stops listening, closes every connection and waits until all of them have ended.
 func (r *Relay) Close() {
 	r.CloseListener()
 	r.mutex.Lock()
@@ -96,7 +95,7 @@
 	defer r.serving.Done()
 	source := netipOf(accepted.RemoteAddr())
 	if zone, ok := ZoneOf(source); ok && hostOf(source) >= r.options.FirstDelayedHost {
-		accepted = wrap(accepted, r.options.Links, r.options.Zone, zone)
+		accepted = newConnection(accepted, r.options.Links, r.options.Zone, zone)
 	}
 	if !r.register(accepted) {
 		reset(accepted)
@@ -105,7 +104,7 @@
 	defer r.forget(accepted)
 	target, err := net.Dial("tcp4", r.options.Target)
 	if err != nil {
-		// The process behind is gone: later dials are to be refused, as without a relay.
+		// The process behind the relay is gone: refuse later dials, as happens without a relay.
 		r.CloseListener()
 		reset(accepted)
 		return
@@ -119,8 +118,8 @@
 	exchange(accepted, target)
 }
 
-// register notes a connection, so that Close can end it; false tells that the
-// relay no longer listens.
+// register records a connection, so that Close can close it; it returns false if the relay no longer
+// listens.
 func (r *Relay) register(open net.Conn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -131,14 +130,15 @@
 	return true
 }
 
-// forget drops a connection that has ended.
+// forget removes a connection that has ended.
 func (r *Relay) forget(open net.Conn) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.connections, open)
 }
 
-// exchange copies both ways until both directions have ended.
+// exchange copies both ways until both directions have ended. If one direction breaks, it resets
+// both connections.
 func exchange(first, second net.Conn) {
 	ctx, broken := context.WithCancel(context.Background())
 	stop := context.AfterFunc(ctx, func() {
@@ -163,8 +163,8 @@
 	broken()
 }
 
-// copyDirection copies until the source ends, and then ends the destination's
-// direction. False tells that the connection broke.
+// copyDirection copies until the source ends, and then closes the destination for writing. It
+// returns false if the connection broke.
 func copyDirection(source, destination net.Conn) bool {
 	buffer := make([]byte, relayBufferSize)
 	if _, err := io.CopyBuffer(plainWriter{destination}, plainReader{source}, buffer); err != nil {
@@ -184,8 +184,8 @@
 // plainWriter hides every method but Write.
 type plainWriter struct{ io.Writer }
 
-// reset closes a connection so that the other side notices a break, not an
-// orderly end.
+// reset closes a connection with a TCP reset, so that the other side sees a broken connection and
+// not an orderly end.
 func reset(open net.Conn) {
 	inner := open
 	if delayed, ok := open.(*connection); ok {
