--- a/internal/lab/demo/steps.go
+++ b/internal/lab/demo/steps.go
@@ -101,12 +101,12 @@
 }
 
 // apply applies a file set and checks that the outcome is the expected one.
-func (r *run) apply(ctx context.Context, step string, wanted experiment.Apply) {
+func (r *run) apply(ctx context.Context, step string, request experiment.Apply) {
 	first := r.readerCountStarted.CompareAndSwap(false, true)
 	if first {
 		r.mesh.ResetStoreCounters()
 	}
-	result, err := r.mesh.Apply(ctx, r.file.Paths(wanted.Files), r.current(), operatorName)
+	result, err := r.mesh.Apply(ctx, r.file.Paths(request.Files), r.current(), operatorName)
 	if first {
 		r.countReaders(ctx)
 	}
@@ -114,8 +114,8 @@
 		r.check(step, false, "%v", err)
 		return
 	}
-	held := string(result.Outcome) == string(wanted.Expect)
-	r.check(step, held, "ended as %s, expected %s: %s", result.Outcome, wanted.Expect, result.Message)
+	held := string(result.Outcome) == string(request.Expect)
+	r.check(step, held, "ended as %s, expected %s: %s", result.Outcome, request.Expect, result.Message)
 	r.say("%s: apply ended as %s (%s)", step, result.Outcome, result.Message)
 	if result.Outcome == mesh.ApplyAccepted {
 		r.accepted(ctx, step, result)
@@ -201,24 +201,24 @@
 }
 
 // pauseNode suspends a node's process for a while and then continues it.
-func (r *run) pauseNode(ctx context.Context, step string, wanted experiment.Pause) {
-	r.recordFault(wanted.For)
-	r.forEachNode(step, experiment.Target{Node: wanted.Node}, "paused", (*mesh.Node).Pause)
-	pause(ctx, wanted.For)
-	r.forEachNode(step, experiment.Target{Node: wanted.Node}, "goes on", (*mesh.Node).Resume)
+func (r *run) pauseNode(ctx context.Context, step string, request experiment.Pause) {
+	r.recordFault(request.For)
+	r.forEachNode(step, experiment.Target{Node: request.Node}, "paused", (*mesh.Node).Pause)
+	pause(ctx, request.For)
+	r.forEachNode(step, experiment.Target{Node: request.Node}, "goes on", (*mesh.Node).Resume)
 }
 
 // cut holds back traffic between two zones for a while, in one direction or in both.
-func (r *run) cut(ctx context.Context, step string, wanted experiment.Cut) {
-	from, to := r.mesh.ZoneNumber(wanted.From), r.mesh.ZoneNumber(wanted.To)
-	r.recordFault(wanted.For)
-	r.say("%s: from %s to %s nothing passes for %v", step, wanted.From, wanted.To, wanted.For)
-	if wanted.OneWay {
+func (r *run) cut(ctx context.Context, step string, request experiment.Cut) {
+	from, to := r.mesh.ZoneNumber(request.From), r.mesh.ZoneNumber(request.To)
+	r.recordFault(request.For)
+	r.say("%s: from %s to %s nothing passes for %v", step, request.From, request.To, request.For)
+	if request.OneWay {
 		r.mesh.Links().CutOneWay(from, to)
 	} else {
 		r.mesh.Links().Cut(from, to)
 	}
-	pause(ctx, wanted.For)
+	pause(ctx, request.For)
 	r.mesh.Links().Heal(from, to)
 	r.say("%s: healed", step)
 }
--- a/internal/lab/load/fleet_inside.go
+++ b/internal/lab/load/fleet_inside.go
@@ -46,11 +46,11 @@
 func (f *insideFleet) start(_ context.Context, spec nodeSpec) (node, error) {
 	callerListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "listener for callers")
+		return nil, ErrStart.Wrap(err, "listen for callers")
 	}
 	peerListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "listener for nodes")
+		return nil, ErrStart.Wrap(err, "listen for other nodes")
 	}
 	plane, err := dataplane.New(dataplane.Config{
 		Node: spec.id, Region: region, Zone: spec.zone,
@@ -59,7 +59,7 @@
 		NoRetryBudget: f.noRetryBudget,
 	})
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "node %s", spec.id)
+		return nil, ErrStart.Wrap(err, "create node %s", spec.id)
 	}
 	n := &insideNode{
 		fleet: f, plane: plane, address: callerListener.Addr().String(),
@@ -92,7 +92,7 @@
 	}
 	next, err := snapshot.New(version, resources)
 	if err != nil {
-		return ErrStart.Wrap(err, "snapshot")
+		return ErrStart.Wrap(err, "build the snapshot")
 	}
 	f.current.Store(next)
 	return nil
--- a/internal/lab/load/fleet_process.go
+++ b/internal/lab/load/fleet_process.go
@@ -50,7 +50,7 @@
 	f := &processFleet{program: program, events: events, platform: platform.New(platform.Config{})}
 	address, err := f.platform.Listen("127.0.0.1:0")
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "platform")
+		return nil, ErrStart.Wrap(err, "listen for the platform stand-in")
 	}
 	f.store = "http://" + address
 	client := consul.New(consul.Config{Address: f.store, Client: operator})
@@ -99,11 +99,11 @@
 	case event := <-listeningEvents:
 		return f.add(spec, running, event), nil
 	case <-running.Done():
-		return nil, ErrStart.New("node %s ended with exit code %d", spec.id, running.ExitCode())
+		return nil, ErrStart.New("node %s ended with exit code %d before it listened", spec.id, running.ExitCode())
 	case <-timer.C:
-		return nil, ErrStart.New("node %s does not listen after %v", spec.id, startBound)
+		return nil, ErrStart.New("node %s did not listen within %v", spec.id, startBound)
 	case <-ctx.Done():
-		return nil, ErrStart.Wrap(ctx.Err(), "node %s", spec.id)
+		return nil, ErrStart.Wrap(ctx.Err(), "wait until node %s listens", spec.id)
 	}
 }
 
@@ -151,7 +151,7 @@
 		ApplyID: fmt.Sprintf("load-%d", f.applies), Operator: operator, Base: f.base, Resources: resources,
 	})
 	if err != nil {
-		return ErrStart.Wrap(err, "propose")
+		return ErrStart.Wrap(err, "propose a version")
 	}
 	f.base = result.Version
 	return f.settle(ctx)
@@ -236,12 +236,12 @@
 	n.fleet.remove(n)
 }
 
-func (f *processFleet) remove(gone *processNode) {
+func (f *processFleet) remove(removed *processNode) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	kept := f.nodes[:0]
 	for _, n := range f.nodes {
-		if n != gone {
+		if n != removed {
 			kept = append(kept, n)
 		}
 	}
