--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -81,7 +81,7 @@
 // New opens the listeners and puts the parts together. Nothing runs before Run.
 func New(s settings.Settings, adapter Adapter, network Network, log *telemetry.Log, lines *telemetry.Queue) (*Node, error) {
 	node := &Node{settings: s, network: network, log: log, lines: lines, aborted: make(chan struct{})}
-	lines.Report(log.LinesDropped)
+	lines.OnDropped(log.LinesDropped)
 	node.workers = workers.NewRegistry(silentHeartbeats * s.HeartbeatInterval)
 	contacts := fleet.NewContacts()
 	config := &configuration{translate: adapter.Translate, inForce: log.DocumentInForce, omitted: log.TenantOmitted, former: snapshot.Empty()}
--- a/internal/telemetry/hosted_metrics.go
+++ b/internal/telemetry/hosted_metrics.go
@@ -29,8 +29,8 @@
 	// Quarantined are the requests that are known to crash workers and are run nowhere,
 	// Suspected those that have been in hand where a worker ended.
 	Quarantined, Suspected int
-	// Returns is what the node has had to do with a store that came back from copies.
-	Returns hosted.StoreReturns
+	// StoreRestores is what the node has had to do with a store that came back from copies.
+	StoreRestores hosted.StoreReturns
 	// Messages is what the node has sent to others.
 	Messages hosted.Messages
 	// Quotas is what the node has and has decided of the limits of tenants.
@@ -64,10 +64,10 @@
 		counter("transfers_refused_total", "Long bodies that got no turn on the link of this node.", func(r HostedReading) uint64 { return r.RefusedTransfers }),
 		gauge("quarantined_requests", "Requests that are run nowhere any more, since they crash the workers that run them.", func(r HostedReading) float64 { return float64(r.Quarantined) }),
 		gauge("suspected_requests", "Requests that a worker had in hand when it ended, and that were neither cleared nor quarantined.", func(r HostedReading) float64 { return float64(r.Suspected) }),
-		gauge("store_era", "Times that the store came back from a copy, from one; 0 when it does not tell.", func(r HostedReading) float64 { return float64(r.Returns.Era) }),
-		counter("store_restores_total", "Returns of the store from a copy that this node has heard of.", func(r HostedReading) uint64 { return r.Returns.Restores }),
-		counter("documents_passed_over_total", "Documents of the store that were older than the one held.", func(r HostedReading) uint64 { return r.Returns.PassedOver }),
-		counter("rejected_writes_total", "Calls for workers, and entries in the store, that could not be used.", func(r HostedReading) uint64 { return r.Returns.Rejected }),
+		gauge("store_era", "Times that the store came back from a copy, from one; 0 when it does not tell.", func(r HostedReading) float64 { return float64(r.StoreRestores.Era) }),
+		counter("store_restores_total", "Returns of the store from a copy that this node has heard of.", func(r HostedReading) uint64 { return r.StoreRestores.Restores }),
+		counter("documents_passed_over_total", "Documents of the store that were older than the one held.", func(r HostedReading) uint64 { return r.StoreRestores.PassedOver }),
+		counter("rejected_writes_total", "Calls for workers, and entries in the store, that could not be used.", func(r HostedReading) uint64 { return r.StoreRestores.Rejected }),
 		counter("comparisons_total", "Questions to other nodes whether they know the same.", func(r HostedReading) uint64 { return r.Messages.Comparisons }),
 		counter("broadcasts_total", "Messages with news to other nodes.", func(r HostedReading) uint64 { return r.Messages.Broadcasts }),
 		counter("reader_questions_total", "Messages that ask nodes which read the store whether they are there.", func(r HostedReading) uint64 { return r.Messages.Questions }),
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -31,8 +31,8 @@
 	return &Queue{writer: writer, lines: make(chan []byte, queuedLines), report: func(uint64) {}}
 }
 
-// Report sets who is told how many lines were dropped. Call it before Serve.
-func (q *Queue) Report(report func(lines uint64)) { q.report = report }
+// OnDropped sets who is told how many lines were dropped. Call it before Serve.
+func (q *Queue) OnDropped(report func(lines uint64)) { q.report = report }
 
 // Write implements io.Writer. It never blocks and never fails.
 func (q *Queue) Write(line []byte) (int, error) {
