--- a/internal/crashwatch/watch.go
+++ b/internal/crashwatch/watch.go
@@ -20,22 +20,22 @@
 	// for: when it ends, all are lost at the same moment. A process that is short of its
 	// share of the processor may see them later, and so the worker is asked before, too.
 	lossGrace = 10 * time.Millisecond
-	// questionBound bounds the connection that asks whether a worker is there: it is on
+	// probeTimeout bounds the connection that asks whether a worker is there: it is on
 	// the same machine.
-	questionBound = 100 * time.Millisecond
+	probeTimeout = 100 * time.Millisecond
 )
 
 // Watch watches one worker. Use New.
 type Watch struct {
 	dial httpleg.DialFunc
 
-	mu     sync.Mutex
-	inHand int
-	// none is closed when the worker has nothing in hand any more; nil while it has
+	mu       sync.Mutex
+	inFlight int
+	// idle is closed when the worker has nothing in hand any more; nil while it has
 	// nothing.
-	none chan struct{}
-	// asking shares one question among all requests that are lost together.
-	asking singleflight.Group
+	idle chan struct{}
+	// probes shares one question among all requests that are lost together.
+	probes singleflight.Group
 	// isolation is held by the one suspect that the worker may have in hand.
 	isolation chan struct{}
 }
@@ -50,19 +50,19 @@
 func (w *Watch) Begin() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.inHand == 0 {
-		w.none = make(chan struct{})
+	if w.inFlight == 0 {
+		w.idle = make(chan struct{})
 	}
-	w.inHand++
+	w.inFlight++
 }
 
 // End is told after Begin.
 func (w *Watch) End() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.inHand--; w.inHand == 0 {
-		close(w.none)
-		w.none = nil
+	if w.inFlight--; w.inFlight == 0 {
+		close(w.idle)
+		w.idle = nil
 	}
 }
 
@@ -71,22 +71,22 @@
 // was cut short. A worker that still takes connections may be about to end: it is asked once
 // more when all that it has in hand is lost, too.
 func (w *Watch) Ended(ctx context.Context, address string) bool {
-	return w.refuses(ctx, address) || w.allEnd(lossGrace) && w.refuses(ctx, address)
+	return w.refusesProbe(ctx, address) || w.allEndWithin(lossGrace) && w.refusesProbe(ctx, address)
 }
 
-// refuses asks once for all that are lost together.
-func (w *Watch) refuses(ctx context.Context, address string) bool {
-	refused, _, _ := w.asking.Do(address, func() (any, error) {
-		return w.refusesConnections(context.WithoutCancel(ctx), address), nil
+// refusesProbe asks once for all that are lost together.
+func (w *Watch) refusesProbe(ctx context.Context, address string) bool {
+	refused, _, _ := w.probes.Do(address, func() (any, error) {
+		return w.refusesConnection(context.WithoutCancel(ctx), address), nil
 	})
 	return refused.(bool)
 }
 
-// allEnd reports whether everything that the worker has in hand ends within the given
+// allEndWithin reports whether everything that the worker has in hand ends within the given
 // time.
-func (w *Watch) allEnd(bound time.Duration) bool {
+func (w *Watch) allEndWithin(bound time.Duration) bool {
 	w.mu.Lock()
-	none := w.none
+	none := w.idle
 	w.mu.Unlock()
 	if none == nil {
 		return true
@@ -101,9 +101,9 @@
 	}
 }
 
-// refusesConnections reports whether nobody listens at an address.
-func (w *Watch) refusesConnections(ctx context.Context, address string) bool {
-	bounded, cancel := context.WithTimeout(ctx, questionBound)
+// refusesConnection reports whether nobody listens at an address.
+func (w *Watch) refusesConnection(ctx context.Context, address string) bool {
+	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	conn, err := w.dial(bounded, "tcp", address)
 	if err == nil {
--- a/internal/crashwatch/watch_test.go
+++ b/internal/crashwatch/watch_test.go
@@ -11,12 +11,12 @@
 
 // dialer answers questions for a worker as a test says.
 type dialer struct {
-	refuse    atomic.Bool
-	questions atomic.Int64
+	refuse atomic.Bool
+	probes atomic.Int64
 }
 
 func (d *dialer) dial(context.Context, string, string) (net.Conn, error) {
-	d.questions.Add(1)
+	d.probes.Add(1)
 	if d.refuse.Load() {
 		return nil, syscall.ECONNREFUSED
 	}
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestWorkerThatIsAboutToEndIsAskedAgain has the connections of a worker break before it
+// TestWorkerThatIsAboutToEndIsProbedAgain has the connections of a worker break before it
 // stops to listen.
-func TestWorkerThatIsAboutToEndIsAskedAgain(t *testing.T) {
+func TestWorkerThatIsAboutToEndIsProbedAgain(t *testing.T) {
 	d := &dialer{}
 	w := New(d.dial)
 	w.Begin()
@@ -56,7 +56,7 @@
 	if !w.Ended(t.Context(), "worker") {
 		t.Error("the worker has not ended")
 	}
-	if questions := d.questions.Load(); questions != 2 {
+	if questions := d.probes.Load(); questions != 2 {
 		t.Errorf("%d questions, want 2", questions)
 	}
 }
--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -16,23 +16,23 @@
 // and swapped in; the version never falls.
 type configuration struct {
 	translate func(content []byte) (Translation, error)
-	inForce   func(version uint64, routes int)
-	// omitted is told of each part of a document that cannot be used.
-	omitted func(version uint64, fault string)
+	onInForce func(version uint64, routes int)
+	// onOmitted is told of each part of a document that cannot be used.
+	onOmitted func(version uint64, fault string)
 
 	mutex sync.Mutex
-	// former is the snapshot of the version in force.
-	former  *snapshot.Snapshot
-	current atomic.Pointer[forwarding.Configuration]
-	// limited tells that a tenant of the version in force has a limit.
-	limited atomic.Bool
+	// snapshot is the snapshot of the version in force.
+	snapshot *snapshot.Snapshot
+	current  atomic.Pointer[forwarding.Configuration]
+	// hasTenantLimits tells that a tenant of the version in force has a limit.
+	hasTenantLimits atomic.Bool
 	// healthPaths are those of the services of the version in force, by name; empty for
 	// a service that has none.
 	healthPaths atomic.Pointer[map[string]string]
 }
 
-// knows reports whether the version in force has a service of the name.
-func (c *configuration) knows(service string) bool {
+// knowsService reports whether the version in force has a service of the name.
+func (c *configuration) knowsService(service string) bool {
 	paths := c.healthPaths.Load()
 	if paths == nil {
 		return false
@@ -78,7 +78,7 @@
 	if held := c.current.Load(); held != nil && held.Table.Version() >= translation.Version {
 		return nil
 	}
-	built, err := c.former.Next(translation.Version, translation.Resources)
+	built, err := c.snapshot.Next(translation.Version, translation.Resources)
 	if err != nil {
 		return hosted.ErrInvalidDocument.Wrap(err, "version %d", translation.Version)
 	}
@@ -87,13 +87,13 @@
 		return hosted.ErrInvalidDocument.Wrap(err, "version %d", translation.Version)
 	}
 	for _, fault := range translation.Omitted {
-		c.omitted(translation.Version, fault)
+		c.onOmitted(translation.Version, fault)
 	}
 	paths := healthPathsOf(translation.Resources)
 	c.healthPaths.Store(&paths)
-	c.limited.Store(limitsTenants(translation.Resources))
-	c.former = built
+	c.hasTenantLimits.Store(limitsTenants(translation.Resources))
+	c.snapshot = built
 	c.current.Store(&forwarding.Configuration{Table: table, MaximumBody: translation.MaximumBody})
-	c.inForce(translation.Version, table.Len())
+	c.onInForce(translation.Version, table.Len())
 	return nil
 }
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -31,8 +31,8 @@
 	network Network
 	server  server
 
-	mutex sync.Mutex
-	first net.Listener
+	mutex   sync.Mutex
+	initial net.Listener
 	// address is where it listens, and again when it is started again.
 	address string
 }
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "listener for %s", name)
 	}
-	return &listener{name: name, network: network, server: server, first: opened, address: opened.Addr().String()}, nil
+	return &listener{name: name, network: network, server: server, initial: opened, address: opened.Addr().String()}, nil
 }
 
 // String names the part in events.
@@ -51,7 +51,7 @@
 
 // Serve answers until the context ends.
 func (l *listener) Serve(ctx context.Context) error {
-	opened, err := l.take()
+	opened, err := l.initialOrReopened()
 	if err != nil {
 		return err
 	}
@@ -65,11 +65,11 @@
 	return err
 }
 
-func (l *listener) take() (net.Listener, error) {
+func (l *listener) initialOrReopened() (net.Listener, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if opened := l.first; opened != nil {
-		l.first = nil
+	if opened := l.initial; opened != nil {
+		l.initial = nil
 		return opened, nil
 	}
 	return l.network.Listen(l.address)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -31,14 +31,14 @@
 )
 
 const (
-	// silentHeartbeats is how many heartbeats may be missing before a worker is
+	// unresponsiveHeartbeats is how many heartbeats may be missing before a worker is
 	// taken to be silent.
-	silentHeartbeats = 4
-	// budgetShare is the share of the retry budget that a node uses of its part. The rest
+	unresponsiveHeartbeats = 4
+	// retryBudgetShare is the share of the retry budget that a node uses of its part. The rest
 	// is for what the parts together may exceed it by: 0.12 in the worst window when all
 	// nodes restart and forget what they have spent (model of 2 to 2,000 nodes), and
 	// calls that workers make for repeated requests where a node has more of these than its part.
-	budgetShare = 0.75
+	retryBudgetShare = 0.75
 	// settleTime is how long a node that has started takes at most to know the others, with
 	// which it shares the fixed part of the retry budget: before, it would take the part of all.
 	settleTime = 2 * time.Second
@@ -48,9 +48,9 @@
 	stopMargin = 800 * time.Millisecond
 	// bitsPerMegabit is the unit of the setting of the link.
 	bitsPerMegabit = 1e6
-	// farewellTime is how long other nodes are given to turn elsewhere before a
+	// rerouteTime is how long other nodes are given to turn elsewhere before a
 	// node that stops refuses their calls.
-	farewellTime = 100 * time.Millisecond
+	rerouteTime = 100 * time.Millisecond
 )
 
 // Node is one node in hosted mode.
@@ -58,7 +58,7 @@
 	settings settings.Settings
 	network  Network
 	log      *telemetry.Log
-	lines    *telemetry.Queue
+	logQueue *telemetry.Queue
 
 	table   *fleet.Table
 	workers *workers.Registry
@@ -68,11 +68,11 @@
 	// quarantine is what the node knows of requests that crash workers.
 	quarantine *quarantine.Table
 	// quotas keeps the limits of tenants.
-	quotas   *hosted.Quotas
-	callers  *listener
-	calls    *listener
-	others   []*listener
-	stopping atomic.Bool
+	quotas             *hosted.Quotas
+	callerListener     *listener
+	hopListener        *listener
+	auxiliaryListeners []*listener
+	stopping           atomic.Bool
 	// aborted is closed when the node is to end at once.
 	aborted   chan struct{}
 	abortOnce sync.Once
@@ -80,21 +80,21 @@
 
 // New opens the listeners and puts the parts together. Nothing runs before Run.
 func New(s settings.Settings, adapter Adapter, network Network, log *telemetry.Log, lines *telemetry.Queue) (*Node, error) {
-	node := &Node{settings: s, network: network, log: log, lines: lines, aborted: make(chan struct{})}
+	node := &Node{settings: s, network: network, log: log, logQueue: lines, aborted: make(chan struct{})}
 	lines.OnDropped(log.LinesDropped)
-	node.workers = workers.NewRegistry(silentHeartbeats * s.HeartbeatInterval)
+	node.workers = workers.NewRegistry(unresponsiveHeartbeats * s.HeartbeatInterval)
 	contacts := fleet.NewContacts()
-	config := &configuration{translate: adapter.Translate, inForce: log.DocumentInForce, omitted: log.TenantOmitted, former: snapshot.Empty()}
+	config := &configuration{translate: adapter.Translate, onInForce: log.DocumentInForce, onOmitted: log.TenantOmitted, snapshot: snapshot.Empty()}
 	node.config = config
 	if adapter.Suspended == nil {
 		adapter.Suspended = suspend.Since
 	}
 	node.quarantine = quarantine.New(quarantine.Options{})
 	registry := telemetry.NewHostedRegistry(node.reading)
-	node.table = fleet.NewTable(node.record())
+	node.table = fleet.NewTable(node.initialRecord())
 	node.quotas = hosted.NewQuotas(hosted.QuotaConfig{
 		Table: node.table, Tolerance: quota.Tolerance{Overage: s.QuotaOverage, Slack: s.QuotaSlack},
-		Limited: config.limited.Load, Suspended: adapter.Suspended, Events: log,
+		Limited: config.hasTenantLimits.Load, Suspended: adapter.Suspended, Events: log,
 	})
 	node.plane = forwarding.New(forwarding.Config{
 		Node:     s.NodeID,
@@ -108,8 +108,8 @@
 		Dial:     network.Dial,
 		Retries: retry.WindowOptions{
 			Window: s.RetryWindow,
-			Ratio:  s.RetryRatio * budgetShare,
-			Slack:  s.RetrySlack * budgetShare,
+			Ratio:  s.RetryRatio * retryBudgetShare,
+			Slack:  s.RetrySlack * retryBudgetShare,
 			// A former life may have spent its part just now.
 			SlackFrom: time.Now().Add(settleTime),
 			Draw:      rand.Float64,
@@ -130,7 +130,7 @@
 	source, directory = hosted.Observe(source, directory, telemetry.NewStoreObserver(registry.Registerer()))
 	node.agent = hosted.New(hosted.Config{
 		Mesh: s.Mesh, FirstStart: s.FirstStart, Table: node.table, Contacts: contacts, Workers: node.workers,
-		KnowsService: func(name string) bool { return name == s.Service || config.knows(name) },
+		KnowsService: func(name string) bool { return name == s.Service || config.knowsService(name) },
 		Source:       source, Directory: directory, Consumer: config, Serving: node.plane,
 		Rollouts: rollouts, Steering: node.plane,
 		Quarantine: node.quarantine, Quotas: node.quotas,
@@ -142,10 +142,10 @@
 
 func (n *Node) openListeners(adapter Adapter, registry *telemetry.Registry) error {
 	var err error
-	if n.callers, err = listen(n.network, "callers", n.settings.CallerAddress, n.plane.CallerServer()); err != nil {
+	if n.callerListener, err = listen(n.network, "callers", n.settings.CallerAddress, n.plane.CallerServer()); err != nil {
 		return err
 	}
-	if n.calls, err = listen(n.network, "calls", n.settings.CallAddress, n.plane.HopServer()); err != nil {
+	if n.hopListener, err = listen(n.network, "calls", n.settings.CallAddress, n.plane.HopServer()); err != nil {
 		return err
 	}
 	for _, other := range []struct {
@@ -168,13 +168,13 @@
 		if err != nil {
 			return err
 		}
-		n.others = append(n.others, opened)
+		n.auxiliaryListeners = append(n.auxiliaryListeners, opened)
 	}
 	return nil
 }
 
-// record is what the node says of itself when it starts.
-func (n *Node) record() fleet.Node {
+// initialRecord is what the node says of itself when it starts.
+func (n *Node) initialRecord() fleet.Node {
 	return fleet.Node{
 		ID:             n.settings.NodeID,
 		Incarnation:    uint64(time.Now().UnixNano()),
@@ -195,9 +195,9 @@
 // Run runs the node until the context ends, and then stops it as planned. The
 // error is nil after a planned stop.
 func (n *Node) Run(ctx context.Context, signal func() string) error {
-	tuneMemory(n.settings.MemoryLimit)
+	limitHeap(n.settings.MemoryLimit)
 	n.log.Started(Version, n.settings.Region, n.settings.Zone, n.settings.Service, n.table.View().Self().Incarnation)
-	n.log.Listening(n.callers.address, n.calls.address, n.settings.ControlAddress, n.settings.AdminAddress)
+	n.log.Listening(n.callerListener.address, n.hopListener.address, n.settings.ControlAddress, n.settings.AdminAddress)
 	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := n.supervisor().ServeBackground(running)
@@ -226,31 +226,31 @@
 
 // Addresses returns where callers and the readiness question go.
 func (n *Node) Addresses() (callers, readiness string) {
-	for _, other := range n.others {
+	for _, other := range n.auxiliaryListeners {
 		if other.name == readinessName {
 			readiness = other.address
 		}
 	}
-	return n.callers.address, readiness
+	return n.callerListener.address, readiness
 }
 
 func (n *Node) supervisor() *suture.Supervisor {
 	supervisor := suture.New("levertided", suture.Spec{
-		EventHook:         n.partEvent,
+		EventHook:         n.logPartFailure,
 		PassThroughPanics: true,
 		Timeout:           supervisorTimeout,
 	})
-	supervisor.Add(n.lines)
+	supervisor.Add(n.logQueue)
 	supervisor.Add(n.agent)
-	supervisor.Add(n.callers)
-	supervisor.Add(n.calls)
-	for _, other := range n.others {
+	supervisor.Add(n.callerListener)
+	supervisor.Add(n.hopListener)
+	for _, other := range n.auxiliaryListeners {
 		supervisor.Add(other)
 	}
 	return supervisor
 }
 
-func (n *Node) partEvent(event suture.Event) {
+func (n *Node) logPartFailure(event suture.Event) {
 	if failed, ok := event.(suture.EventServiceTerminate); ok {
 		text, _ := failed.Map()["error"].(string)
 		n.log.PartFailed(failed.ServiceName, text)
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -26,8 +26,8 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// patience bounds waits for what comes much sooner.
-const patience = 30 * time.Second
+// waitLimit bounds waits for what comes much sooner.
+const waitLimit = 30 * time.Second
 
 // testDocument is the document of these tests.
 type testDocument struct {
@@ -94,8 +94,8 @@
 	return b.text.String()
 }
 
-// taken are the addresses that freeAddress has returned.
-var taken sync.Map
+// returnedAddresses are the addresses that freeAddress has returned.
+var returnedAddresses sync.Map
 
 // freeAddress returns an address that nobody else takes: it is on a loopback address
 // that only this process uses, and is returned once.
@@ -109,7 +109,7 @@
 		}
 		address := listener.Addr().String()
 		_ = listener.Close()
-		if _, given := taken.LoadOrStore(address, true); !given {
+		if _, given := returnedAddresses.LoadOrStore(address, true); !given {
 			return address
 		}
 	}
@@ -168,13 +168,13 @@
 		stop()
 		select {
 		case <-running.ended:
-		case <-time.After(patience):
+		case <-time.After(waitLimit):
 		}
 	})
 	return running
 }
 
-func (n *runningNode) beat(t *testing.T, instance, service, address string) {
+func (n *runningNode) heartbeat(t *testing.T, instance, service, address string) {
 	t.Helper()
 	err := n.registrar.Heartbeat(t.Context(), workers.Heartbeat{Instance: instance, Service: service, Address: address, Slots: 6, Sequence: 1})
 	if err != nil {
@@ -183,7 +183,7 @@
 }
 
 func (n *runningNode) isReady() bool {
-	response, err := http.Get("http://" + n.node.others[1].address)
+	response, err := http.Get("http://" + n.node.auxiliaryListeners[1].address)
 	if err != nil {
 		return false
 	}
@@ -194,7 +194,7 @@
 // call sends one request to a node on a client's connection.
 func (n *runningNode) call(t *testing.T, client *http.Client, path string) (int, string, error) {
 	t.Helper()
-	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+n.node.callers.address+path, strings.NewReader("vat"))
+	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+n.node.callerListener.address+path, strings.NewReader("vat"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,8 +234,8 @@
 	var ran, answered atomic.Int64
 	front, back := startNode(t, store, "front", "desk"), startNode(t, store, "back", "ledger")
 	testwait.Eventually(t, "both are ready", func() bool { return front.isReady() && back.isReady() })
-	back.beat(t, "w1", "ledger", slowWorker(t, &ran))
-	client := &http.Client{Timeout: patience}
+	back.heartbeat(t, "w1", "ledger", slowWorker(t, &ran))
+	client := &http.Client{Timeout: waitLimit}
 	testwait.Eventually(t, "calls are served", func() bool {
 		status, _, _ := front.call(t, client, "/ledger/1")
 		return status == http.StatusOK
@@ -245,7 +245,7 @@
 	var callers sync.WaitGroup
 	for range 16 {
 		callers.Go(func() {
-			own := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+			own := &http.Client{Timeout: waitLimit, Transport: &http.Transport{}}
 			for {
 				select {
 				case <-ending:
@@ -287,8 +287,8 @@
 	testwait.Eventually(t, "all are ready", func() bool {
 		return nodes[0].isReady() && nodes[1].isReady() && nodes[2].isReady()
 	})
-	nodes[0].beat(t, "w1", "ledger", slowWorker(t, &ran))
-	client := &http.Client{Timeout: patience}
+	nodes[0].heartbeat(t, "w1", "ledger", slowWorker(t, &ran))
+	client := &http.Client{Timeout: waitLimit}
 	inForceEverywhere := func(version uint64, prefix string) {
 		store.Put(testDocument{Version: version, Routes: map[string]string{prefix: "ledger"}}.encode())
 		for _, node := range nodes {
@@ -315,12 +315,12 @@
 	})
 }
 
-func TestMetricsAreTold(t *testing.T) {
+func TestMetricsAreServed(t *testing.T) {
 	store := hostedstore.New()
 	store.Put(ledgerDocument.encode())
 	node := startNode(t, store, "one", "ledger")
 	testwait.Eventually(t, "the node is ready", node.isReady)
-	response, err := http.Get("http://" + node.node.others[2].address)
+	response, err := http.Get("http://" + node.node.auxiliaryListeners[2].address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/secrets_test.go
+++ b/internal/sidecar/secrets_test.go
@@ -13,9 +13,9 @@
 	"github.com/levertide/levertide/internal/testwait"
 )
 
-// TestKeysAreShownNowhere sends keys that a tenant holds and one that none does, to a worker
+// TestKeysAreNotExposed sends keys that a tenant holds and one that none does, to a worker
 // that answers, fails and breaks off, and looks for them in all that the node says.
-func TestKeysAreShownNowhere(t *testing.T) {
+func TestKeysAreNotExposed(t *testing.T) {
 	const held, unknown = "marked-key-held", "marked-key-unknown"
 	seen := &lockedBuffer{}
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,7 +43,7 @@
 	testwait.Eventually(t, "the node is ready", n.isReady)
 	var told strings.Builder
 	ask := func(path, value string) int {
-		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+n.node.callers.address+path, strings.NewReader("b"))
+		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+n.node.callerListener.address+path, strings.NewReader("b"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	// The node tells of a document that cannot be read.
 	store.Put([]byte(`{"Version": 2, "Tenants": ["` + unknown + `"]}`))
 	testwait.Eventually(t, "the document is rejected", func() bool { return strings.Contains(n.log.String(), "document rejected") })
-	metrics, err := http.Get("http://" + n.node.others[2].address)
+	metrics, err := http.Get("http://" + n.node.auxiliaryListeners[2].address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -24,15 +24,15 @@
 	defer cancel()
 	wait(bounded, time.Until(began.Add(n.settings.StopNotice)))
 	var ending sync.WaitGroup
-	ending.Go(func() { n.callers.shutdown(bounded) })
+	ending.Go(func() { n.callerListener.shutdown(bounded) })
 	n.agent.Farewell(bounded, fleet.StateLeaving)
-	wait(bounded, farewellTime)
+	wait(bounded, rerouteTime)
 	n.plane.Stop()
 	ending.Wait()
 	_ = n.plane.WaitIdle(bounded)
 	calls, hops := n.plane.InFlight()
 	n.reportDrain(time.Since(began), int(calls+hops))
-	n.calls.shutdown(bounded)
+	n.hopListener.shutdown(bounded)
 	n.agent.Farewell(context.Background(), fleet.StateLeft)
 	n.plane.Close()
 }
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -4,30 +4,30 @@
 
 import "time"
 
-// notable is the difference of the two clocks of a process from which on it is looked
+// minimumDifference is the difference of the two clocks of a process from which on it is looked
 // whether the machine was suspended. Clocks that are kept in step differ by far less.
-const notable = 50 * time.Millisecond
+const minimumDifference = 50 * time.Millisecond
 
 // Since returns for how long the machine was suspended since the given moment, which must
 // come from time.Now in this process. It costs one reading of the clock (0.13 µs,
 // BenchmarkSince) unless the time of day has run ahead of the steady clock.
 func Since(began time.Time) time.Duration {
 	now := time.Now()
-	return between(now.Round(0).Sub(began.Round(0)), now.Sub(began), sinceStart)
+	return suspendedBetween(now.Round(0).Sub(began.Round(0)), now.Sub(began), sinceStart)
 }
 
-// between returns for how long the machine was suspended while the time of day and the
+// suspendedBetween returns for how long the machine was suspended while the time of day and the
 // steady clock passed by the given durations. The time of day may also have been set: then
 // the machine was not suspended since the process started, or not for that long.
-func between(day, steady time.Duration, sinceStart func() time.Duration) time.Duration {
+func suspendedBetween(day, steady time.Duration, sinceStart func() time.Duration) time.Duration {
 	ahead := day - steady
-	if ahead < notable {
+	if ahead < minimumDifference {
 		return 0
 	}
 	return max(min(ahead, sinceStart()), 0)
 }
 
-// atStart is the time for which the machine had been suspended when the process started.
-var atStart = total()
+// totalAtStart is the time for which the machine had been suspended when the process started.
+var totalAtStart = total()
 
-func sinceStart() time.Duration { return total() - atStart }
+func sinceStart() time.Duration { return total() - totalAtStart }
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -19,7 +19,7 @@
 		{"time of day set back", -time.Second, time.Second, time.Minute, 0},
 		{"clocks that contradict each other", 3 * time.Second, time.Second, -time.Second, 0},
 	} {
-		got := between(c.day, c.steady, func() time.Duration { return c.sinceStart })
+		got := suspendedBetween(c.day, c.steady, func() time.Duration { return c.sinceStart })
 		if got != c.want {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
--- a/internal/telemetry/hosted.go
+++ b/internal/telemetry/hosted.go
@@ -79,12 +79,12 @@
 
 // PromiseKept records that a worker's leave is about to be acknowledged.
 func (l *Log) PromiseKept(instance string, holders int, stored bool) {
-	end(l.begin(eventPromiseKept).Str("instance", instance).Int("holders", holders).Bool("stored", stored))
+	end(l.begin(eventDrainCommitmentHeld).Str("instance", instance).Int("holders", holders).Bool("stored", stored))
 }
 
 // FormerLife records what was told of a former life of this node.
 func (l *Log) FormerLife(incarnation uint64, promised int) {
-	end(l.begin(eventFormerLife).Uint64("incarnation", incarnation).Int("promised", promised))
+	end(l.begin(eventPreviousIncarnation).Uint64("incarnation", incarnation).Int("promised", promised))
 }
 
 // RolloutOrdered records an order of the operators on a version.
--- a/internal/telemetry/hosted_calls.go
+++ b/internal/telemetry/hosted_calls.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// callLines and callLinesBurst bound the lines of single calls a second.
-	callLines      = 50
-	callLinesBurst = 200
+	// callLinesPerSecond and callLinesBurst bound the lines of single calls a second.
+	callLinesPerSecond = 50
+	callLinesBurst     = 200
 
 	// resultMade and resultDenied tell whether the retry budget paid for a retry.
 	resultMade   = "made"
@@ -25,19 +25,19 @@
 // ForwardingObserver turns what the call path of the hosted mode tells into
 // metrics and events.
 type ForwardingObserver struct {
-	log       *Log
-	limiter   *rate.Limiter
-	dropped   func()
-	calls     *prometheus.CounterVec
-	hops      *prometheus.CounterVec
-	returns   *prometheus.CounterVec
-	retries   *prometheus.CounterVec
-	held      *prometheus.CounterVec
-	offers    prometheus.Counter
-	arrivals  prometheus.Counter
-	durations prometheus.Histogram
-	waits     prometheus.Histogram
-	runs      prometheus.Histogram
+	log           *Log
+	limiter       *rate.Limiter
+	dropped       func()
+	calls         *prometheus.CounterVec
+	hops          *prometheus.CounterVec
+	clientRetries *prometheus.CounterVec
+	retries       *prometheus.CounterVec
+	held          *prometheus.CounterVec
+	offers        prometheus.Counter
+	arrivals      prometheus.Counter
+	durations     prometheus.Histogram
+	waits         prometheus.Histogram
+	runs          prometheus.Histogram
 }
 
 var _ forwarding.Observer = (*ForwardingObserver)(nil)
@@ -47,21 +47,21 @@
 func NewForwardingObserver(registerer prometheus.Registerer, log *Log, dropped func()) *ForwardingObserver {
 	labels := []string{"service", labelOutcome, labelReason}
 	o := &ForwardingObserver{
-		log:       log,
-		limiter:   rate.NewLimiter(callLines, callLinesBurst),
-		dropped:   dropped,
-		calls:     prometheus.NewCounterVec(prometheus.CounterOpts{Name: "calls_total", Help: "Calls that began at this node, by service, outcome and reason."}, labels),
-		hops:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hops_total", Help: "Calls of other nodes for the worker beside this one, by service, outcome and reason."}, labels),
-		returns:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "returned_calls_total", Help: "Calls of callers that were refused before and came back, by service and outcome."}, []string{"service", labelOutcome}),
-		retries:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "retries_total", Help: "Further attempts beside the first that reached a worker, by service and whether the retry budget paid for them."}, []string{"service", labelResult}),
-		held:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "held_calls_total", Help: "Calls that waited for their node to start, by service and outcome."}, []string{"service", labelOutcome}),
-		offers:    prometheus.NewCounter(prometheus.CounterOpts{Name: "call_offers_total", Help: "Nodes asked on behalf of callers."}),
-		arrivals:  prometheus.NewCounter(prometheus.CounterOpts{Name: "call_arrivals_total", Help: "Workers that may have had a call that failed there."}),
-		durations: newLatencies("call_duration_seconds", "Time from the head of a caller's request to the end of its answer."),
-		waits:     newLatencies("worker_wait_seconds", "Time that calls waited for a slot of the worker beside this node, also when they got none."),
-		runs:      newLatencies("worker_run_seconds", "Time that the worker beside this node had a call."),
+		log:           log,
+		limiter:       rate.NewLimiter(callLinesPerSecond, callLinesBurst),
+		dropped:       dropped,
+		calls:         prometheus.NewCounterVec(prometheus.CounterOpts{Name: "calls_total", Help: "Calls that began at this node, by service, outcome and reason."}, labels),
+		hops:          prometheus.NewCounterVec(prometheus.CounterOpts{Name: "hops_total", Help: "Calls of other nodes for the worker beside this one, by service, outcome and reason."}, labels),
+		clientRetries: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "returned_calls_total", Help: "Calls of callers that were refused before and came back, by service and outcome."}, []string{"service", labelOutcome}),
+		retries:       prometheus.NewCounterVec(prometheus.CounterOpts{Name: "retries_total", Help: "Further attempts beside the first that reached a worker, by service and whether the retry budget paid for them."}, []string{"service", labelResult}),
+		held:          prometheus.NewCounterVec(prometheus.CounterOpts{Name: "held_calls_total", Help: "Calls that waited for their node to start, by service and outcome."}, []string{"service", labelOutcome}),
+		offers:        prometheus.NewCounter(prometheus.CounterOpts{Name: "call_offers_total", Help: "Nodes asked on behalf of callers."}),
+		arrivals:      prometheus.NewCounter(prometheus.CounterOpts{Name: "call_arrivals_total", Help: "Workers that may have had a call that failed there."}),
+		durations:     newLatencies("call_duration_seconds", "Time from the head of a caller's request to the end of its answer."),
+		waits:         newLatencies("worker_wait_seconds", "Time that calls waited for a slot of the worker beside this node, also when they got none."),
+		runs:          newLatencies("worker_run_seconds", "Time that the worker beside this node had a call."),
 	}
-	registerer.MustRegister(o.calls, o.hops, o.returns, o.retries, o.held, o.offers, o.arrivals, o.durations, o.waits, o.runs)
+	registerer.MustRegister(o.calls, o.hops, o.clientRetries, o.retries, o.held, o.offers, o.arrivals, o.durations, o.waits, o.runs)
 	return o
 }
 
@@ -95,7 +95,7 @@
 func (o *ForwardingObserver) CallFinished(report forwarding.CallReport) {
 	o.calls.WithLabelValues(report.Service, string(report.Outcome), string(report.Reason)).Inc()
 	if report.CameBack {
-		o.returns.WithLabelValues(report.Service, string(report.Outcome)).Inc()
+		o.clientRetries.WithLabelValues(report.Service, string(report.Outcome)).Inc()
 	}
 	if report.Held > 0 {
 		o.held.WithLabelValues(report.Service, string(report.Outcome)).Inc()
@@ -112,15 +112,15 @@
 	if served && report.Arrivals == 0 || report.Reason == outcome.QuotaExceeded {
 		return
 	}
-	if !o.allowed() {
+	if !o.allowLine() {
 		return
 	}
 	entry := o.log.begin(eventCallFailed).Str("request", report.RequestID).Str("route", report.Route).Str("service", report.Service).
 		Uint64(fieldVersion, report.Version)
-	o.tenant(entry, report)
-	o.outcome(entry, report).Str("peer", report.Node).Str("instance", report.Instance).
+	o.addTenant(entry, report)
+	o.addOutcome(entry, report).Str("peer", report.Node).Str("instance", report.Instance).
 		Int("offers", report.Offers)
-	o.decided(entry, report).Bool("came_back", report.CameBack).Float64("budget", report.BudgetLeft).
+	o.addDecision(entry, report).Bool("came_back", report.CameBack).Float64("budget", report.BudgetLeft).
 		Int64("left_milliseconds", report.Left.Milliseconds()).Int64(fieldDuration, report.Duration.Milliseconds()).
 		Int64("retry_after_milliseconds", report.RetryAfter.Milliseconds()).Bool("truncated", report.Truncated)
 	end(entry.Str(fieldError, causeText(report.Cause)))
@@ -132,18 +132,18 @@
 	o.hops.WithLabelValues(report.Service, string(report.Outcome), string(report.Reason)).Inc()
 	o.observeWorker(report)
 	quiet := report.Outcome == outcome.Answered && !report.Truncated || report.Reason == outcome.Overloaded || report.Reason == outcome.Declined
-	if quiet || !o.allowed() {
+	if quiet || !o.allowLine() {
 		return
 	}
 	entry := o.log.begin(eventHopFailed).Str("request", report.RequestID).Str("service", report.Service).Str("instance", report.Instance)
-	o.tenant(entry, report)
-	o.outcome(entry, report)
-	o.decided(entry, report).Int64("left_milliseconds", report.Left.Milliseconds()).
+	o.addTenant(entry, report)
+	o.addOutcome(entry, report)
+	o.addDecision(entry, report).Int64("left_milliseconds", report.Left.Milliseconds()).
 		Int64(fieldDuration, report.Duration.Milliseconds()).Bool("truncated", report.Truncated)
 	end(entry.Str(fieldError, causeText(report.Cause)))
 }
 
-func (o *ForwardingObserver) allowed() bool {
+func (o *ForwardingObserver) allowLine() bool {
 	if o.limiter.AllowN(time.Now(), 1) {
 		return true
 	}
@@ -151,18 +151,18 @@
 	return false
 }
 
-func (o *ForwardingObserver) tenant(entry *log.Entry, report forwarding.CallReport) {
+func (o *ForwardingObserver) addTenant(entry *log.Entry, report forwarding.CallReport) {
 	if report.Tenant != "" {
 		entry.Str(fieldTenant, report.Tenant)
 	}
 }
 
-func (o *ForwardingObserver) outcome(entry *log.Entry, report forwarding.CallReport) *log.Entry {
+func (o *ForwardingObserver) addOutcome(entry *log.Entry, report forwarding.CallReport) *log.Entry {
 	return entry.Str("outcome", string(report.Outcome)).Str(fieldReason, string(report.Reason)).Int("status", report.Status).
 		Str(fieldFingerprint, fingerprintText(report.Fingerprint))
 }
 
-func (o *ForwardingObserver) decided(entry *log.Entry, report forwarding.CallReport) *log.Entry {
+func (o *ForwardingObserver) addDecision(entry *log.Entry, report forwarding.CallReport) *log.Entry {
 	return entry.Int("arrivals", report.Arrivals).
 		Int64("waited_milliseconds", report.Waited.Milliseconds()).Int64("ran_milliseconds", report.Ran.Milliseconds()).
 		Int("running", report.Running).Int("waiting", report.Waiting).Int("slots", report.Slots)
--- a/internal/telemetry/hosted_calls_test.go
+++ b/internal/telemetry/hosted_calls_test.go
@@ -11,9 +11,9 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// TestReturnedCallsAreCounted tells of callers of which some came back: the share that
+// TestClientRetriesAreCounted tells of callers of which some came back: the share that
 // found room is read from the metric.
-func TestReturnedCallsAreCounted(t *testing.T) {
+func TestClientRetriesAreCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	o := NewForwardingObserver(registry, NewLog(io.Discard, "node", LevelError), func() {})
 	answered := forwarding.CallReport{Service: "ledger", Outcome: outcome.Answered, Offers: 1}
--- a/internal/telemetry/hosted_metrics.go
+++ b/internal/telemetry/hosted_metrics.go
@@ -50,8 +50,8 @@
 	}
 	registry.MustRegister(
 		collectors.NewGoCollector(),
-		gauge("ready", "1 while callers may come.", func(r HostedReading) float64 { return truth(r.Ready) }),
-		gauge("reads_store", "1 while the node reaches the platform's store, as far as it knows.", func(r HostedReading) float64 { return truth(r.ReadsStore) }),
+		gauge("ready", "1 while callers may come.", func(r HostedReading) float64 { return boolValue(r.Ready) }),
+		gauge("reads_store", "1 while the node reaches the platform's store, as far as it knows.", func(r HostedReading) float64 { return boolValue(r.ReadsStore) }),
 		gauge("version_in_force", "Number of the configuration version in force; 0 for none.", func(r HostedReading) float64 { return float64(r.Version) }),
 		gauge("live_nodes", "Nodes that this node knows to be live, itself among them.", func(r HostedReading) float64 { return float64(r.LiveNodes) }),
 		gauge("calls_in_flight", "Calls of callers and of other nodes in flight.", func(r HostedReading) float64 { return float64(r.InFlight) }),
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -100,7 +100,7 @@
 	counter := func(description *prometheus.Desc, value uint64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
 	}
-	gauge(c.ready, truth(reading.Ready))
+	gauge(c.ready, boolValue(reading.Ready))
 	gauge(c.version, float64(reading.VersionInForce))
 	gauge(c.members, float64(reading.Members.Live), "live")
 	gauge(c.members, float64(reading.Members.Leaving), "leaving")
@@ -113,7 +113,7 @@
 	counter(c.storeRequests, reading.Counters.StoreRequests)
 }
 
-func truth(value bool) float64 {
+func boolValue(value bool) float64 {
 	if value {
 		return 1
 	}
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -11,8 +11,8 @@
 const (
 	// queuedLines bounds the lines that wait for a slow reader of the log.
 	queuedLines = 1024
-	// dropReport is how often dropped lines are told.
-	dropReport = time.Second
+	// dropReportInterval is how often dropped lines are told.
+	dropReportInterval = time.Second
 )
 
 // Queue takes the lines of a log without ever waiting for whoever reads them:
@@ -22,17 +22,17 @@
 	writer  io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
-	// report is told of dropped lines.
-	report func(lines uint64)
+	// onDropped is told of dropped lines.
+	onDropped func(lines uint64)
 }
 
 // NewQueue returns a queue in front of a writer.
 func NewQueue(writer io.Writer) *Queue {
-	return &Queue{writer: writer, lines: make(chan []byte, queuedLines), report: func(uint64) {}}
+	return &Queue{writer: writer, lines: make(chan []byte, queuedLines), onDropped: func(uint64) {}}
 }
 
 // OnDropped sets who is told how many lines were dropped. Call it before Serve.
-func (q *Queue) OnDropped(report func(lines uint64)) { q.report = report }
+func (q *Queue) OnDropped(report func(lines uint64)) { q.onDropped = report }
 
 // Write implements io.Writer. It never blocks and never fails.
 func (q *Queue) Write(line []byte) (int, error) {
@@ -52,7 +52,7 @@
 
 // Serve writes lines until the context ends, and then those that wait.
 func (q *Queue) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(dropReport)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -60,7 +60,7 @@
 			_, _ = q.writer.Write(line)
 		case <-ticker.C:
 			if lines := q.dropped.Swap(0); lines > 0 {
-				q.report(lines)
+				q.onDropped(lines)
 			}
 		case <-ctx.Done():
 			q.Flush()
--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestLogThatNobodyReadsStopsNothing writes to a pipe that is never read.
-func TestLogThatNobodyReadsStopsNothing(t *testing.T) {
+// TestUnreadLogBlocksNothing writes to a pipe that is never read.
+func TestUnreadLogBlocksNothing(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/telemetry/quota_metrics.go
+++ b/internal/telemetry/quota_metrics.go
@@ -60,7 +60,7 @@
 	for _, t := range r.Tenants {
 		metrics <- prometheus.MustNewConstMetric(c.requests, prometheus.CounterValue, float64(t.Admitted), t.Tenant, "admitted")
 		metrics <- prometheus.MustNewConstMetric(c.requests, prometheus.CounterValue, float64(t.Refused), t.Tenant, "refused")
-		limited += truth(t.Limited)
+		limited += boolValue(t.Limited)
 	}
 	gauge := func(desc *prometheus.Desc, value float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
