--- a/internal/sidecar/adapter.go
+++ b/internal/sidecar/adapter.go
@@ -12,18 +12,18 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// Translation is an operators' document in the words of the product.
+// Translation is an operators' document, translated to the resources of levertide.
 type Translation struct {
 	Version   uint64
 	Resources []model.Resource
 	// MaximumBody bounds the body of a request, in bytes; zero sets no bound.
 	MaximumBody int64
-	// Omitted says what of the document could not be used, in sentences without any key.
-	// The rest is used.
+	// Omitted describes each part of the document that could not be used, without showing any
+	// key. The rest is used.
 	Omitted []string
 }
 
-// Identity is what a worker says of itself in its answers.
+// Identity is what a worker reports about itself in its answers.
 type Identity struct {
 	Instance string
 	// Slots is how many requests the worker runs at once.
@@ -32,33 +32,33 @@
 	Busy int
 }
 
-// Registrar takes what workers say of themselves. When a method returns nil, the
-// worker may be told so.
+// Registrar receives what workers report about themselves. When a method returns nil, success
+// may be reported to the worker.
 type Registrar interface {
-	Heartbeat(ctx context.Context, beat workers.Heartbeat) error
-	Leave(ctx context.Context, life workers.Incarnation) error
-	// Reject takes a call that cannot be used: another writer's, or a broken one.
+	Heartbeat(ctx context.Context, heartbeat workers.Heartbeat) error
+	Leave(ctx context.Context, incarnation workers.Incarnation) error
+	// Reject records a call that cannot be used: one of another program, or a malformed one.
 	Reject(instance string, err error)
 }
 
-// Adapter translates between the product and one platform. It decides nothing
-// and keeps nothing beyond connections and what makes the next translation cheaper.
+// Adapter translates between levertide and one platform. It makes no decisions and holds no
+// state beyond connections and what makes the next translation cheaper.
 type Adapter struct {
 	Dialect forwarding.Dialect
-	// Open connects to the platform's store. The last result is nil where operators
-	// order no roll-outs.
+	// Open connects to the platform's store. The last result is nil on a platform whose
+	// operators order no roll-outs.
 	Open func(address string, dial httpleg.DialFunc) (hosted.Source, hosted.Directory, hosted.RolloutStore)
-	// Translate reads a document; it fails with hosted.ErrInvalidDocument. Resources
-	// that are the same pointers as those of the former document have not changed.
+	// Translate parses a document; it fails with hosted.ErrInvalidDocument. Resources
+	// that are the same pointers as those of the previous document have not changed.
 	Translate func(content []byte) (Translation, error)
-	// Identity reads what a worker says of itself in an answer; false when it says
+	// Identity parses what a worker reports about itself in an answer; false when it reports
 	// too little.
 	Identity func(header http.Header) (Identity, bool)
-	// Suspended returns for how long the machine was suspended since a moment; nil has the
-	// clocks of the machine tell.
+	// Suspended returns for how long the machine was suspended since a moment; nil means
+	// that package suspend finds it by the clocks of the machine.
 	Suspended func(since time.Time) time.Duration
-	// Registration returns the handler of the address that workers call.
+	// Registration returns the handler of the API that workers call.
 	Registration func(registrar Registrar) http.Handler
-	// Readiness returns the handler that tells whether callers may come.
+	// Readiness returns the handler that reports whether the node accepts calls.
 	Readiness func(ready func() bool) http.Handler
 }
--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -12,26 +12,26 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// configuration holds the version in force. Documents are built whole beside it
-// and swapped in; the version never falls.
+// configuration holds the version in force. The next document is built completely beside
+// it and then swapped in; the version number never falls.
 type configuration struct {
 	translate func(content []byte) (Translation, error)
 	onInForce func(version uint64, routes int)
-	// onOmitted is told of each part of a document that cannot be used.
+	// onOmitted is called for each part of a document that cannot be used.
 	onOmitted func(version uint64, fault string)
 
 	mutex sync.Mutex
 	// snapshot is the snapshot of the version in force.
 	snapshot *snapshot.Snapshot
 	current  atomic.Pointer[forwarding.Configuration]
-	// hasTenantLimits tells that a tenant of the version in force has a limit.
+	// hasTenantLimits reports whether any tenant of the version in force has a limit.
 	hasTenantLimits atomic.Bool
 	// healthPaths are those of the services of the version in force, by name; empty for
 	// a service that has none.
 	healthPaths atomic.Pointer[map[string]string]
 }
 
-// knowsService reports whether the version in force has a service of the name.
+// knowsService reports whether the version in force has a service of the given name.
 func (c *configuration) knowsService(service string) bool {
 	paths := c.healthPaths.Load()
 	if paths == nil {
@@ -41,8 +41,8 @@
 	return known
 }
 
-// healthPath returns the path at which a worker of a service tells that it takes
-// requests; empty when there is none.
+// healthPath returns the path of the health check of a service's workers; empty when there
+// is none.
 func (c *configuration) healthPath(service string) string {
 	paths := c.healthPaths.Load()
 	if paths == nil {
--- a/internal/sidecar/dial.go
+++ b/internal/sidecar/dial.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A machine behind a cut says nothing, and a connection to it would hang. Unsent
-// data gives up after unacknowledgedTimeout, and a silent connection after two probes.
+// A machine behind a network partition does not answer, and a connection to it would hang.
+// A connection fails when data stays unsent or unacknowledged for unacknowledgedTimeout, and
+// an idle one when two keep-alive probes stay unanswered.
 const (
 	dialTimeout           = time.Second
 	unacknowledgedTimeout = 1500 * time.Millisecond
@@ -23,17 +24,17 @@
 	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes}
 }
 
-// setUnacknowledgedTimeout is a control function for sockets.
+// setUnacknowledgedTimeout sets the time-out on a new socket, as net.Dialer.Control.
 func setUnacknowledgedTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
-		// Where the system does not know the option, the probes remain.
+		// On a system without this option, the keep-alive probes still find dead connections.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	})
 }
 
-// Network is what a node listens and dials on.
+// Network opens the listeners and connections of a node.
 type Network interface {
-	// Listen opens an IP:port.
+	// Listen opens a listener on an IP:port.
 	Listen(address string) (net.Listener, error)
 	// Dial opens a connection, as net.Dialer does.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/sidecar/doc.go
+++ b/internal/sidecar/doc.go
@@ -1,5 +1,5 @@
-// Package sidecar is the wiring of a node in hosted mode: it opens the listeners,
-// puts the call path and the coordination together, tells whether callers may
-// come, and stops as planned. What the platform says and how it is asked comes
-// from an Adapter.
+// Package sidecar assembles a node in hosted mode: it opens the listeners,
+// connects the call path with the coordination between nodes, reports whether the
+// node accepts calls, and carries out a planned stop. An Adapter implements all
+// that is specific to the platform.
 package sidecar
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -10,17 +10,17 @@
 	"sync"
 )
 
-// server is what answers on a listener.
+// server answers requests on a listener.
 type server interface {
-	// Serve answers until the server is shut down or closed, when it returns
+	// Serve answers requests until the server is shut down or closed, when it returns
 	// http.ErrServerClosed.
 	Serve(l net.Listener) error
 	Shutdown(ctx context.Context) error
 	Close() error
 }
 
-// newServer returns a server for messages. Faults of single connections are no
-// events of the node.
+// newServer returns an HTTP server for a handler. It discards its error log, since faults
+// of single connections are no events of the node.
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
 }
@@ -33,11 +33,11 @@
 
 	mutex   sync.Mutex
 	initial net.Listener
-	// address is where it listens, and again when it is started again.
+	// address is where it listens, also after it was started again.
 	address string
 }
 
-// listen opens an address at once, so that a fault shows before anything runs.
+// listen opens an address at once, so that a fault is found before anything runs.
 func listen(network Network, name, address string, server server) (*listener, error) {
 	opened, err := network.Listen(address)
 	if err != nil {
@@ -46,10 +46,10 @@
 	return &listener{name: name, network: network, server: server, initial: opened, address: opened.Addr().String()}, nil
 }
 
-// String names the part in events.
+// String names the listener in events.
 func (l *listener) String() string { return l.name }
 
-// Serve answers until the context ends.
+// Serve answers requests until the context ends.
 func (l *listener) Serve(ctx context.Context) error {
 	opened, err := l.initialOrReopened()
 	if err != nil {
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -31,25 +31,28 @@
 )
 
 const (
-	// unresponsiveHeartbeats is how many heartbeats may be missing before a worker is
-	// taken to be silent.
+	// unresponsiveHeartbeats is how many heartbeats may be missing before a worker counts
+	// as unresponsive.
 	unresponsiveHeartbeats = 4
-	// retryBudgetShare is the share of the retry budget that a node uses of its part. The rest
-	// is for what the parts together may exceed it by: 0.12 in the worst window when all
-	// nodes restart and forget what they have spent (model of 2 to 2,000 nodes), and
-	// calls that workers make for repeated requests where a node has more of these than its part.
+	// retryBudgetShare is the share that a node uses of its part of the retry budget. The rest
+	// is a margin for what all parts together may exceed the budget by: 0.12 in the worst window
+	// when all nodes restart and lose the record of what they have spent (model of 2 to 2,000
+	// nodes), and the nested calls that workers make for retried requests where a node has more
+	// of these than its part.
 	retryBudgetShare = 0.75
-	// settleTime is how long a node that has started takes at most to know the others, with
-	// which it shares the fixed part of the retry budget: before, it would take the part of all.
+	// settleTime is how long a node that has started takes at most to learn of the others, with
+	// which it shares the fixed part of the retry budget: before that, it would use the part of
+	// all of them.
 	settleTime = 2 * time.Second
-	// supervisorTimeout bounds the end of the parts.
+	// supervisorTimeout bounds how long the supervisor waits for its services to end.
 	supervisorTimeout = 200 * time.Millisecond
-	// stopMargin is what a planned stop leaves of its bound for ending the process.
+	// stopMargin is the time before the end of drain-bound that a planned stop reserves for ending
+	// the process.
 	stopMargin = 800 * time.Millisecond
-	// bitsPerMegabit is the unit of the setting of the link.
+	// bitsPerMegabit converts the setting of the link's speed, which is in Mbit/s.
 	bitsPerMegabit = 1e6
-	// rerouteTime is how long other nodes are given to turn elsewhere before a
-	// node that stops refuses their calls.
+	// rerouteTime is how long other nodes are given to route calls elsewhere before a stopping
+	// node refuses them.
 	rerouteTime = 100 * time.Millisecond
 )
 
@@ -67,21 +70,21 @@
 	agent   *hosted.Agent
 	// quarantine is what the node knows of requests that crash workers.
 	quarantine *quarantine.Table
-	// quotas keeps the limits of tenants.
+	// quotas enforces the limits of tenants.
 	quotas             *hosted.Quotas
 	callerListener     *listener
 	hopListener        *listener
 	auxiliaryListeners []*listener
 	stopping           atomic.Bool
-	// aborted is closed when the node is to end at once.
+	// aborted is closed when the node must end at once.
 	aborted   chan struct{}
 	abortOnce sync.Once
 }
 
-// New opens the listeners and puts the parts together. Nothing runs before Run.
-func New(s settings.Settings, adapter Adapter, network Network, log *telemetry.Log, lines *telemetry.Queue) (*Node, error) {
-	node := &Node{settings: s, network: network, log: log, logQueue: lines, aborted: make(chan struct{})}
-	lines.OnDropped(log.LinesDropped)
+// New opens the listeners and assembles the parts of a node. Nothing runs before Run.
+func New(s settings.Settings, adapter Adapter, network Network, log *telemetry.Log, logQueue *telemetry.Queue) (*Node, error) {
+	node := &Node{settings: s, network: network, log: log, logQueue: logQueue, aborted: make(chan struct{})}
+	logQueue.OnDropped(log.LinesDropped)
 	node.workers = workers.NewRegistry(unresponsiveHeartbeats * s.HeartbeatInterval)
 	contacts := fleet.NewContacts()
 	config := &configuration{translate: adapter.Translate, onInForce: log.DocumentInForce, onOmitted: log.TenantOmitted, snapshot: snapshot.Empty()}
@@ -110,7 +113,7 @@
 			Window: s.RetryWindow,
 			Ratio:  s.RetryRatio * retryBudgetShare,
 			Slack:  s.RetrySlack * retryBudgetShare,
-			// A former life may have spent its part just now.
+			// The previous incarnation may have spent its part just before.
 			SlackFrom: time.Now().Add(settleTime),
 			Draw:      rand.Float64,
 		},
@@ -118,13 +121,13 @@
 		Suspended:  adapter.Suspended,
 		Quarantine: node.quarantine,
 		Quota:      node.quotas,
-		// The agent is there before the first call comes.
+		// The agent is set below, before the first call can arrive.
 		Evidence: func(reports []quarantine.Report) { node.agent.Tell(reports) },
-		Observer: telemetry.NewForwardingObserver(registry.Registerer(), log, lines.Drop),
+		Observer: telemetry.NewForwardingObserver(registry.Registerer(), log, logQueue.Drop),
 	})
-	messages, err := network.Listen(s.ControlAddress)
+	controlListener, err := network.Listen(s.ControlAddress)
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "listener for messages")
+		return nil, ErrStart.Wrap(err, "listener for messages between nodes")
 	}
 	source, directory, rollouts := adapter.Open(s.StoreAddresses[0], network.Dial)
 	source, directory = hosted.Observe(source, directory, telemetry.NewStoreObserver(registry.Registerer()))
@@ -135,7 +138,7 @@
 		Rollouts: rollouts, Steering: node.plane,
 		Quarantine: node.quarantine, Quotas: node.quotas,
 		Probe:    newProbe(s, config, network, adapter),
-		Listener: messages, Dial: network.Dial, Events: log,
+		Listener: controlListener, Dial: network.Dial, Events: log,
 	})
 	return node, node.openListeners(adapter, registry)
 }
@@ -148,7 +151,7 @@
 	if n.hopListener, err = listen(n.network, "calls", n.settings.CallAddress, n.plane.HopServer()); err != nil {
 		return err
 	}
-	for _, other := range []struct {
+	for _, auxiliary := range []struct {
 		name, address string
 		handler       http.Handler
 	}{
@@ -156,12 +159,12 @@
 		{readinessName, n.settings.ReadinessAddress, adapter.Readiness(n.ready)},
 		{metricsName, n.settings.MetricsAddress, registry.Handler()},
 	} {
-		if other.address == "" {
+		if auxiliary.address == "" {
 			continue
 		}
-		opened, err := listen(n.network, other.name, other.address, newServer(other.handler))
-		if err != nil && other.name == metricsName {
-			// Calls go on when a foreign program has the port of the metrics.
+		opened, err := listen(n.network, auxiliary.name, auxiliary.address, newServer(auxiliary.handler))
+		if err != nil && auxiliary.name == metricsName {
+			// The node serves calls also when another program occupies the port of the metrics.
 			n.log.PartFailed(metricsName, err.Error())
 			continue
 		}
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// initialRecord is what the node says of itself when it starts.
+// initialRecord returns the node's own record in the table of nodes when it starts.
 func (n *Node) initialRecord() fleet.Node {
 	return fleet.Node{
 		ID:             n.settings.NodeID,
@@ -189,7 +192,7 @@
 	}
 }
 
-// ready reports whether callers may come.
+// ready reports whether the node accepts calls.
 func (n *Node) ready() bool { return n.agent.Ready() && !n.stopping.Load() }
 
 // Run runs the node until the context ends, and then stops it as planned. The
@@ -220,15 +223,15 @@
 	return nil
 }
 
-// Abort ends the node at once, without a word to anybody, as a crash does. It is
+// Abort ends the node at once and without notifying anybody, as a crash does. It is
 // for tests and the lab.
 func (n *Node) Abort() { n.abortOnce.Do(func() { close(n.aborted) }) }
 
-// Addresses returns where callers and the readiness question go.
+// Addresses returns the addresses for callers and for the readiness check.
 func (n *Node) Addresses() (callers, readiness string) {
-	for _, other := range n.auxiliaryListeners {
-		if other.name == readinessName {
-			readiness = other.address
+	for _, auxiliary := range n.auxiliaryListeners {
+		if auxiliary.name == readinessName {
+			readiness = auxiliary.address
 		}
 	}
 	return n.callerListener.address, readiness
@@ -244,8 +247,8 @@
 	supervisor.Add(n.agent)
 	supervisor.Add(n.callerListener)
 	supervisor.Add(n.hopListener)
-	for _, other := range n.auxiliaryListeners {
-		supervisor.Add(other)
+	for _, auxiliary := range n.auxiliaryListeners {
+		supervisor.Add(auxiliary)
 	}
 	return supervisor
 }
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -26,14 +26,14 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// waitLimit bounds waits for what comes much sooner.
+// waitLimit bounds waits for conditions that normally hold much sooner.
 const waitLimit = 30 * time.Second
 
-// testDocument is the document of these tests.
+// testDocument is the operators' document that the test adapter translates.
 type testDocument struct {
 	Version uint64
 	Routes  map[string]string // service by path prefix
-	// Tenants holds a key for each.
+	// Tenants holds the key of each tenant by its name.
 	Tenants map[string]string
 }
 
@@ -97,8 +97,8 @@
 // returnedAddresses are the addresses that freeAddress has returned.
 var returnedAddresses sync.Map
 
-// freeAddress returns an address that nobody else takes: it is on a loopback address
-// that only this process uses, and is returned once.
+// freeAddress returns an address that nothing else uses: it is on a loopback address
+// that only this process uses, and is returned only once.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	host := fmt.Sprintf("127.1.%d.%d", os.Getpid()>>8&0xff, os.Getpid()&0xff)
@@ -109,7 +109,7 @@
 		}
 		address := listener.Addr().String()
 		_ = listener.Close()
-		if _, given := returnedAddresses.LoadOrStore(address, true); !given {
+		if _, returned := returnedAddresses.LoadOrStore(address, true); !returned {
 			return address
 		}
 	}
@@ -120,7 +120,7 @@
 	return startNodeWith(t, store, settings.Settings{NodeID: id, Service: service, MetricsAddress: "127.0.0.1:0"})
 }
 
-// startNodeWith starts a node with the settings that a test cares for.
+// startNodeWith starts a node with the settings that matter to a test.
 func startNodeWith(t *testing.T, store *hostedstore.Store, chosen settings.Settings) *runningNode {
 	t.Helper()
 	running := &runningNode{ended: make(chan error, 1), log: &lockedBuffer{}}
@@ -147,8 +147,8 @@
 			})
 		},
 	}
-	lines := telemetry.NewQueue(running.log)
-	log := telemetry.NewLog(lines, chosen.NodeID, telemetry.LevelInfo)
+	logQueue := telemetry.NewQueue(running.log)
+	log := telemetry.NewLog(logQueue, chosen.NodeID, telemetry.LevelInfo)
 	node, err := New(settings.Settings{
 		NodeID: chosen.NodeID, Region: "r", Zone: "z", Service: chosen.Service, Mode: settings.ModeHosted,
 		WorkerAddress: chosen.WorkerAddress,
@@ -156,7 +156,7 @@
 		AdminAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", MetricsAddress: chosen.MetricsAddress,
 		StoreAddresses: []string{"unused"}, DrainBound: 10 * time.Second, StopNotice: 200 * time.Millisecond,
 		HeartbeatInterval: time.Minute, RetryRatio: 0.2, RetrySlack: 64, RetryWindow: 10 * time.Second,
-	}, adapter, TCP{}, log, lines)
+	}, adapter, TCP{}, log, logQueue)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 	return response.StatusCode, string(body), err
 }
 
-// slowWorker answers after a moment and counts.
+// slowWorker starts a worker that answers after 20 ms and counts its requests, and returns its address.
 func slowWorker(t *testing.T, ran *atomic.Int64) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -225,55 +225,55 @@
 
 var ledgerDocument = testDocument{Version: 1, Routes: map[string]string{"/ledger/": "ledger"}}
 
-// TestPlannedStopCutsNothingOff stops a node while callers go on and on. Each call
-// that a worker ran must have been answered whole, and the node must end although
-// its callers never do.
+// TestPlannedStopCutsNothingOff stops a node while callers keep sending calls. Each call
+// that a worker ran must have been answered completely, and the node must end although
+// its callers never stop.
 func TestPlannedStopCutsNothingOff(t *testing.T) {
 	store := hostedstore.New()
 	store.Put(ledgerDocument.encode())
 	var ran, answered atomic.Int64
-	front, back := startNode(t, store, "front", "desk"), startNode(t, store, "back", "ledger")
-	testwait.Eventually(t, "both are ready", func() bool { return front.isReady() && back.isReady() })
-	back.heartbeat(t, "w1", "ledger", slowWorker(t, &ran))
+	edgeNode, workerNode := startNode(t, store, "front", "desk"), startNode(t, store, "back", "ledger")
+	testwait.Eventually(t, "both are ready", func() bool { return edgeNode.isReady() && workerNode.isReady() })
+	workerNode.heartbeat(t, "w1", "ledger", slowWorker(t, &ran))
 	client := &http.Client{Timeout: waitLimit}
 	testwait.Eventually(t, "calls are served", func() bool {
-		status, _, _ := front.call(t, client, "/ledger/1")
+		status, _, _ := edgeNode.call(t, client, "/ledger/1")
 		return status == http.StatusOK
 	})
 	ran.Store(0)
-	ending := make(chan struct{})
+	stopCallers := make(chan struct{})
 	var callers sync.WaitGroup
 	for range 16 {
 		callers.Go(func() {
-			own := &http.Client{Timeout: waitLimit, Transport: &http.Transport{}}
+			ownClient := &http.Client{Timeout: waitLimit, Transport: &http.Transport{}}
 			for {
 				select {
-				case <-ending:
+				case <-stopCallers:
 					return
 				default:
 				}
-				if status, body, err := front.call(t, own, "/ledger/1"); err == nil && status == http.StatusOK && body == "whole" {
+				if status, body, err := edgeNode.call(t, ownClient, "/ledger/1"); err == nil && status == http.StatusOK && body == "whole" {
 					answered.Add(1)
 				}
 			}
 		})
 	}
 	testwait.Eventually(t, "callers are served", func() bool { return answered.Load() > 8 })
-	front.stop()
-	testwait.Eventually(t, "callers are sent away", func() bool { return !front.isReady() })
+	edgeNode.stop()
+	testwait.Eventually(t, "the stopping node is not ready", func() bool { return !edgeNode.isReady() })
 	select {
-	case err := <-front.ended:
-		front.ended <- nil
+	case err := <-edgeNode.ended:
+		edgeNode.ended <- nil
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(9 * time.Second):
-		t.Error("the node does not end while callers go on")
+		t.Error("the node does not end while callers keep sending calls")
 	}
-	close(ending)
+	close(stopCallers)
 	callers.Wait()
 	if ran.Load() != answered.Load() {
-		t.Errorf("%d calls ran, %d were answered whole", ran.Load(), answered.Load())
+		t.Errorf("%d calls ran, %d were answered completely", ran.Load(), answered.Load())
 	}
 }
 
@@ -303,14 +303,14 @@
 	store.Put(testDocument{Version: 2, Routes: map[string]string{"/stale/": "ledger"}}.encode())
 	inForceEverywhere(4, "/filing/")
 	for _, node := range nodes {
-		for _, gone := range []string{"/ledger/1", "/archive/1", "/stale/1"} {
-			if status, _, _ := node.call(t, client, gone); status != http.StatusNotFound {
-				t.Errorf("%s: status %d", gone, status)
+		for _, path := range []string{"/ledger/1", "/archive/1", "/stale/1"} {
+			if status, _, _ := node.call(t, client, path); status != http.StatusNotFound {
+				t.Errorf("%s: status %d", path, status)
 			}
 		}
 	}
 	store.Put([]byte("no document"))
-	testwait.Eventually(t, "the document that cannot be read is told", func() bool {
+	testwait.Eventually(t, "the document that cannot be parsed is logged", func() bool {
 		return strings.Contains(nodes[0].log.String(), "document rejected")
 	})
 }
@@ -336,22 +336,23 @@
 	}
 }
 
-// TestNodeServesWithoutItsMetricsPort has a foreign program hold that port.
+// TestNodeServesWithoutItsMetricsPort has another program occupy that port.
 func TestNodeServesWithoutItsMetricsPort(t *testing.T) {
-	foreign, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = foreign.Close() }()
+	defer func() { _ = occupied.Close() }()
 	store := hostedstore.New()
 	store.Put(ledgerDocument.encode())
-	n := startNodeWith(t, store, settings.Settings{NodeID: "a1", Service: "ledger", MetricsAddress: foreign.Addr().String()})
+	n := startNodeWith(t, store, settings.Settings{NodeID: "a1", Service: "ledger", MetricsAddress: occupied.Addr().String()})
 	testwait.Eventually(t, "the node is ready", n.isReady)
-	testwait.Eventually(t, "the fault is told", func() bool { return strings.Contains(n.log.String(), "metrics") })
+	testwait.Eventually(t, "the fault is logged", func() bool { return strings.Contains(n.log.String(), "metrics") })
 }
 
 // TestNodeThatStartsAsksItsWorker starts a node beside a worker that has been
-// running for long: its next heartbeat is far away.
+// running for long, and whose next heartbeat is far away: the node must find the worker
+// by a request to its health path.
 func TestNodeThatStartsAsksItsWorker(t *testing.T) {
 	var ran atomic.Int64
 	worker := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/sidecar/probe.go
+++ b/internal/sidecar/probe.go
@@ -9,8 +9,8 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// probe asks the worker beside the node at its health path. It implements
-// hosted.WorkerProbe.
+// probe identifies the worker beside the node by a request to its health path. It
+// implements hosted.WorkerProbe.
 type probe struct {
 	service, address string
 	config           *configuration
@@ -32,20 +32,20 @@
 func (p *probe) Identify(ctx context.Context) (workers.Heartbeat, error) {
 	path := p.config.healthPath(p.service)
 	if p.address == "" || path == "" {
-		return workers.Heartbeat{}, hosted.ErrUnanswered.New("the worker cannot be asked")
+		return workers.Heartbeat{}, hosted.ErrUnanswered.New("cannot probe the worker: its address or health path is not known")
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.address+path, nil)
 	if err != nil {
-		return workers.Heartbeat{}, hosted.ErrUnanswered.Wrap(err, "the worker cannot be asked")
+		return workers.Heartbeat{}, hosted.ErrUnanswered.Wrap(err, "cannot build the request that probes the worker")
 	}
 	response, err := p.client.Do(r)
 	if err != nil {
-		return workers.Heartbeat{}, hosted.ErrUnanswered.Wrap(err, "the worker does not answer")
+		return workers.Heartbeat{}, hosted.ErrUnanswered.Wrap(err, "the worker does not answer the probe")
 	}
 	_ = response.Body.Close()
 	identity, ok := p.identity(response.Header)
 	if response.StatusCode != http.StatusOK || !ok {
-		return workers.Heartbeat{}, hosted.ErrUnanswered.New("the worker does not say who it is")
+		return workers.Heartbeat{}, hosted.ErrUnanswered.New("the worker's answer to the probe has a status other than 200, or does not identify it")
 	}
 	return workers.Heartbeat{Instance: identity.Instance, Service: p.service, Address: p.address, Slots: identity.Slots, Busy: identity.Busy}, nil
 }
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -9,7 +9,7 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// reading returns what a scrape of the metrics sees.
+// reading returns the state of the node that a scrape of the metrics shows.
 func (n *Node) reading() telemetry.HostedReading {
 	view := n.table.View()
 	reading := telemetry.HostedReading{Ready: n.ready(), ReadsStore: view.Self().ReadsStore, Version: n.Version(), Messages: n.agent.Messages(), StoreRestores: n.agent.StoreReturns()}
@@ -31,8 +31,9 @@
 	return reading
 }
 
-// Reload takes settings that were read again. What a running node cannot change
-// stays as it is: all but the requests that are to be run again.
+// Reload applies settings that were read again, or logs the error with which that failed.
+// A running node can change only the requests whose quarantine is lifted; all else stays
+// as it is.
 func (n *Node) Reload(s settings.Settings, err error) {
 	n.log.SettingsReloaded(err)
 	if err != nil {
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -11,11 +11,12 @@
 // Version is the program's version, set by the linker.
 var Version = "unknown"
 
-// stop ends the node as planned. It is unready at once and asks callers to close
-// their connections, but still takes what comes until the platform has noticed;
-// the worker is served meanwhile. Then other nodes turn elsewhere, nothing more is
-// taken from callers, also from those that would go on for ever, and the process
-// ends when nothing is in flight, or when the bound is reached.
+// stop carries out a planned stop. The node is unready at once and asks callers to
+// close their connections, but still accepts calls until the platform has noticed;
+// the worker is served meanwhile. Then other nodes route their calls elsewhere,
+// nothing more is accepted from callers, even from those that would send calls for
+// ever, and the process ends when nothing is in flight, or when drain-bound is
+// reached.
 func (n *Node) stop() {
 	began := time.Now()
 	n.stopping.Store(true)
