--- a/internal/telemetry/calls.go
+++ b/internal/telemetry/calls.go
@@ -12,8 +12,8 @@
 	labelReason  = "reason"
 )
 
-// CallObserver turns what the data plane tells into metrics and events. Single
-// calls are counted, never written.
+// CallObserver turns the reports of the data plane into metrics and events. Single
+// calls are counted, never logged.
 type CallObserver struct {
 	log       *Log
 	calls     *prometheus.CounterVec
@@ -69,7 +69,7 @@
 	end(o.log.begin(eventRoutesRejected).Uint64(fieldVersion, version).Str(fieldError, err.Error()))
 }
 
-// DrainStarted records that other nodes are refused.
+// DrainStarted records that calls of other nodes are refused from now on.
 func (o *CallObserver) DrainStarted(inFlight int) {
 	end(o.log.begin(eventDrainStarted).Int(fieldCallsInFlight, inFlight))
 }
--- a/internal/telemetry/catalogue.go
+++ b/internal/telemetry/catalogue.go
@@ -19,11 +19,11 @@
 
 // Event is one entry of the catalogue.
 type Event struct {
-	// Number identifies the event for good.
+	// Number identifies the event; it is never given to another one.
 	Number int
 	Name   string
 	Level  Level
-	// Fields are the names of the values that each line carries besides time,
+	// Fields are the names of the values that each log line carries besides time,
 	// level, event, name and node.
 	Fields []string
 	// Meaning says what happened and, where it matters, what to do.
--- a/internal/telemetry/control.go
+++ b/internal/telemetry/control.go
@@ -25,14 +25,14 @@
 	end(l.begin(eventVersionRefused).Uint64(fieldVersion, version).Str(fieldReason, reason))
 }
 
-// VersionInForce records that a version is in force, with the digest of what the node holds of it.
+// VersionInForce records that a version is in force, with the digest of the node's copy of it.
 func (l *Log) VersionInForce(version uint64, digest model.Digest) {
 	end(l.begin(eventVersionInForce).Uint64(fieldVersion, version).Str(fieldDigest, digest.String()))
 }
 
 // VersionCommitted records a commit by this node as coordinator.
-func (l *Log) VersionCommitted(version uint64, silent uint32) {
-	end(l.begin(eventVersionCommitted).Uint64(fieldVersion, version).Uint32("silent", silent))
+func (l *Log) VersionCommitted(version uint64, unresponsive uint32) {
+	end(l.begin(eventVersionCommitted).Uint64(fieldVersion, version).Uint32("silent", unresponsive))
 }
 
 // VersionAborted records an abort by this node as coordinator.
@@ -40,10 +40,10 @@
 	end(l.begin(eventVersionAborted).Uint64(fieldVersion, version).Str("refused_by", node).Str(fieldReason, reason))
 }
 
-// ParentChanged records a new place in the distribution tree.
+// ParentChanged records a new parent in the distribution tree.
 func (l *Log) ParentChanged(parent string) { end(l.begin(eventParentChanged).Str("parent", parent)) }
 
-// RoleChanged records a new part in the distribution tree.
+// RoleChanged records a new role in the distribution tree.
 func (l *Log) RoleChanged(role control.Role) {
 	end(l.begin(eventRoleChanged).Str("role", role.String()))
 }
--- a/internal/telemetry/hosted.go
+++ b/internal/telemetry/hosted.go
@@ -31,11 +31,11 @@
 	end(l.begin(eventTenantOmitted).Uint64(fieldVersion, version).Str(fieldError, fault))
 }
 
-// ReaderRoleChanged records whether this node watches the store for all.
+// ReaderRoleChanged records whether this node watches the store on behalf of all.
 func (l *Log) ReaderRoleChanged(reads bool) { end(l.begin(eventReaderRole).Bool("reads", reads)) }
 
-// StoreRestored records that the store came back from a copy. The revisions are zero when
-// this node has not seen them itself.
+// StoreRestored records that the store was restored from a copy. The revisions are zero when
+// this node has not observed them itself.
 func (l *Log) StoreRestored(era uint64, seen hosted.Era) {
 	line := l.begin(eventStoreRestored).Uint64(fieldEra, era)
 	if seen.Number != era {
@@ -44,7 +44,7 @@
 	end(line.Uint64("former_revision", seen.Former).Uint64(fieldRevision, seen.First))
 }
 
-// EntryRestored records that what this node keeps in the store was written again.
+// EntryRestored records that this node has written its entry in the store again.
 func (l *Log) EntryRestored(era uint64, promised int) {
 	end(l.begin(eventEntryRestored).Uint64(fieldEra, era).Int("promised", promised))
 }
@@ -57,12 +57,13 @@
 // NodeFound records that a lost node answers again.
 func (l *Log) NodeFound(id string) { end(l.begin(eventNodeFound).Str("peer", id)) }
 
-// RecallFailed records that the hub of the zone has not told of former lives.
+// RecallFailed records that the hub of the zone did not report the previous incarnations of
+// this node.
 func (l *Log) RecallFailed(id string, err error) {
 	end(l.begin(eventRecallFailed).Str("peer", id).Str(fieldError, err.Error()))
 }
 
-// WorkerChanged records what may be done with a worker beside this node.
+// WorkerChanged records a changed state of a worker beside this node.
 func (l *Log) WorkerChanged(worker workers.Worker, cause string) {
 	end(l.begin(eventWorkerChanged).Str("instance", worker.Instance).Str("service", worker.Service).
 		Int("slots", worker.Slots).Str("state", worker.State.String()).Uint64("sequence", worker.Sequence).
@@ -74,7 +75,7 @@
 	end(l.begin(eventHeartbeatRejected).Str("instance", instance).Str(fieldError, err.Error()))
 }
 
-// EntryRejected records that an entry in the store is no node's.
+// EntryRejected records that an entry in the store is not a valid entry of a node.
 func (l *Log) EntryRejected(id string) { end(l.begin(eventEntryRejected).Str("entry", id)) }
 
 // PromiseKept records that a worker's leave is about to be acknowledged.
@@ -98,7 +99,7 @@
 		Float64("share", share).Str(fieldReason, reason).Float64("ran", ran).Float64("failed", failed))
 }
 
-// RequestQuarantined records that a request is taken for one that crashes workers.
+// RequestQuarantined records that a request counts as a crashing request and is quarantined.
 func (l *Log) RequestQuarantined(v quarantine.Verdict, source string) {
 	end(l.begin(eventQuarantined).Str(fieldFingerprint, v.Fingerprint.String()).Strs("instances", v.Instances).
 		Int64("since_unix_milliseconds", v.Since.UnixMilli()).Int64("until_unix_milliseconds", v.Until.UnixMilli()).Str("source", source))
--- a/internal/telemetry/hosted_calls.go
+++ b/internal/telemetry/hosted_calls.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// callLinesPerSecond and callLinesBurst bound the lines of single calls a second.
+	// callLinesPerSecond and callLinesBurst bound the log lines of single calls.
 	callLinesPerSecond = 50
 	callLinesBurst     = 200
 
-	// resultMade and resultDenied tell whether the retry budget paid for a retry.
+	// resultMade and resultDenied are the values of the label that says whether the retry
+	// budget allowed a retry.
 	resultMade   = "made"
 	resultDenied = "denied"
 )
 
-// ForwardingObserver turns what the call path of the hosted mode tells into
+// ForwardingObserver turns the reports of the call path of the hosted mode into
 // metrics and events.
 type ForwardingObserver struct {
 	log           *Log
@@ -43,7 +44,7 @@
 var _ forwarding.Observer = (*ForwardingObserver)(nil)
 
 // NewForwardingObserver registers the metrics of calls. Dropped is called for
-// each line that is left out because there are too many.
+// each log line that is left out because there are too many.
 func NewForwardingObserver(registerer prometheus.Registerer, log *Log, dropped func()) *ForwardingObserver {
 	labels := []string{"service", labelOutcome, labelReason}
 	o := &ForwardingObserver{
@@ -71,7 +72,7 @@
 	})
 }
 
-// observeRetries counts what the retry budget has paid for, and what it has not.
+// observeRetries counts the retries that the retry budget allowed, and those that it denied.
 func (o *ForwardingObserver) observeRetries(report forwarding.CallReport) {
 	if report.Retries > 0 {
 		o.retries.WithLabelValues(report.Service, resultMade).Add(float64(report.Retries))
@@ -81,7 +82,8 @@
 	}
 }
 
-// observeWorker counts what the worker beside this node had of a call.
+// observeWorker records how long a call waited for the worker beside this node, and how long it
+// ran there.
 func (o *ForwardingObserver) observeWorker(report forwarding.CallReport) {
 	if report.Waited > 0 {
 		o.waits.Observe(report.Waited.Seconds())
@@ -91,7 +93,8 @@
 	}
 }
 
-// CallFinished counts a call, and records one that was not served at once.
+// CallFinished counts a call, and logs one that no worker answered completely, or not at the first
+// attempt. Refusals by a node that is not ready or by a tenant's limit are not logged.
 func (o *ForwardingObserver) CallFinished(report forwarding.CallReport) {
 	o.calls.WithLabelValues(report.Service, string(report.Outcome), string(report.Reason)).Inc()
 	if report.CameBack {
@@ -126,13 +129,13 @@
 	end(entry.Str(fieldError, causeText(report.Cause)))
 }
 
-// HopFinished counts a call of another node, and records one that may have run
-// without an answer.
+// HopFinished counts a call of another node, and logs one that may have run without
+// a complete answer.
 func (o *ForwardingObserver) HopFinished(report forwarding.CallReport) {
 	o.hops.WithLabelValues(report.Service, string(report.Outcome), string(report.Reason)).Inc()
 	o.observeWorker(report)
-	quiet := report.Outcome == outcome.Answered && !report.Truncated || report.Reason == outcome.Overloaded || report.Reason == outcome.Declined
-	if quiet || !o.allowLine() {
+	expected := report.Outcome == outcome.Answered && !report.Truncated || report.Reason == outcome.Overloaded || report.Reason == outcome.Declined
+	if expected || !o.allowLine() {
 		return
 	}
 	entry := o.log.begin(eventHopFailed).Str("request", report.RequestID).Str("service", report.Service).Str("instance", report.Instance)
@@ -168,7 +171,7 @@
 		Int("running", report.Running).Int("waiting", report.Waiting).Int("slots", report.Slots)
 }
 
-// fingerprintText returns a fingerprint for people; empty when there is none.
+// fingerprintText formats a fingerprint for the log; empty when there is none.
 func fingerprintText(f quarantine.Fingerprint) string {
 	if f == (quarantine.Fingerprint{}) {
 		return ""
--- a/internal/telemetry/hosted_calls_test.go
+++ b/internal/telemetry/hosted_calls_test.go
@@ -11,8 +11,8 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// TestClientRetriesAreCounted tells of callers of which some came back: the share that
-// found room is read from the metric.
+// TestClientRetriesAreCounted reports calls of which some are client retries: operators read
+// from the metric what share of these is answered.
 func TestClientRetriesAreCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	o := NewForwardingObserver(registry, NewLog(io.Discard, "node", LevelError), func() {})
@@ -51,8 +51,8 @@
 	return counted
 }
 
-// TestRetriesAndHeldCallsAreCounted tells of calls that were tried again, and of one that
-// waited for its node.
+// TestRetriesAndHeldCallsAreCounted reports calls that were retried, and one that was held until
+// its node had started.
 func TestRetriesAndHeldCallsAreCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	o := NewForwardingObserver(registry, NewLog(io.Discard, "node", LevelError), func() {})
--- a/internal/telemetry/hosted_metrics.go
+++ b/internal/telemetry/hosted_metrics.go
@@ -16,24 +16,25 @@
 	Version    uint64
 	LiveNodes  int
 	InFlight   int
-	// Running, Waiting and Slots are of the workers beside the node.
+	// Running, Waiting and Slots are the calls that run and wait at the workers beside the
+	// node, and the slots of these workers.
 	Running, Waiting, Slots int
 	// Slowness is how long work takes at the worker beside the node, relative to the usual,
-	// as it tells itself; zero when it does not.
+	// as it reports itself; zero when it does not.
 	Slowness float64
-	// Transfers and WaitingTransfers are the long bodies of other nodes that cross
+	// Transfers and WaitingTransfers are the long bodies that other nodes are sending
 	// to this one, and those that wait for their turn.
 	Transfers, WaitingTransfers int
-	// RefusedTransfers counts those that got no turn.
+	// RefusedTransfers counts the long bodies that got no turn.
 	RefusedTransfers uint64
 	// Quarantined are the requests that are known to crash workers and are run nowhere,
-	// Suspected those that have been in hand where a worker ended.
+	// Suspected those that were in flight at a worker when it ended.
 	Quarantined, Suspected int
-	// StoreRestores is what the node has had to do with a store that came back from copies.
+	// StoreRestores counts what the node has had to do with a store that was restored from copies.
 	StoreRestores hosted.StoreReturns
-	// Messages is what the node has sent to others.
+	// Messages counts what the node has sent to others.
 	Messages hosted.Messages
-	// Quotas is what the node has and has decided of the limits of tenants.
+	// Quotas is what the node holds of the limits of tenants, and what it decided on requests.
 	Quotas hosted.QuotaReading
 }
 
@@ -79,7 +80,7 @@
 }
 
 // NewStoreObserver registers the metrics of calls to the platform's store, and
-// returns what is to be told of each.
+// returns the function to call after each.
 func NewStoreObserver(registerer prometheus.Registerer) hosted.StoreObserver {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "store_calls_total",
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -62,7 +62,7 @@
 // StartFailed records why the process cannot start.
 func (l *Log) StartFailed(err error) { end(l.begin(eventStartFailed).Str(fieldError, err.Error())) }
 
-// WorkerHealth records a change of what the worker's health endpoint says.
+// WorkerHealth records that the worker's health endpoint changed its answer.
 func (l *Log) WorkerHealth(healthy bool, reason string) {
 	end(l.begin(eventWorkerHealth).Bool("healthy", healthy).Str(fieldReason, reason))
 }
--- a/internal/telemetry/log_test.go
+++ b/internal/telemetry/log_test.go
@@ -139,7 +139,7 @@
 	seen := make(map[int]bool)
 	for _, event := range Catalogue() {
 		if seen[event.Number] {
-			t.Errorf("number %d stands twice", event.Number)
+			t.Errorf("number %d is used twice", event.Number)
 		}
 		seen[event.Number] = true
 	}
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -11,18 +11,18 @@
 const (
 	// queuedLines bounds the lines that wait for a slow reader of the log.
 	queuedLines = 1024
-	// dropReportInterval is how often dropped lines are told.
+	// dropReportInterval is how often dropped lines are reported.
 	dropReportInterval = time.Second
 )
 
-// Queue takes the lines of a log without ever waiting for whoever reads them:
-// when too many wait, further ones are dropped and counted. It is a suture
+// Queue buffers the lines of a log, so that a slow reader never blocks the node:
+// when too many lines wait, further ones are dropped and counted. It is a suture
 // service, and an io.Writer.
 type Queue struct {
 	writer  io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
-	// onDropped is told of dropped lines.
+	// onDropped is called with the number of lines dropped since the last call.
 	onDropped func(lines uint64)
 }
 
@@ -31,7 +31,8 @@
 	return &Queue{writer: writer, lines: make(chan []byte, queuedLines), onDropped: func(uint64) {}}
 }
 
-// OnDropped sets who is told how many lines were dropped. Call it before Serve.
+// OnDropped sets the function that is called with the number of dropped lines. Call it before
+// Serve.
 func (q *Queue) OnDropped(report func(lines uint64)) { q.onDropped = report }
 
 // Write implements io.Writer. It never blocks and never fails.
@@ -47,7 +48,7 @@
 // Drop counts a line that was left out for another reason.
 func (q *Queue) Drop() { q.dropped.Add(1) }
 
-// String names the part in events.
+// String names the service in events.
 func (q *Queue) String() string { return "log" }
 
 // Serve writes lines until the context ends, and then those that wait.
--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestUnreadLogBlocksNothing writes to a pipe that is never read.
+// TestUnreadLogBlocksNothing logs to a pipe that is never read: the queue must drop lines rather
+// than block.
 func TestUnreadLogBlocksNothing(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
--- a/internal/telemetry/quota_metrics.go
+++ b/internal/telemetry/quota_metrics.go
@@ -21,8 +21,8 @@
 	end(l.begin(eventTenantLimitEnded).Str(fieldTenant, tenant).Uint64("admitted", admitted).Uint64("refused", refused).Int64(fieldDuration, took.Milliseconds()))
 }
 
-// quotaCollector shows what a node has and has decided of the limits of tenants. The
-// tenants that it tells apart are bounded by the reading.
+// quotaCollector exports what a node holds of the limits of tenants, and what it decided on
+// requests. The reading bounds how many tenants have a label value of their own.
 type quotaCollector struct {
 	read                                  func() hosted.QuotaReading
 	requests, limited, tokens, share, hub *prometheus.Desc
@@ -49,7 +49,7 @@
 	}
 }
 
-// Collect implements prometheus.Collector. It shows nothing while no tenant with a limit
+// Collect implements prometheus.Collector. It sends nothing while no tenant with a limit
 // has called.
 func (c *quotaCollector) Collect(metrics chan<- prometheus.Metric) {
 	r := c.read()
