--- a/internal/crashwatch/watch.go
+++ b/internal/crashwatch/watch.go
@@ -1,6 +1,6 @@
-// Package crashwatch watches what one worker has in hand: it tells the end of the worker
-// from the loss of one connection, and has suspects run one at a time there (package
-// quarantine says why).
+// Package crashwatch watches the requests in flight at one worker: it distinguishes the end of
+// the worker from the loss of one connection, and lets suspects run there only one at a time
+// (package quarantine says why).
 package crashwatch
 
 import (
@@ -16,12 +16,13 @@
 )
 
 const (
-	// lossGrace is how long after a lost connection the others of the worker are waited
-	// for: when it ends, all are lost at the same moment. A process that is short of its
-	// share of the processor may see them later, and so the worker is asked before, too.
+	// lossGrace is how long after a lost connection to a worker the loss of its others is
+	// waited for: when the worker ends, all are lost at the same moment. A process that is
+	// short of processor time may notice their loss later, and so the worker is also probed
+	// before the wait.
 	lossGrace = 10 * time.Millisecond
-	// probeTimeout bounds the connection that asks whether a worker is there: it is on
-	// the same machine.
+	// probeTimeout bounds the connection attempt that probes whether a worker still listens: it
+	// is on the same machine.
 	probeTimeout = 100 * time.Millisecond
 )
 
@@ -31,22 +32,22 @@
 
 	mu       sync.Mutex
 	inFlight int
-	// idle is closed when the worker has nothing in hand any more; nil while it has
+	// idle is closed when the worker has nothing in flight any more; nil while it has
 	// nothing.
 	idle chan struct{}
-	// probes shares one question among all requests that are lost together.
+	// probes shares one probe among all requests that are lost together.
 	probes singleflight.Group
-	// isolation is held by the one suspect that the worker may have in hand.
+	// isolation is held by the one suspect that may be in flight at the worker.
 	isolation chan struct{}
 }
 
-// New returns a Watch that asks for the worker by the given function.
+// New returns a Watch that probes the worker by the given dial function.
 func New(dial httpleg.DialFunc) *Watch {
 	return &Watch{dial: dial, isolation: make(chan struct{}, 1)}
 }
 
-// Begin counts a request that the worker is given, End one that it has answered or that
-// was lost.
+// Begin counts a request that is sent to the worker. End must be called once it was answered
+// or lost.
 func (w *Watch) Begin() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -56,7 +57,8 @@
 	w.inFlight++
 }
 
-// End is told after Begin.
+// End counts a request that the worker has answered, or that was lost. Call it once after each
+// Begin.
 func (w *Watch) End() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,15 +68,16 @@
 	}
 }
 
-// Ended reports whether the worker at an address, of which a connection was lost, has
-// ended: it takes no new one. A lost connection alone says little: it may be one answer that
-// was cut short. A worker that still takes connections may be about to end: it is asked once
-// more when all that it has in hand is lost, too.
+// Ended reports whether the worker at an address, to which a connection was lost, has ended,
+// which shows by its refusing a new one. A lost connection alone is no evidence: a single
+// answer may have been cut short. A worker that still accepts connections may be about to
+// end: it is probed once more when all other requests in flight are lost, too.
 func (w *Watch) Ended(ctx context.Context, address string) bool {
 	return w.refusesProbe(ctx, address) || w.allEndWithin(lossGrace) && w.refusesProbe(ctx, address)
 }
 
-// refusesProbe asks once for all that are lost together.
+// refusesProbe reports whether the worker refuses a connection. Requests that are lost together
+// share one probe.
 func (w *Watch) refusesProbe(ctx context.Context, address string) bool {
 	refused, _, _ := w.probes.Do(address, func() (any, error) {
 		return w.refusesConnection(context.WithoutCancel(ctx), address), nil
@@ -82,7 +85,7 @@
 	return refused.(bool)
 }
 
-// allEndWithin reports whether everything that the worker has in hand ends within the given
+// allEndWithin reports whether all requests in flight at the worker end within the given
 // time.
 func (w *Watch) allEndWithin(bound time.Duration) bool {
 	w.mu.Lock()
@@ -101,7 +104,7 @@
 	}
 }
 
-// refusesConnection reports whether nobody listens at an address.
+// refusesConnection reports whether nothing listens at an address.
 func (w *Watch) refusesConnection(ctx context.Context, address string) bool {
 	bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -113,10 +116,11 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Isolate waits until the worker has no other suspect in hand: when it ends, only one
-// request that has been in hand where another worker ended can be the cause. Without it,
-// innocent requests that are offered again together with the guilty one would go its way.
-// It reports false when the given time or the context ends before.
+// Isolate waits until no other suspect is in flight at the worker, so that when the worker
+// ends, only one request that was in flight at another worker that ended can be the cause.
+// Without it, innocent requests that are offered again together with the crashing one would
+// be quarantined with it. It reports false when the given time is reached or the context ends
+// before.
 func (w *Watch) Isolate(ctx context.Context, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -130,5 +134,5 @@
 	}
 }
 
-// EndIsolation is told after Isolate has reported true.
+// EndIsolation lets the next suspect run. Call it once after Isolate has reported true.
 func (w *Watch) EndIsolation() { <-w.isolation }
--- a/internal/crashwatch/watch_test.go
+++ b/internal/crashwatch/watch_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// dialer answers questions for a worker as a test says.
+// dialer answers probes of a worker as a test sets it.
 type dialer struct {
 	refuse atomic.Bool
 	probes atomic.Int64
@@ -32,17 +32,17 @@
 	w.Begin()
 	w.End()
 	if w.Ended(t.Context(), "worker") {
-		t.Error("a worker that takes connections and has a request in hand has ended")
+		t.Error("a worker that accepts connections and has a request in flight counts as ended")
 	}
-	// The other request is not seen to be lost yet: this process is short of processor time.
+	// The loss of the other request is not noticed yet, as when this process is short of processor time.
 	d.refuse.Store(true)
 	if !w.Ended(t.Context(), "worker") {
-		t.Error("a worker that takes no connection has not ended")
+		t.Error("a worker that refuses connections does not count as ended")
 	}
 }
 
 // TestWorkerThatIsAboutToEndIsProbedAgain has the connections of a worker break before it
-// stops to listen.
+// stops listening.
 func TestWorkerThatIsAboutToEndIsProbedAgain(t *testing.T) {
 	d := &dialer{}
 	w := New(d.dial)
@@ -54,10 +54,10 @@
 		w.End()
 	})
 	if !w.Ended(t.Context(), "worker") {
-		t.Error("the worker has not ended")
+		t.Error("the worker does not count as ended")
 	}
-	if questions := d.probes.Load(); questions != 2 {
-		t.Errorf("%d questions, want 2", questions)
+	if probes := d.probes.Load(); probes != 2 {
+		t.Errorf("%d probes, want 2", probes)
 	}
 }
 
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-func TestBetweenTellsSuspensionFromASetClock(t *testing.T) {
+func TestSuspendedBetweenIgnoresASetClock(t *testing.T) {
 	for _, c := range []struct {
-		what                    string
-		day, steady, sinceStart time.Duration
-		want                    time.Duration
+		name                        string
+		wall, monotonic, sinceStart time.Duration
+		want                        time.Duration
 	}{
 		{"nothing", time.Second, time.Second, 0, 0},
 		{"clocks drift a little", time.Second + time.Millisecond, time.Second, time.Minute, 0},
 		{"suspended for 3 s", 4 * time.Second, time.Second, 3 * time.Second, 3 * time.Second},
-		{"time of day set ahead", 3 * time.Second, time.Second, 0, 0},
+		{"wall clock set ahead", 3 * time.Second, time.Second, 0, 0},
 		{"set ahead more than suspended", 11 * time.Second, time.Second, 3 * time.Second, 3 * time.Second},
-		{"time of day set back", -time.Second, time.Second, time.Minute, 0},
+		{"wall clock set back", -time.Second, time.Second, time.Minute, 0},
 		{"clocks that contradict each other", 3 * time.Second, time.Second, -time.Second, 0},
 	} {
-		got := suspendedBetween(c.day, c.steady, func() time.Duration { return c.sinceStart })
+		got := suspendedBetween(c.wall, c.monotonic, func() time.Duration { return c.sinceStart })
 		if got != c.want {
-			t.Errorf("%s: %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
 func TestMachineIsNotSuspendedDuringATest(t *testing.T) {
-	if slept := Since(time.Now()); slept != 0 {
-		t.Errorf("suspended for %v", slept)
+	if suspended := Since(time.Now()); suspended != 0 {
+		t.Errorf("suspended for %v", suspended)
 	}
 	if total() < 0 {
 		t.Errorf("the clock that counts suspensions is %v behind the one that does not", -total())
--- a/internal/suspend/total_linux.go
+++ b/internal/suspend/total_linux.go
@@ -7,12 +7,12 @@
 )
 
 // total returns for how long the machine has been suspended since it was started: the
-// clock that counts this time, less the one that does not. It is zero where the clocks
-// cannot be read.
+// clock that counts suspended time, less the one that does not. It is zero where the
+// clocks cannot be read.
 func total() time.Duration {
-	var steady, counting unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &counting) != nil {
+	var monotonic, boottime unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boottime) != nil {
 		return 0
 	}
-	return time.Duration(counting.Nano() - steady.Nano())
+	return time.Duration(boottime.Nano() - monotonic.Nano())
 }
--- a/internal/suspend/total_other.go
+++ b/internal/suspend/total_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// total returns zero: on this system it is not known.
+// total returns zero: the time of suspension is not known on this system.
 func total() time.Duration { return 0 }
