--- a/internal/crashwatch/watch.go
+++ b/internal/crashwatch/watch.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// Ended reports whether the worker at an address, to which a connection was lost, has ended,
-// which shows by its refusing a new one. A lost connection alone is no evidence: a single
-// answer may have been cut short. A worker that still accepts connections may be about to
+// Ended reports whether the worker at an address, to which a connection was lost, has ended:
+// then it refuses a new one. A lost connection alone proves little: a single answer may have
+// been cut short. A worker that still accepts connections may be about to
 // end: it is probed once more when all other requests in flight are lost, too.
 func (w *Watch) Ended(ctx context.Context, address string) bool {
 	return w.refusesProbe(ctx, address) || w.allEndWithin(lossGrace) && w.refusesProbe(ctx, address)
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -5,7 +5,7 @@
 import "time"
 
 // minimumDifference is the difference between the wall clock and the monotonic clock from which
-// on a suspension is looked for. Without one, synchronized clocks differ by far less.
+// on a suspension is looked for. Without a suspension, synchronized clocks differ by far less.
 const minimumDifference = 50 * time.Millisecond
 
 // Since returns for how long the machine was suspended since the given moment, which must
