--- a/internal/control/jitter.go
+++ b/internal/control/jitter.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// backoff gives growing pauses with full jitter. It is not safe for concurrent use.
+// backoff returns exponentially growing pauses with full jitter. It is not safe
+// for concurrent use.
 type backoff struct {
 	base     time.Duration
 	ceiling  time.Duration
@@ -20,7 +21,7 @@
 		limit = min(b.base<<b.attempts, b.ceiling)
 	}
 	b.attempts++
-	return upTo(limit)
+	return randomBelow(limit)
 }
 
 // reset starts again from the shortest pause.
@@ -28,15 +29,15 @@
 
 const maximumDoublings = 20
 
-// upTo returns a random duration below the limit.
-func upTo(limit time.Duration) time.Duration {
+// randomBelow returns a random duration below the limit.
+func randomBelow(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
 	}
 	return rand.N(limit)
 }
 
-// sleep waits; it reports false when the context ended first.
+// sleep waits for the pause. It reports false when the context ended first.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,7 +13,8 @@
 	return r.node.status(ctx, min(request.GetHops(), maximumStatusHops)), nil
 }
 
-// status asks the parent as long as there is one, and answers itself otherwise.
+// status forwards the request to the parent, and answers itself when there is no
+// parent, when no hops are left, or when the parent does not answer.
 func (n *Node) status(ctx context.Context, hops uint32) *controlpb.StatusResponse {
 	n.mutex.Lock()
 	parent, attached := n.upstream.parent, n.upstream.attached
@@ -29,7 +30,7 @@
 	return n.ownStatus()
 }
 
-// ownStatus tells what this node itself knows.
+// ownStatus returns the status as this node knows it.
 func (n *Node) ownStatus() *controlpb.StatusResponse {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -41,8 +42,8 @@
 		Live:                        sumMessage(n.table.LiveSum()),
 		Readiness:                   readinessMessage(readiness),
 		Lagging:                     reasonMessages(readiness.Lagging),
-		StoreReachable:              n.storeState.asked && n.storeState.reachable,
-		StoreError:                  n.storeState.text,
+		StoreReachable:              n.storeState.contacted && n.storeState.reachable,
+		StoreError:                  n.storeState.lastError,
 		StoreSinceUnixNanoseconds:   unixNanoseconds(n.storeState.since),
 		InForceSinceUnixNanoseconds: unixNanoseconds(n.inForceEverywhere),
 		Leaving:                     uint32(view.Leaving()),
@@ -79,8 +80,9 @@
 	return alarms
 }
 
-// noteInForce remembers since when every live node runs the committed version.
-func (n *Node) noteInForce() {
+// updateInForceSince records the time since which every live node runs the
+// committed version.
+func (n *Node) updateInForceSince() {
 	readiness := n.subtreeReadiness()
 	head := n.head()
 	everywhere := head.Committed != 0 && readiness.Committed == head.Committed &&
--- a/internal/control/watch_client.go
+++ b/internal/control/watch_client.go
@@ -14,24 +14,26 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Pauses between polls that failed or were turned away. They stay below the
-// bound after which a parent calls a child lost.
+// Pauses between polls that failed or were rejected. They stay below the bound
+// after which a parent marks a child as lost.
 const (
 	pollBackoffBase    = 30 * time.Millisecond
 	pollBackoffCeiling = time.Second
 	// answerGrace is how much longer than the hold an answer may take.
 	answerGrace = time.Second
-	// loopPause keeps a parent out of the plan that pulls from this node itself.
+	// loopPause is how long a parent that polls this node itself, directly or
+	// through others, or that does not read the store although it must, is kept
+	// out of the plan.
 	loopPause = 500 * time.Millisecond
 )
 
-// pollResult tells the loop what to do before the next poll.
+// pollResult determines the pause before the next poll.
 type pollResult struct {
 	pause  time.Duration
 	failed bool
 }
 
-// runUpstream polls the parent as long as there is one.
+// runUpstream polls the parent, and runs discovery while there is none.
 func (n *Node) runUpstream(ctx context.Context) {
 	pauses := backoff{base: pollBackoffBase, ceiling: pollBackoffCeiling}
 	for ctx.Err() == nil {
@@ -62,12 +64,13 @@
 	epoch   uint64
 	feed    feed
 	request *controlpb.WatchRequest
-	// whole is the request that a handle stands for.
-	whole *controlpb.WatchRequest
-	first bool
+	// complete is the full request, also when request carries only its handle.
+	complete *controlpb.WatchRequest
+	first    bool
 }
 
-// beginPoll chooses the parent and writes the request.
+// beginPoll chooses the parent and builds the request. It returns false when
+// there is no parent.
 func (n *Node) beginPoll(ctx context.Context) (pollCall, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -80,15 +83,15 @@
 		n.attachTo(parent)
 	}
 	call := pollCall{parent: parent, epoch: n.upstream.epoch, feed: n.feed, first: !n.upstream.attached}
-	call.whole = n.watchRequest()
-	call.request = n.shortRequest(call.whole)
+	call.complete = n.watchRequest()
+	call.request = n.shortRequest(call.complete)
 	call.ctx, call.cancel = context.WithTimeout(ctx, n.config.Hold+answerGrace)
 	n.upstream.cancel = call.cancel
 	return call, true
 }
 
-// attachTo takes a new parent under a higher attachment number, which refutes
-// a loss that the former parent may report.
+// attachTo attaches to a new parent under a higher attachment number, which
+// refutes a loss that the previous parent may report.
 func (n *Node) attachTo(parent topology.Peer) {
 	n.upstream.attach(parent)
 	n.self.Attachment++
@@ -97,7 +100,7 @@
 	n.events.ParentChanged(parent.ID)
 }
 
-// becomeRoot goes on without a parent.
+// becomeRoot makes the node the root of its own tree.
 func (n *Node) becomeRoot() {
 	if n.upstream.root {
 		return
@@ -106,19 +109,19 @@
 	n.upstream.cursor = nil
 	n.upstream.root = true
 	n.discovery.reset()
-	n.upstream.setTop(n.self.ID)
+	n.upstream.setTreeRoot(n.self.ID)
 	n.waiters.wake()
 	n.events.ParentChanged("")
 	n.kick()
 }
 
-// subtreeRecords lists the records of this node and of all below it. A child
-// that broke off is left out with those below it until it comes back: it may
-// be known through another node by now.
+// subtreeRecords lists the records of this node and of all nodes below it. A
+// disconnected child is left out, with the nodes below it, until it polls again:
+// it may have attached to another node by now.
 func (n *Node) subtreeRecords() []membership.Record {
 	records := []membership.Record{n.self}
 	for id, entry := range n.children.byID {
-		if entry.away {
+		if entry.disconnected {
 			entry.omitted = true
 			continue
 		}
@@ -127,7 +130,7 @@
 	return records
 }
 
-// recordsOf lists the records of a child and of all below it.
+// recordsOf lists the records of a child and of all nodes below it.
 func (n *Node) recordsOf(child string) []membership.Record {
 	var records []membership.Record
 	if record, found := n.table.Get(child); found {
@@ -160,15 +163,15 @@
 	return request
 }
 
-// shortRequest returns the handle in place of a request that has not changed.
-func (n *Node) shortRequest(whole *controlpb.WatchRequest) *controlpb.WatchRequest {
-	if n.upstream.handle == 0 || !proto.Equal(whole, n.upstream.acknowledged) {
-		return whole
+// shortRequest replaces a request that has not changed by its handle.
+func (n *Node) shortRequest(complete *controlpb.WatchRequest) *controlpb.WatchRequest {
+	if n.upstream.handle == 0 || !proto.Equal(complete, n.upstream.acknowledged) {
+		return complete
 	}
 	return &controlpb.WatchRequest{Handle: n.upstream.handle}
 }
 
-// poll asks the parent and takes in its answer.
+// poll sends the request to the parent and handles its answer.
 func (n *Node) poll(call pollCall) pollResult {
 	answer, err := n.clients.watch(call.ctx, call.parent, call.request)
 	if err == nil {
@@ -177,7 +180,7 @@
 	if err != nil {
 		return n.pollFailed(call, err)
 	}
-	return n.takeAnswer(call, answer)
+	return n.handleAnswer(call, answer)
 }
 
 func (n *Node) pollFailed(call pollCall, err error) pollResult {
@@ -191,14 +194,15 @@
 	return pollResult{failed: true}
 }
 
-// suspect keeps a peer out of the plan for a while.
+// suspect keeps a peer out of the plan for a time that depends on
+// Config.SuspectBound and on its earlier failures.
 func (n *Node) suspect(peer topology.Peer, _ error) {
 	n.plan.suspect(peer.ID, now(), n.config.SuspectBound)
-	n.clients.forget(peer.ControlAddress)
+	n.clients.closeIdle(peer.ControlAddress)
 }
 
-// takeAnswer takes in an answer, unless it belongs to an earlier attachment.
-func (n *Node) takeAnswer(call pollCall, answer *controlpb.WatchResponse) pollResult {
+// handleAnswer applies an answer, unless it belongs to an earlier attachment.
+func (n *Node) handleAnswer(call pollCall, answer *controlpb.WatchResponse) pollResult {
 	if answer.GetRetryAfterMilliseconds() > 0 {
 		return pollResult{pause: retryPause(answer)}
 	}
@@ -214,9 +218,9 @@
 		return pollResult{}
 	}
 	if answer.GetResend() {
-		return n.resend(records)
+		return n.handleResend(records)
 	}
-	if answeredByOther(call.parent, answer) {
+	if answeredByAnotherNode(call.parent, answer) {
 		n.suspect(call.parent, nil)
 		return pollResult{failed: true}
 	}
@@ -225,49 +229,50 @@
 	}
 	n.attachConfirmed(call, answer)
 	at := now()
-	n.mergeAbove(at, answer.GetDirectory(), records)
+	n.mergeFromParent(at, answer.GetDirectory(), records)
 	if cursor := answer.GetDirectory().GetCursor(); cursor != nil {
 		n.upstream.cursor = cursor
 	}
-	n.takeHead(answer.GetHead())
-	n.takeSnapshots(call.feed.scope, delivered)
+	n.observeHeadMessage(answer.GetHead())
+	n.receiveAll(call.feed.scope, delivered)
 	if deltaError != nil {
 		return n.refuseDeltas(call.parent, deltaError)
 	}
 	return pollResult{}
 }
 
-// answeredByOther reports whether another node has taken over the parent's address.
-func answeredByOther(parent topology.Peer, answer *controlpb.WatchResponse) bool {
+// answeredByAnotherNode reports whether another node has taken over the parent's address.
+func answeredByAnotherNode(parent topology.Peer, answer *controlpb.WatchResponse) bool {
 	return !answer.GetPathUnchanged() && (len(answer.GetPath()) == 0 || answer.GetPath()[0] != parent.ID)
 }
 
-// resend makes the next request a whole one. The parent names the record of
+// handleResend makes the next request a full one. The parent sends the record of
 // this node that it holds when that is newer than the node's own.
-func (n *Node) resend(records []membership.Record) pollResult {
+func (n *Node) handleResend(records []membership.Record) pollResult {
 	n.upstream.handle, n.upstream.acknowledged = 0, nil
 	if changed := n.table.Merge(records...); len(changed) > 0 {
 		n.membersChanged(changed, now())
 	}
-	return pollResult{pause: upTo(pollBackoffBase)}
+	return pollResult{pause: randomBelow(pollBackoffBase)}
 }
 
 func retryPause(answer *controlpb.WatchResponse) time.Duration {
-	asked := time.Duration(answer.GetRetryAfterMilliseconds()) * time.Millisecond
-	asked = min(asked, pollBackoffCeiling)
-	return asked/2 + upTo(asked)
+	requested := time.Duration(answer.GetRetryAfterMilliseconds()) * time.Millisecond
+	requested = min(requested, pollBackoffCeiling)
+	return requested/2 + randomBelow(requested)
 }
 
-// refuseParent turns away from a parent that pulls from this node itself, and
-// from one that was to read the store and does not.
+// refuseParent detaches from a parent that polls this node itself, directly or
+// through others, and from one that must read the store and does not. It reports
+// whether it did.
 func (n *Node) refuseParent(parent topology.Peer, answer *controlpb.WatchResponse) bool {
 	path := n.upstream.path
 	if !answer.GetPathUnchanged() {
 		path = answer.GetPath()
 	}
 	looped := slices.Contains(path, n.self.ID)
-	idle := n.plan.assignment.MustBeReader(parent.ID) && !answer.GetReader()
-	if looped || idle {
+	notReading := n.plan.assignment.MustBeReader(parent.ID) && !answer.GetReader()
+	if looped || notReading {
 		n.plan.suspect(parent.ID, now(), loopPause)
 		n.upstream.detach()
 		return true
@@ -278,11 +283,11 @@
 	return false
 }
 
-// attachConfirmed notes that the parent knows this node in this epoch.
+// attachConfirmed records that the parent has answered this node in this epoch.
 func (n *Node) attachConfirmed(call pollCall, answer *controlpb.WatchResponse) {
 	n.plan.trust(call.parent.ID)
 	if handle := answer.GetHandle(); handle != 0 {
-		n.upstream.handle, n.upstream.acknowledged = handle, call.whole
+		n.upstream.handle, n.upstream.acknowledged = handle, call.complete
 	}
 	if n.upstream.attached {
 		return
@@ -293,16 +298,17 @@
 	n.kick()
 }
 
-// takeHead takes in a head from the parent.
-func (n *Node) takeHead(message *controlpb.Head) {
+// observeHeadMessage applies the head of an answer, if it has one.
+func (n *Node) observeHeadMessage(message *controlpb.Head) {
 	if message == nil {
 		return
 	}
 	n.observeHead(controlpb.HeadOf(message))
 }
 
-// takeSnapshots takes in received versions, unless the scope has changed since.
-func (n *Node) takeSnapshots(scope snapshot.Scope, delivered []*snapshot.Snapshot) {
+// receiveAll receives versions, unless the feed's scope has changed since they
+// were requested.
+func (n *Node) receiveAll(scope snapshot.Scope, delivered []*snapshot.Snapshot) {
 	if scope != n.feed.scope {
 		return
 	}
@@ -311,8 +317,8 @@
 	}
 }
 
-// refuseDeltas asks for whole versions next, and turns away from a parent
-// whose whole versions cannot be used either.
+// refuseDeltas empties the feed, so that the next poll requests complete
+// versions, and suspects a parent whose complete versions cannot be used either.
 func (n *Node) refuseDeltas(parent topology.Peer, err error) pollResult {
 	n.events.PeerRefused(parent.ID, err.Error())
 	if _, held := n.feed.history.Latest(); !held {
@@ -322,7 +328,8 @@
 	return pollResult{failed: true}
 }
 
-// applyAll applies deltas in turn; a later one may start from an earlier one.
+// applyAll applies deltas in order. The base of a delta may be the result of an
+// earlier one.
 func (f *feed) applyAll(deltas []*controlpb.Delta) ([]*snapshot.Snapshot, error) {
 	if len(deltas) == 0 {
 		return nil, nil
