--- a/internal/forwarding/failures_test.go
+++ b/internal/forwarding/failures_test.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-func TestShareOfFailuresRisesFallsAndFades(t *testing.T) {
+func TestFailureShareRisesFallsAndDecays(t *testing.T) {
 	var f failureShare
 	at := time.Now()
 	for range 50 {
@@ -18,7 +18,7 @@
 		t.Fatalf("all fail: %.2f", share)
 	}
 	if share := f.now(at.Add(5 * failureMemory)); share > 0.01 {
-		t.Errorf("left alone for long: %.2f", share)
+		t.Errorf("without calls for long: %.2f", share)
 	}
 	for range 50 {
 		f.observe(false, at)
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestWorkerThatFailsFastIsNotTakenForAFastOne has one of two workers answer with
-// faults at once while the other takes its time: most calls go to the other.
+// TestWorkerThatFailsFastIsNotTakenForAFastOne makes one of two workers answer with server errors
+// at once while the other takes its time: most calls go to the other.
 func TestWorkerThatFailsFastIsNotTakenForAFastOne(t *testing.T) {
 	good, grey := startWorker(t), startWorker(t)
 	good.answer(func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +38,7 @@
 	})
 	grey.answer(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	front, a, b := startNode(t, "front", "desk", nil), startNode(t, "a", "ledger", good), startNode(t, "b", "ledger", grey)
-	introduce(front, a, b)
+	exchangeRecords(front, a, b)
 	configure(t, ledgerRoutes, front, a, b)
 	const calls = 300
 	for range calls {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestShareOfFailuresIsTold(t *testing.T) {
+func TestFailureShareIsReported(t *testing.T) {
 	load, _, ok := parseLoad(formatLoad(slotqueue.Load{Slots: 4, Failing: 0.25}, 0))
 	if !ok || load.Failing != 0.25 {
 		t.Fatalf("%+v, %v", load, ok)
--- a/internal/forwarding/fixture_test.go
+++ b/internal/forwarding/fixture_test.go
@@ -21,12 +21,12 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// patience bounds waits for what comes much sooner.
-const patience = 20 * time.Second
+// testTimeout bounds waits for events that normally happen much sooner.
+const testTimeout = 20 * time.Second
 
 var testDialect = Dialect{RequestID: "X-Id", Timeout: "X-Timeout", CallerService: "X-Caller", ExpectInstance: "X-Expect", NotRun: "X-Not-Run"}
 
-// testWorker is a worker whose behaviour a test gives.
+// testWorker is a worker whose behaviour the test sets.
 type testWorker struct {
 	server *httptest.Server
 	calls  atomic.Int64
@@ -82,7 +82,7 @@
 	refusedHops atomic.Int64
 	// dials counts the connections that the node has opened.
 	dials atomic.Int64
-	// suspended is for how long the machine was suspended since each moment there is.
+	// suspended is the result of Config.Suspended, in nanoseconds, whatever the time asked for.
 	suspended atomic.Int64
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// startNode starts a node with a worker of the service; nil is none.
+// startNode starts a node beside a worker of the service; the worker may be nil.
 func startNode(t testing.TB, id, service string, worker *testWorker) *testNode {
 	t.Helper()
 	node := &testNode{registry: workers.NewRegistry(time.Hour), reports: make(chan CallReport, 1000)}
@@ -122,21 +122,21 @@
 		Observer:  node,
 		Suspended: func(time.Time) time.Duration { return time.Duration(node.suspended.Load()) },
 	})
-	// Calls do not wait for a node that runs.
-	node.plane.started = time.Now().Add(-startTime)
+	// The node counts as running for long, so that calls do not wait for it to start.
+	node.plane.started = time.Now().Add(-startPeriod)
 	node.plane.Open()
 	hops := node.plane.HopServer()
 	go func() { _ = hops.Serve(listener) }()
 	t.Cleanup(func() { _ = hops.Close() })
 	node.caller = startServer(t, node.plane.CallerServer())
 	if worker != nil {
-		node.beat(t, "w-"+id, service, worker, 1, false)
+		node.heartbeat(t, "w-"+id, service, worker, 1, false)
 	}
 	return node
 }
 
-// beat registers a worker.
-func (n *testNode) beat(t testing.TB, instance, service string, worker *testWorker, sequence uint64, draining bool) {
+// heartbeat registers a worker.
+func (n *testNode) heartbeat(t testing.TB, instance, service string, worker *testWorker, sequence uint64, draining bool) {
 	t.Helper()
 	_, err := n.registry.Heartbeat(workers.Heartbeat{
 		Instance: instance, Service: service, Address: worker.address(), Slots: 4, Sequence: sequence, Draining: draining,
@@ -148,8 +148,8 @@
 	n.table.Update(func(own *fleet.Node) { own.Workers = n.registry.Workers() })
 }
 
-// introduce tells each node of all others.
-func introduce(nodes ...*testNode) {
+// exchangeRecords merges the fleet records of all nodes into each of them.
+func exchangeRecords(nodes ...*testNode) {
 	for _, node := range nodes {
 		for _, other := range nodes {
 			node.table.Merge([]fleet.Node{other.table.View().Self()})
@@ -229,7 +229,7 @@
 // ask sends a request and returns status, headers and body.
 func ask(t *testing.T, request *http.Request) (int, http.Header, string) {
 	t.Helper()
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true, ExpectContinueTimeout: patience}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true, ExpectContinueTimeout: testTimeout}}
 	response, err := client.Do(request)
 	if err != nil {
 		t.Fatal(err)
@@ -252,7 +252,7 @@
 	return ask(t, callerRequest(t, node, http.MethodPost, path, strings.NewReader(body)))
 }
 
-// hijack takes the connection of an answer to write to it by hand.
+// hijack takes over the connection of an answer to write to it directly.
 func hijack(t *testing.T, w http.ResponseWriter) net.Conn {
 	t.Helper()
 	conn, _, err := http.NewResponseController(w).Hijack()
--- a/internal/forwarding/rank_test.go
+++ b/internal/forwarding/rank_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// TestRanksInOrder lists calls in the order in which they are to go.
+// TestRanksInOrder lists ranks in the order in which their calls are to be served.
 func TestRanksInOrder(t *testing.T) {
 	parent := func(tenant, route int) parentCall {
 		return parentCall{tenant: "acme", rank: rankOf(tenant, route, stepFirst)}
 	}
 	public := func(route int) parentCall { return parentCall{rank: rankOf(route, route, stepFirst)} }
 	for _, order := range [][]int{
-		{nestedRank, rankOf(0, 0, stepNested), rankOf(0, 0, stepFirst), rankOf(0, 0, stepBack), rankOf(0, 1, stepNested), rankOf(1, 0, stepNested)},
-		{rankOf(0, 2*routeRanks, stepBack), rankOf(1, 0, stepNested)},
-		{rankOf(0, 2, stepBack), nestedRankOf(parent(1, 2)), rankOf(1, 1, stepFirst), rankOf(1, 2, stepNested)},
+		{nestedRank, rankOf(0, 0, stepNested), rankOf(0, 0, stepFirst), rankOf(0, 0, stepRetry), rankOf(0, 1, stepNested), rankOf(1, 0, stepNested)},
+		{rankOf(0, 2*routeRanks, stepRetry), rankOf(1, 0, stepNested)},
+		{rankOf(0, 2, stepRetry), nestedRankOf(parent(1, 2)), rankOf(1, 1, stepFirst), rankOf(1, 2, stepNested)},
 		{nestedRankOf(parent(1, 1)), rankOf(1, 0, stepFirst), nestedRankOf(parent(1, 2)), rankOf(1, 1, stepFirst)},
 		{nestedRankOf(parent(1, 0)), rankOf(1, 0, stepFirst)},
 		{nestedRankOf(public(2)), rankOf(1, 1, stepFirst), rankOf(2, 2, stepFirst)},
--- a/internal/forwarding/refusals_test.go
+++ b/internal/forwarding/refusals_test.go
@@ -12,12 +12,12 @@
 	return request
 }
 
-// TestCallersThatComeBackAreKnownByTheirRequest has callers whose timeouts are all different
-// be refused and come back.
+// TestCallersThatComeBackAreKnownByTheirRequest refuses callers whose timeouts are all different,
+// which then retry.
 func TestCallersThatComeBackAreKnownByTheirRequest(t *testing.T) {
 	var r refusals
 	end := time.Now().Add(1130 * time.Millisecond)
-	if r.returned(readOf("/read/1"), end) {
+	if r.isRetry(readOf("/read/1"), end) {
 		t.Error("nobody was refused")
 	}
 	r.remember(readOf("/read/1"), end)
@@ -32,7 +32,7 @@
 		{"/read/1", 300 * time.Millisecond, false}, // another caller, with time of its own
 		{"/read/2", 0, false},
 	} {
-		if got := r.returned(readOf(test.path), end.Add(test.late)); got != test.want {
+		if got := r.isRetry(readOf(test.path), end.Add(test.late)); got != test.want {
 			t.Errorf("%s, %v later: %v", test.path, test.late, got)
 		}
 	}
@@ -47,12 +47,12 @@
 	if len(r.ends) != rememberedRefusals || len(r.order) != rememberedRefusals {
 		t.Errorf("%d refusals are remembered, %d in order", len(r.ends), len(r.order))
 	}
-	if r.returned(readOf("/read/0"), end) || !r.returned(readOf(fmt.Sprintf("/read/%d", 2*rememberedRefusals)), end) {
+	if r.isRetry(readOf("/read/0"), end) || !r.isRetry(readOf(fmt.Sprintf("/read/%d", 2*rememberedRefusals)), end) {
 		t.Error("not the oldest was forgotten")
 	}
 }
 
-// TestRefusedCallerComesBack has a caller be refused and send its request again.
+// TestRefusedCallerComesBack refuses a caller, which sends its request again.
 func TestRefusedCallerComesBack(t *testing.T) {
 	front := startNode(t, "front", "other", nil)
 	configure(t, ledgerRoutes, front)
@@ -65,10 +65,10 @@
 	again := callerRequest(t, front, http.MethodGet, "/read/1", nil)
 	again.Header.Set("X-Timeout", fmt.Sprint(3917-time.Since(began).Milliseconds()))
 	ask(t, again)
-	if report := <-front.reports; report.CameBack {
-		t.Error("the first try was taken for a return")
+	if report := <-front.reports; report.ClientRetry {
+		t.Error("the first attempt was taken for a retry")
 	}
-	if report := <-front.reports; !report.CameBack {
-		t.Error("the second try was taken for a first")
+	if report := <-front.reports; !report.ClientRetry {
+		t.Error("the retry was taken for a first attempt")
 	}
 }
--- a/internal/forwarding/steering_test.go
+++ b/internal/forwarding/steering_test.go
@@ -32,7 +32,7 @@
 			nodes = append(nodes, node)
 		}
 	}
-	introduce(nodes...)
+	exchangeRecords(nodes...)
 	configure(t, ledgerRoutes, nodes...)
 	return front, former, next
 }
@@ -106,13 +106,13 @@
 	}
 }
 
-// TestRunsAreCountedByRoute has a worker fail on one route only.
+// TestRunsAreCountedByRoute makes a worker fail on one route only.
 func TestRunsAreCountedByRoute(t *testing.T) {
 	front := startNode(t, "front", "ledger", startWorker(t))
-	introduce(front)
+	exchangeRecords(front)
 	configure(t, ledgerRoutes, front)
 	front.plane.Steer(order(canary.Running, 1))
-	leg, err := front.plane.local.find("ledger", workers.Incarnation{})
+	connection, err := front.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 		if path == "/file/1" {
 			answered.status = http.StatusInternalServerError
 		}
-		front.plane.countRun("ledger", leg.worker, request, &call, answered, nil)
+		front.plane.countRun("ledger", connection.worker, request, &call, answered, nil)
 	}
 	runs := front.plane.Runs("ledger")
 	if len(runs) != 2 {
@@ -142,11 +142,12 @@
 	}
 }
 
-// TestRunsBeforeTheFirstConfiguration has a node that has none yet serve others.
+// TestRunsBeforeTheFirstConfiguration sends calls of another node to a node that has no
+// configuration yet.
 func TestRunsBeforeTheFirstConfiguration(t *testing.T) {
 	worker := startWorker(t)
 	front, back := startNode(t, "front", "desk", nil), startNode(t, "back", "ledger", worker)
-	introduce(front, back)
+	exchangeRecords(front, back)
 	configure(t, ledgerRoutes, front)
 	back.plane.Steer(order(canary.Running, 1))
 	front.callOften(t, 3)
@@ -155,7 +156,7 @@
 	}
 }
 
-// TestRepeatedOrderHarmsNobody orders the version that all workers have already.
+// TestRepeatedOrderHarmsNobody orders a move to the version that all workers run already.
 func TestRepeatedOrderHarmsNobody(t *testing.T) {
 	const calls = 100
 	front, former, next := twoVersions(t, 2)
--- a/internal/telemetry/hosted_calls.go
+++ b/internal/telemetry/hosted_calls.go
@@ -97,7 +97,7 @@
 // attempt. Refusals by a node that is not ready or by a tenant's limit are not logged.
 func (o *ForwardingObserver) CallFinished(report forwarding.CallReport) {
 	o.calls.WithLabelValues(report.Service, string(report.Outcome), string(report.Reason)).Inc()
-	if report.CameBack {
+	if report.ClientRetry {
 		o.clientRetries.WithLabelValues(report.Service, string(report.Outcome)).Inc()
 	}
 	if report.Held > 0 {
@@ -123,7 +123,7 @@
 	o.addTenant(entry, report)
 	o.addOutcome(entry, report).Str("peer", report.Node).Str("instance", report.Instance).
 		Int("offers", report.Offers)
-	o.addDecision(entry, report).Bool("came_back", report.CameBack).Float64("budget", report.BudgetLeft).
+	o.addDecision(entry, report).Bool("came_back", report.ClientRetry).Float64("budget", report.BudgetLeft).
 		Int64("left_milliseconds", report.Left.Milliseconds()).Int64(fieldDuration, report.Duration.Milliseconds()).
 		Int64("retry_after_milliseconds", report.RetryAfter.Milliseconds()).Bool("truncated", report.Truncated)
 	end(entry.Str(fieldError, causeText(report.Cause)))
