--- a/internal/hosted/agent.go
+++ b/internal/hosted/agent.go
@@ -149,7 +149,7 @@
 	agent.supervisor.Add(reader)
 	agent.supervisor.Add(&Standby{peers: agent.peers, table: config.Table, contacts: config.Contacts})
 	agent.supervisor.Add(agent.documents)
-	agent.supervisor.Add(&Introduction{
+	agent.supervisor.Add(&Prober{
 		probe: config.Probe, documents: agent.documents, workers: config.Workers, introduced: agent.introduced,
 	})
 	agent.supervisor.Add(agent.announcer)
@@ -236,7 +236,7 @@
 // case that they have not.
 func (a *Agent) spreadDocument(context.Context) {
 	version := a.documents.Version()
-	what := news{document: a.documents.News(), version: version}
+	what := news{document: a.documents.ForBroadcast(), version: version}
 	others := a.readerZones()
 	a.background(func(ctx context.Context) {
 		near := what
@@ -279,7 +279,7 @@
 // went silent, and forgets evidence that is too old.
 func (a *Agent) housekeeping(context.Context) {
 	if a.storeReturned() {
-		a.announcer.StoreReturned()
+		a.announcer.StoreRecovered()
 	}
 	a.followEras()
 	a.evidence.expire()
@@ -310,8 +310,8 @@
 	return returned
 }
 
-// Farewell tells the other nodes the state of a node that stops as planned.
-func (a *Agent) Farewell(ctx context.Context, state fleet.State) {
+// AnnounceStop tells the other nodes the state of a node that stops as planned.
+func (a *Agent) AnnounceStop(ctx context.Context, state fleet.State) {
 	a.config.Table.Update(func(own *fleet.Node) { own.State = state })
 	bounded, cancel := context.WithTimeout(ctx, farewellBound)
 	defer cancel()
--- a/internal/hosted/announcer.go
+++ b/internal/hosted/announcer.go
@@ -227,9 +227,9 @@
 	}
 }
 
-// StoreReturned tells that the store answers again after an outage, in which the
+// StoreRecovered tells that the store answers again after an outage, in which the
 // entry may have lapsed. The entry is looked after within returnSpread.
-func (a *Announcer) StoreReturned() {
+func (a *Announcer) StoreRecovered() {
 	time.AfterFunc(rand.N(returnSpread), a.check)
 }
 
--- a/internal/hosted/doc.go
+++ b/internal/hosted/doc.go
@@ -16,15 +16,15 @@
 //     first start of a mesh the nodes come one after the other for that (announcer.go).
 //  2. Agent takes the nodes that the entries name and asks three of them, the hub of its zone
 //     first, for records, the document and what this node's former lives have
-//     promised (former.go).
+//     promised (previous.go).
 //  3. Reader waits for the document, or reads it: at once when this node is the hub that the
 //     entries name, else when nobody has handed it on (reader.go).
 //  4. Introduction asks the worker beside the node who it is, once there is a document
-//     (introduction.go).
+//     (prober.go).
 //  5. Announcer has the store asked for promises that no node has told of, by the second hub
 //     of the zone or by itself (entry.go, recall.go).
 //  6. Agent lets the workers be given work and tells the other nodes of them, by way of the
-//     hub (former.go, hub.go).
+//     hub (previous.go, hub.go).
 //  7. Announcer keeps the entry of the former life, or writes one if too few nodes have any or
 //     this node is a hub (entry.go).
 //
--- a/internal/hosted/documents.go
+++ b/internal/hosted/documents.go
@@ -80,8 +80,8 @@
 // InForce reports whether a document has been put in force.
 func (d *Documents) InForce() bool { return d.offered.Load() > 0 }
 
-// Held is closed when there is a first document.
-func (d *Documents) Held() <-chan struct{} { return d.held }
+// Available is closed when there is a first document.
+func (d *Documents) Available() <-chan struct{} { return d.held }
 
 // Version returns the version of the newest document; zero when there is none.
 func (d *Documents) Version() uint64 {
@@ -107,9 +107,9 @@
 	return d.whole
 }
 
-// News returns the newest document for all others: by the one before it, which
+// ForBroadcast returns the newest document for all others: by the one before it, which
 // most of them hold, if there is one.
-func (d *Documents) News() *exchangepb.Document {
+func (d *Documents) ForBroadcast() *exchangepb.Document {
 	d.mu.Lock()
 	base := d.previous
 	d.mu.Unlock()
--- a/internal/hosted/documents_test.go
+++ b/internal/hosted/documents_test.go
@@ -36,8 +36,8 @@
 func (quietEvents) NodeFound(string)                               {}
 func (quietEvents) RecallFailed(string, error)                     {}
 func (quietEvents) WorkerChanged(workers.Worker, string)           {}
-func (quietEvents) PromiseKept(string, int, bool)                  {}
-func (quietEvents) FormerLife(uint64, int)                         {}
+func (quietEvents) DrainCommitmentHeld(string, int, bool)          {}
+func (quietEvents) PreviousIncarnationFound(uint64, int)           {}
 func (quietEvents) RequestQuarantined(quarantine.Verdict, string)  {}
 func (quietEvents) QuarantineEnded(quarantine.Fingerprint, string) {}
 func (quietEvents) RolloutOrdered(string, string, time.Duration)   {}
@@ -67,13 +67,13 @@
 	consumer := &recordingConsumer{}
 	source, target := NewDocuments(&recordingConsumer{}, quietEvents{}), NewDocuments(consumer, quietEvents{})
 	source.Take(Document{Version: 10, Content: exampleDocument(1)})
-	first := source.News()
+	first := source.ForBroadcast()
 	if !target.TakeMessage(first) {
 		t.Fatal("a whole document was not taken")
 	}
 	offerNews(target)
 	source.Take(Document{Version: 12, Content: exampleDocument(2)})
-	second := source.News()
+	second := source.ForBroadcast()
 	if second.GetBase() != 10 || len(second.GetContent()) > len(first.GetContent())/5 {
 		t.Fatalf("base %d, %d bytes after %d", second.GetBase(), len(second.GetContent()), len(first.GetContent()))
 	}
@@ -90,7 +90,7 @@
 	source.Take(Document{Version: 12, Content: exampleDocument(2)})
 	consumer := &recordingConsumer{}
 	target := NewDocuments(consumer, quietEvents{})
-	if target.TakeMessage(source.News()) {
+	if target.TakeMessage(source.ForBroadcast()) {
 		t.Fatal("a document was made of a base that is not held")
 	}
 	held := target.TakeMessage(source.After(target.Version()))
@@ -133,7 +133,7 @@
 	documents := NewDocuments(rejectingConsumer{}, quietEvents{})
 	documents.Take(Document{Version: 10, Content: exampleDocument(1)})
 	offerNews(documents)
-	if documents.InForce() || documents.News() == nil {
+	if documents.InForce() || documents.ForBroadcast() == nil {
 		t.Fatal("a document that cannot be used must be handed on and not be in force")
 	}
 }
--- a/internal/hosted/promises.go
+++ b/internal/hosted/drain_commitments.go
@@ -80,7 +80,7 @@
 		return
 	}
 	holders, stored := a.promise(ctx)
-	a.config.Events.PromiseKept(change.Worker.Instance, holders, stored)
+	a.config.Events.DrainCommitmentHeld(change.Worker.Instance, holders, stored)
 }
 
 // promise tells other nodes of the own record, and the store. It returns once
@@ -96,7 +96,7 @@
 		a.peers.Replicate(ctx, a.ownRecord(), kept.wanted, func() { kept.taken <- struct{}{} })
 		close(kept.told)
 	})
-	a.background(func(ctx context.Context) { kept.stored <- a.announcer.Keep(ctx) == nil })
+	a.background(func(ctx context.Context) { kept.stored <- a.announcer.PersistEntry(ctx) == nil })
 	return kept.wait(ctx, a.config.Table.View().Self().ReadsStore)
 }
 
--- a/internal/hosted/entry.go
+++ b/internal/hosted/entry.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Keep writes the entry as the node's record stands now. When that fails, it is
+// PersistEntry writes the entry as the node's record stands now. When that fails, it is
 // tried again later.
-func (a *Announcer) Keep(ctx context.Context) error {
+func (a *Announcer) PersistEntry(ctx context.Context) error {
 	err := bounded(ctx, a.write)
 	if err != nil {
 		time.AfterFunc(jittered(firstWritePause), a.soon)
--- a/internal/hosted/era.go
+++ b/internal/hosted/era.go
@@ -11,16 +11,16 @@
 	highest uint64
 }
 
-// Seen takes the position that an answer tells. An answer of an earlier era comes late and
+// Observe takes the position that an answer tells. An answer of an earlier era comes late and
 // says nothing; one without an era says nothing of it.
-func (t *EraTracker) Seen(p Position) {
+func (t *EraTracker) Observe(p Position) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
 	case p.Era == 0 || p.Era < t.era.Number:
 		return
 	case p.Era > t.era.Number:
-		t.era = Era{Number: p.Era, Began: t.era.Number > 0, Former: t.highest}
+		t.era = Era{Number: p.Era, SawPrevious: t.era.Number > 0, PreviousHighest: t.highest}
 		t.highest = 0
 	}
 	if t.era.First == 0 {
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -39,11 +39,11 @@
 	HeartbeatRejected(instance string, err error)
 	// EntryRejected tells that an entry in the store is no node's.
 	EntryRejected(id string)
-	// PromiseKept tells how many nodes hold a promise when it is acknowledged, and
+	// DrainCommitmentHeld tells how many nodes hold a promise when it is acknowledged, and
 	// whether the store does.
-	PromiseKept(instance string, holders int, stored bool)
-	// FormerLife tells that a record of a former life was found.
-	FormerLife(incarnation uint64, promised int)
+	DrainCommitmentHeld(instance string, holders int, stored bool)
+	// PreviousIncarnationFound tells that a record of a former life was found.
+	PreviousIncarnationFound(incarnation uint64, promised int)
 	// RequestQuarantined tells that a request is taken for one that crashes workers, and
 	// on whose word.
 	RequestQuarantined(verdict quarantine.Verdict, source string)
--- a/internal/hosted/evidence.go
+++ b/internal/hosted/evidence.go
@@ -60,8 +60,8 @@
 	return &evidence{agent: agent, table: table, logged: map[quarantine.Fingerprint]bool{}}
 }
 
-// Tell brings what this node has found out of requests to the others. It does not block.
-func (a *Agent) Tell(reports []quarantine.Report) { a.evidence.tell(reports) }
+// ReportEvidence brings what this node has found out of requests to the others. It does not block.
+func (a *Agent) ReportEvidence(reports []quarantine.Report) { a.evidence.tell(reports) }
 
 func (e *evidence) tell(reports []quarantine.Report) {
 	e.mu.Lock()
@@ -169,7 +169,7 @@
 	e.agent.background(e.agent.spreadRecord)
 	e.agent.background(func(ctx context.Context) {
 		// Without the store the others know: it is tried again later.
-		_ = e.agent.announcer.Keep(ctx)
+		_ = e.agent.announcer.PersistEntry(ctx)
 	})
 }
 
--- a/internal/hosted/evidence_test.go
+++ b/internal/hosted/evidence_test.go
@@ -40,7 +40,7 @@
 		report, _ := n.quarantine.Crashed(f, instance, level, time.Now())
 		reports = append(reports, report)
 	}
-	n.agent.Tell(reports)
+	n.agent.ReportEvidence(reports)
 }
 
 func (n *testNode) quarantines(f quarantine.Fingerprint) bool {
@@ -172,7 +172,7 @@
 		if !news {
 			t.Fatal("the answer is no news")
 		}
-		m.nodes[7].agent.Tell([]quarantine.Report{report})
+		m.nodes[7].agent.ReportEvidence([]quarantine.Report{report})
 		m.within(t, contact, "no node holds to it", func() bool { return m.noneQuarantines(request) })
 		time.Sleep(time.Minute)
 		if !m.noneQuarantines(request) {
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -107,11 +107,11 @@
 func (r *recorder) NodeFound(string)                               {}
 func (r *recorder) RecallFailed(string, error)                     {}
 func (r *recorder) WorkerChanged(workers.Worker, string)           {}
-func (r *recorder) FormerLife(uint64, int)                         {}
+func (r *recorder) PreviousIncarnationFound(uint64, int)           {}
 func (r *recorder) RolloutOrdered(string, string, time.Duration)   {}
 func (r *recorder) RolloutDecided(string, string, canary.State, float64, string, float64, float64) {
 }
-func (r *recorder) PromiseKept(instance string, holders int, _ bool) {
+func (r *recorder) DrainCommitmentHeld(instance string, holders int, _ bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.promises[instance] = holders
@@ -385,7 +385,7 @@
 func TestPlannedStopIsTold(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
-	nodes[0].agent.Farewell(t.Context(), fleet.StateLeaving)
+	nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeaving)
 	testwait.Eventually(t, "the others know that it leaves", func() bool {
 		for _, other := range nodes[1:] {
 			if node, _ := other.table.View().Node("a1"); node.State != fleet.StateLeaving {
@@ -394,6 +394,6 @@
 		}
 		return true
 	})
-	nodes[0].agent.Farewell(t.Context(), fleet.StateLeft)
+	nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
 	testwait.Eventually(t, "its entry is gone", func() bool { return store.Entries() == 2 })
 }
--- a/internal/hosted/mesh_cost_test.go
+++ b/internal/hosted/mesh_cost_test.go
@@ -21,10 +21,10 @@
 	var sum hosted.Messages
 	for _, n := range m.nodes {
 		one := n.agent.Messages()
-		sum.Comparisons += one.Comparisons
+		sum.Exchanges += one.Exchanges
 		sum.Broadcasts += one.Broadcasts
 		sum.Records += one.Records
-		sum.Borrowings += one.Borrowings
+		sum.QuotaRequests += one.QuotaRequests
 	}
 	return sum
 }
--- a/internal/hosted/messages.go
+++ b/internal/hosted/messages.go
@@ -4,11 +4,11 @@
 
 // Messages counts what a node has sent to other nodes since it started.
 type Messages struct {
-	// Comparisons are questions whether another node knows the same, Broadcasts
-	// messages with news, and Records the node records in those. Borrowings are messages on
-	// the limits of tenants, Questions those that ask nodes that read the store whether they
+	// Exchanges are questions whether another node knows the same, Broadcasts
+	// messages with news, and Records the node records in those. QuotaRequests are messages on
+	// the limits of tenants, Probes those that ask nodes that read the store whether they
 	// are there.
-	Comparisons, Broadcasts, Records, Borrowings, Questions uint64
+	Exchanges, Broadcasts, Records, QuotaRequests, Probes uint64
 }
 
 // messageCounters counts the messages that a node sends.
@@ -18,8 +18,8 @@
 
 func (c *messageCounters) read() Messages {
 	return Messages{
-		Comparisons: c.comparisons.Load(), Broadcasts: c.broadcasts.Load(), Records: c.records.Load(), Borrowings: c.borrowings.Load(),
-		Questions: c.questions.Load(),
+		Exchanges: c.comparisons.Load(), Broadcasts: c.broadcasts.Load(), Records: c.records.Load(), QuotaRequests: c.borrowings.Load(),
+		Probes: c.questions.Load(),
 	}
 }
 
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -97,7 +97,7 @@
 // other one answered. Where the records differ, only those of the differing
 // buckets travel.
 func (p *Peers) Sync(ctx context.Context, node fleet.Node) bool {
-	response, answered := p.Greet(ctx, node)
+	response, answered := p.Handshake(ctx, node)
 	if !answered {
 		return false
 	}
@@ -109,9 +109,9 @@
 	return err == nil
 }
 
-// Greet is Sync without the records that differ: the other node tells what it knows of
+// Handshake is Sync without the records that differ: the other node tells what it knows of
 // former lives of this one, and the document. It reports whether the other one answered.
-func (p *Peers) Greet(ctx context.Context, node fleet.Node) (*exchangepb.SyncResponse, bool) {
+func (p *Peers) Handshake(ctx context.Context, node fleet.Node) (*exchangepb.SyncResponse, bool) {
 	view := p.table.View()
 	response, err := p.sync(ctx, node, &exchangepb.SyncRequest{
 		Mesh:            p.mesh,
--- a/internal/hosted/former.go
+++ b/internal/hosted/previous.go
@@ -108,7 +108,7 @@
 			if i < firstTables {
 				a.peers.Sync(bounded, *node)
 			} else {
-				a.peers.Greet(bounded, *node)
+				a.peers.Handshake(bounded, *node)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 		a.config.Table.SupersedePrevious(*merged.PreviousSelf)
 		former = append(former, merged.PreviousSelf.Workers...)
 		a.evidence.takeFormer(*merged.PreviousSelf)
-		a.config.Events.FormerLife(merged.PreviousSelf.Incarnation, len(promised))
+		a.config.Events.PreviousIncarnationFound(merged.PreviousSelf.Incarnation, len(promised))
 	}
 	changed := a.config.Workers.Learn(former, time.Now())
 	if len(changed) > 0 {
--- a/internal/hosted/introduction.go
+++ b/internal/hosted/prober.go
@@ -25,10 +25,10 @@
 	Identify(ctx context.Context) (workers.Heartbeat, error)
 }
 
-// Introduction finds out which worker is beside a node that has just started: its
+// Prober finds out which worker is beside a node that has just started: its
 // next heartbeat may be seconds away, and until then nobody could call it. It is a
 // suture service, and ends when a worker is known.
-type Introduction struct {
+type Prober struct {
 	probe     WorkerProbe
 	documents *Documents
 	workers   *workers.Registry
@@ -37,10 +37,10 @@
 }
 
 // String names the part in events.
-func (i *Introduction) String() string { return "introduction" }
+func (i *Prober) String() string { return "introduction" }
 
 // Serve asks until a worker is known, or the tries are used up.
-func (i *Introduction) Serve(ctx context.Context) error {
+func (i *Prober) Serve(ctx context.Context) error {
 	for tries := 0; tries < introductionTries && i.workers.Service() == ""; {
 		if i.documents.InForce() {
 			i.ask(ctx)
@@ -54,7 +54,7 @@
 	return suture.ErrDoNotRestart
 }
 
-func (i *Introduction) ask(ctx context.Context) {
+func (i *Prober) ask(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, introductionBound)
 	defer cancel()
 	beat, err := i.probe.Identify(bounded)
--- a/internal/hosted/quota_test.go
+++ b/internal/hosted/quota_test.go
@@ -150,14 +150,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 12)
 		time.Sleep(10 * time.Second)
-		if sent := m.sent().Borrowings; sent != 0 {
+		if sent := m.sent().QuotaRequests; sent != 0 {
 			t.Errorf("%d messages without a limit", sent)
 		}
 		m.limit()
 		time.Sleep(5 * time.Second)
-		before, crossed := m.sent().Borrowings, m.crossed.Load()
+		before, crossed := m.sent().QuotaRequests, m.crossed.Load()
 		time.Sleep(10 * time.Second)
-		calm := m.sent().Borrowings - before
+		calm := m.sent().QuotaRequests - before
 		t.Logf("%.1f messages a node and second, %d bytes between zones beside other messages' a second", float64(calm)/120, (m.crossed.Load()-crossed)/10)
 		if calm > 3*120 {
 			t.Errorf("%d messages of 12 nodes in ten calm seconds", calm)
--- a/internal/hosted/quota_usage.go
+++ b/internal/hosted/quota_usage.go
@@ -111,12 +111,12 @@
 type QuotaReading struct {
 	Tenants  []TenantUsage
 	Holdings quota.Holdings
-	// Heard is how long ago the hub of the zone has last answered; zero at the hub.
-	Heard time.Duration
+	// SinceHubAnswered is how long ago the hub of the zone has last answered; zero at the hub.
+	SinceHubAnswered time.Duration
 }
 
 // Reading returns what metrics show.
 func (q *Quotas) Reading() QuotaReading {
 	now := q.now()
-	return QuotaReading{Tenants: q.usage.read(), Holdings: q.node.Holdings(now), Heard: q.node.SinceHubAnswered(now)}
+	return QuotaReading{Tenants: q.usage.read(), Holdings: q.node.Holdings(now), SinceHubAnswered: q.node.SinceHubAnswered(now)}
 }
--- a/internal/hosted/reader.go
+++ b/internal/hosted/reader.go
@@ -148,7 +148,7 @@
 	t := time.NewTimer(bound)
 	defer t.Stop()
 	select {
-	case <-r.documents.Held():
+	case <-r.documents.Available():
 	case <-until:
 	case <-t.C:
 	case <-ctx.Done():
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -162,7 +162,7 @@
 		m.awayAndBack(saved)
 		m.within(t, 5*time.Second, "all have an entry again", func() bool { return m.store.Entries() == 4 })
 		time.Sleep(time.Minute)
-		m.nodes[0].agent.Farewell(t.Context(), fleet.StateLeft)
+		m.nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
 		// Its process ends now: a node that ran on would renew its lease, and write again.
 		m.nodes[0].kill()
 		time.Sleep(time.Second)
--- a/internal/hosted/returns.go
+++ b/internal/hosted/restores.go
@@ -7,9 +7,9 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// StoreReturns counts what this node has had to do with a store that came back from copies,
+// StoreRestores counts what this node has had to do with a store that came back from copies,
 // and with other writers.
-type StoreReturns struct {
+type StoreRestores struct {
 	// Era is the highest era of the store that the node has heard of; zero for none.
 	Era uint64
 	// Restores are the returns that it has heard of since it started.
@@ -23,12 +23,12 @@
 // returnCounters are the counters behind StoreReturns.
 type returnCounters struct{ era, restores, passedOver, rejected atomic.Uint64 }
 
-func (c *returnCounters) read() StoreReturns {
-	return StoreReturns{Era: c.era.Load(), Restores: c.restores.Load(), PassedOver: c.passedOver.Load(), Rejected: c.rejected.Load()}
+func (c *returnCounters) read() StoreRestores {
+	return StoreRestores{Era: c.era.Load(), Restores: c.restores.Load(), PassedOver: c.passedOver.Load(), Rejected: c.rejected.Load()}
 }
 
-// StoreReturns returns what has been counted since the node started.
-func (a *Agent) StoreReturns() StoreReturns { return a.documents.returns.read() }
+// StoreRestores returns what has been counted since the node started.
+func (a *Agent) StoreRestores() StoreRestores { return a.documents.returns.read() }
 
 // followEras finds out that the store came back from a copy, by the answers to this node or
 // the records of others, and has what this node keeps there written again. Few nodes call the
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -91,7 +91,7 @@
 	}
 	s.background(func(ctx context.Context) {
 		if !held && s.fetch(ctx, request.GetSender()) {
-			what.document = p.documents.News()
+			what.document = p.documents.ForBroadcast()
 		}
 		// A message that only reminds of a document goes on, too: this node may have it from
 		// a comparison, and then nobody has handed it on here.
--- a/internal/hosted/simulated_test.go
+++ b/internal/hosted/simulated_test.go
@@ -138,7 +138,7 @@
 		m.store.SetFaults("", hostedstore.Faults{Silent: true})
 		mustBeat(t, m.nodes[0], heartbeat("w1", 1, true))
 		began := time.Now()
-		m.nodes[0].agent.Farewell(t.Context(), fleet.StateLeft)
+		m.nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
 		if took := time.Since(began); took > 400*time.Millisecond {
 			t.Errorf("the farewell took %v", took)
 		}
--- a/internal/hosted/source.go
+++ b/internal/hosted/source.go
@@ -29,11 +29,11 @@
 type Era struct {
 	// Number rises with each return, from one; zero when the store does not tell.
 	Number uint64
-	// Began tells that an answer of an earlier era was seen, too.
-	Began bool
-	// Former is the highest revision seen in the era before, and First the first one seen in
+	// SawPrevious tells that an answer of an earlier era was seen, too.
+	SawPrevious bool
+	// PreviousHighest is the highest revision seen in the era before, and First the first one seen in
 	// this: what was written up to First may be from the copy. Zero when none was seen.
-	Former, First uint64
+	PreviousHighest, First uint64
 }
 
 // Source is where accepted documents come from. Errors are ErrRefused,
--- a/internal/lab/hostedstore/client.go
+++ b/internal/lab/hostedstore/client.go
@@ -72,7 +72,7 @@
 	if faults.HideEra {
 		p.Era = 0
 	}
-	c.eras.Seen(p)
+	c.eras.Observe(p)
 	return p
 }
 
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -119,7 +119,7 @@
 		Quarantine: node.quarantine,
 		Quota:      node.quotas,
 		// The agent is there before the first call comes.
-		Evidence: func(reports []quarantine.Report) { node.agent.Tell(reports) },
+		Evidence: func(reports []quarantine.Report) { node.agent.ReportEvidence(reports) },
 		Observer: telemetry.NewForwardingObserver(registry.Registerer(), log, lines.Drop),
 	})
 	messages, err := network.Listen(s.ControlAddress)
--- a/internal/sidecar/reading.go
+++ b/internal/sidecar/reading.go
@@ -12,7 +12,7 @@
 // reading returns what a scrape of the metrics sees.
 func (n *Node) reading() telemetry.HostedReading {
 	view := n.table.View()
-	reading := telemetry.HostedReading{Ready: n.ready(), ReadsStore: view.Self().ReadsStore, Version: n.Version(), Messages: n.agent.Messages(), Returns: n.agent.StoreReturns()}
+	reading := telemetry.HostedReading{Ready: n.ready(), ReadsStore: view.Self().ReadsStore, Version: n.Version(), Messages: n.agent.Messages(), Returns: n.agent.StoreRestores()}
 	for _, node := range view.Nodes() {
 		if node.State == fleet.StateLive {
 			reading.LiveNodes++
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -25,7 +25,7 @@
 	wait(bounded, time.Until(began.Add(n.settings.StopNotice)))
 	var ending sync.WaitGroup
 	ending.Go(func() { n.callers.shutdown(bounded) })
-	n.agent.Farewell(bounded, fleet.StateLeaving)
+	n.agent.AnnounceStop(bounded, fleet.StateLeaving)
 	wait(bounded, farewellTime)
 	n.plane.Stop()
 	ending.Wait()
@@ -33,7 +33,7 @@
 	calls, hops := n.plane.InFlight()
 	n.reportDrain(time.Since(began), int(calls+hops))
 	n.calls.shutdown(bounded)
-	n.agent.Farewell(context.Background(), fleet.StateLeft)
+	n.agent.AnnounceStop(context.Background(), fleet.StateLeft)
 	n.plane.Close()
 }
 
--- a/internal/telemetry/hosted.go
+++ b/internal/telemetry/hosted.go
@@ -41,7 +41,7 @@
 	if seen.Number != era {
 		seen = hosted.Era{}
 	}
-	end(line.Uint64("former_revision", seen.Former).Uint64(fieldRevision, seen.First))
+	end(line.Uint64("former_revision", seen.PreviousHighest).Uint64(fieldRevision, seen.First))
 }
 
 // EntryRestored records that what this node keeps in the store was written again.
@@ -77,13 +77,13 @@
 // EntryRejected records that an entry in the store is no node's.
 func (l *Log) EntryRejected(id string) { end(l.begin(eventEntryRejected).Str("entry", id)) }
 
-// PromiseKept records that a worker's leave is about to be acknowledged.
-func (l *Log) PromiseKept(instance string, holders int, stored bool) {
+// DrainCommitmentHeld records that a worker's leave is about to be acknowledged.
+func (l *Log) DrainCommitmentHeld(instance string, holders int, stored bool) {
 	end(l.begin(eventPromiseKept).Str("instance", instance).Int("holders", holders).Bool("stored", stored))
 }
 
-// FormerLife records what was told of a former life of this node.
-func (l *Log) FormerLife(incarnation uint64, promised int) {
+// PreviousIncarnationFound records what was told of a former life of this node.
+func (l *Log) PreviousIncarnationFound(incarnation uint64, promised int) {
 	end(l.begin(eventFormerLife).Uint64("incarnation", incarnation).Int("promised", promised))
 }
 
--- a/internal/telemetry/hosted_metrics.go
+++ b/internal/telemetry/hosted_metrics.go
@@ -30,7 +30,7 @@
 	// Suspected those that have been in hand where a worker ended.
 	Quarantined, Suspected int
 	// Returns is what the node has had to do with a store that came back from copies.
-	Returns hosted.StoreReturns
+	Returns hosted.StoreRestores
 	// Messages is what the node has sent to others.
 	Messages hosted.Messages
 	// Quotas is what the node has and has decided of the limits of tenants.
@@ -68,11 +68,11 @@
 		counter("store_restores_total", "Returns of the store from a copy that this node has heard of.", func(r HostedReading) uint64 { return r.Returns.Restores }),
 		counter("documents_passed_over_total", "Documents of the store that were older than the one held.", func(r HostedReading) uint64 { return r.Returns.PassedOver }),
 		counter("rejected_writes_total", "Calls for workers, and entries in the store, that could not be used.", func(r HostedReading) uint64 { return r.Returns.Rejected }),
-		counter("comparisons_total", "Questions to other nodes whether they know the same.", func(r HostedReading) uint64 { return r.Messages.Comparisons }),
+		counter("comparisons_total", "Questions to other nodes whether they know the same.", func(r HostedReading) uint64 { return r.Messages.Exchanges }),
 		counter("broadcasts_total", "Messages with news to other nodes.", func(r HostedReading) uint64 { return r.Messages.Broadcasts }),
-		counter("reader_questions_total", "Messages that ask nodes which read the store whether they are there.", func(r HostedReading) uint64 { return r.Messages.Questions }),
+		counter("reader_questions_total", "Messages that ask nodes which read the store whether they are there.", func(r HostedReading) uint64 { return r.Messages.Probes }),
 		newQuotaCollector(func() hosted.QuotaReading { return read().Quotas }),
-		counter("borrowings_total", "Messages to other nodes on the limits of tenants.", func(r HostedReading) uint64 { return r.Messages.Borrowings }),
+		counter("borrowings_total", "Messages to other nodes on the limits of tenants.", func(r HostedReading) uint64 { return r.Messages.QuotaRequests }),
 		counter("broadcast_records_total", "Records of nodes in messages with news.", func(r HostedReading) uint64 { return r.Messages.Records }),
 	)
 	return &Registry{registry: registry}
--- a/internal/telemetry/quota_metrics.go
+++ b/internal/telemetry/quota_metrics.go
@@ -69,5 +69,5 @@
 	gauge(c.tokens, r.Holdings.Tokens, "borrowed")
 	gauge(c.tokens, r.Holdings.Pooled, "pooled")
 	gauge(c.share, r.Holdings.Share)
-	gauge(c.hub, r.Heard.Seconds())
+	gauge(c.hub, r.SinceHubAnswered.Seconds())
 }
