--- a/internal/hosted/agent.go
+++ b/internal/hosted/agent.go
@@ -82,19 +82,19 @@
 	web        *http.Server
 
 	started time.Time
-	// informed is set once the node knows what its former life has promised.
-	informed  atomic.Bool
-	informing sync.Mutex
+	// commitmentsKnown is set once the node knows what its former life has promised.
+	commitmentsKnown atomic.Bool
+	commitmentsMu    sync.Mutex
 	// listed is set once the store has named other nodes.
 	listed atomic.Bool
-	// leads tells that the others of the zone ask this node first.
-	leads atomic.Bool
-	// asked is closed when the first nodes that were met have answered, or have not
+	// zoneHub tells that the others of the zone ask this node first.
+	zoneHub atomic.Bool
+	// peersAsked is closed when the first nodes that were met have answered, or have not
 	// in time.
-	asked     chan struct{}
-	askedOnce sync.Once
-	// hearing is set while this node asks others because one has spoken with it.
-	hearing atomic.Bool
+	peersAsked     chan struct{}
+	peersAskedOnce sync.Once
+	// queryingContact is set while this node asks others because one has spoken with it.
+	queryingContact atomic.Bool
 
 	// storeEra is the highest era of the store that this node has heard of. It belongs to
 	// housekeeping.
@@ -112,23 +112,23 @@
 // New puts the parts of an agent together. Nothing runs before Serve.
 func New(config Config) *Agent {
 	agent := &Agent{
-		config: config, started: time.Now(), asked: make(chan struct{}), withoutStore: map[string]bool{},
-		rejections: rate.NewLimiter(rejectionLines, rejectionLinesBurst),
+		config: config, started: time.Now(), peersAsked: make(chan struct{}), withoutStore: map[string]bool{},
+		rejections: rate.NewLimiter(rejectionLogRate, rejectionLogBurst),
 	}
 	agent.documents = NewDocuments(config.Consumer, config.Events)
 	agent.peers = newPeers(config, agent.documents)
 	agent.evidence = newEvidence(agent, config.Quarantine)
 	agent.peers.evidence = agent.evidence
-	agent.peers.former = agent.learnFormer
+	agent.peers.onPrevious = agent.learnPrevious
 	agent.peers.hub = newHub(agent.peers, agent.background)
 	agent.announcer = newAnnouncer(config.Directory, config.Table, config.Source.Era)
 	agent.announcer.firstStart = config.FirstStart
-	agent.announcer.found, agent.announcer.former = agent.meet, agent.recall
-	agent.announcer.recalled, agent.announcer.settled = agent.informed.Load, agent.inform
-	agent.announcer.shared = agent.peers.recall
-	agent.announcer.rejected = agent.rejectEntry
-	agent.announcer.rewritten = config.Events.EntryRestored
-	server := &Server{peers: agent.peers, background: agent.background, heard: agent.heard, quotas: config.Quotas}
+	agent.announcer.onListed, agent.announcer.onPrevious = agent.contactListed, agent.learnFromEntry
+	agent.announcer.commitmentsKnown, agent.announcer.onSettled = agent.commitmentsKnown.Load, agent.markCommitmentsKnown
+	agent.announcer.sharedEntry = agent.peers.recall
+	agent.announcer.onRejected = agent.rejectEntry
+	agent.announcer.onRewritten = config.Events.EntryRestored
+	server := &Server{peers: agent.peers, background: agent.background, onContact: agent.onContact, quotas: config.Quotas}
 	agent.web = &http.Server{
 		Handler:     server.handler(),
 		IdleTimeout: idleServerMessages,
@@ -138,19 +138,19 @@
 	reader := &Reader{
 		source: config.Source, documents: agent.documents, table: config.Table, contacts: config.Contacts,
 		events: config.Events, spread: agent.spreadDocument, announce: agent.spreadRecord,
-		asked: agent.asked, leads: agent.leads.Load, firstStart: config.FirstStart,
+		peersAsked: agent.peersAsked, isZoneHub: agent.zoneHub.Load, firstStart: config.FirstStart,
 	}
 	if config.Rollouts != nil {
 		rollouts := newRollouts(config, func(context.Context) { agent.background(agent.spreadRecord) })
 		reader.orders, reader.rollouts = config.Rollouts.Orders, rollouts
-		agent.peers.rolloutNews = rollouts.Signal
+		agent.peers.onRolloutRecord = rollouts.Signal
 		agent.supervisor.Add(rollouts)
 	}
 	agent.supervisor.Add(reader)
 	agent.supervisor.Add(&Standby{peers: agent.peers, table: config.Table, contacts: config.Contacts})
 	agent.supervisor.Add(agent.documents)
 	agent.supervisor.Add(&Prober{
-		probe: config.Probe, documents: agent.documents, workers: config.Workers, introduced: agent.introduced,
+		probe: config.Probe, documents: agent.documents, workers: config.Workers, onProbed: agent.workerProbed,
 	})
 	agent.supervisor.Add(agent.announcer)
 	agent.supervisor.Add(&Syncer{
@@ -198,12 +198,12 @@
 
 // Ready reports whether the node has put a document in force and knows its former
 // promises.
-func (a *Agent) Ready() bool { return a.informed.Load() && a.documents.InForce() }
+func (a *Agent) Ready() bool { return a.commitmentsKnown.Load() && a.documents.InForce() }
 
 // knowsMesh reports whether this node can know how many nodes there are: another one has
 // spoken with it, or it is alone.
 func (a *Agent) knowsMesh() bool {
-	return a.peers.spoken.Load() || a.Ready() && len(a.config.Table.View().Nodes()) == 1
+	return a.peers.contacted.Load() || a.Ready() && len(a.config.Table.View().Nodes()) == 1
 }
 
 // refreshWorkers brings the serving part and the own record in line with the
@@ -211,11 +211,11 @@
 func (a *Agent) refreshWorkers() {
 	registered := a.config.Workers.Workers()
 	a.config.Serving.Update(registered)
-	informed := a.informed.Load()
+	informed := a.commitmentsKnown.Load()
 	a.config.Table.Update(func(own *fleet.Node) {
 		own.Workers = registered
 		if !informed {
-			own.Workers = promisedOnly(registered)
+			own.Workers = drainCommittedOnly(registered)
 		}
 	})
 }
@@ -236,20 +236,20 @@
 // case that they have not.
 func (a *Agent) spreadDocument(context.Context) {
 	version := a.documents.Version()
-	what := news{document: a.documents.ForBroadcast(), version: version}
+	u := update{document: a.documents.ForBroadcast(), version: version}
 	others := a.readerZones()
 	a.background(func(ctx context.Context) {
-		near := what
+		near := u
 		near.nodes = a.zoneRecords()
 		a.peers.BroadcastOwnZone(ctx, near, "", "")
 	})
 	a.background(func(ctx context.Context) {
-		a.peers.BroadcastZones(ctx, what, func(zone string) bool { return !others[zone] })
+		a.peers.BroadcastZones(ctx, u, func(zone string) bool { return !others[zone] })
 	})
 	a.background(func(ctx context.Context) {
 		sleep(ctx, reminderPause)
 		if a.documents.Version() == version {
-			a.peers.BroadcastZones(ctx, news{version: version}, func(zone string) bool { return others[zone] })
+			a.peers.BroadcastZones(ctx, update{version: version}, func(zone string) bool { return others[zone] })
 		}
 	})
 }
@@ -278,7 +278,7 @@
 // housekeeping looks after the entry in the store when that is back, marks workers that
 // went silent, and forgets evidence that is too old.
 func (a *Agent) housekeeping(context.Context) {
-	if a.storeReturned() {
+	if a.storeRecovered() {
 		a.announcer.StoreRecovered()
 	}
 	a.followEras()
@@ -294,20 +294,20 @@
 	a.background(a.spreadRecord)
 }
 
-// storeReturned reports whether some node, this one or another, reaches the store
+// storeRecovered reports whether some node, this one or another, reaches the store
 // again that did not at the last look.
-func (a *Agent) storeReturned() bool {
-	returned := false
+func (a *Agent) storeRecovered() bool {
+	recovered := false
 	for _, node := range a.config.Table.View().Nodes() {
 		switch {
 		case !node.ReadsStore:
 			a.withoutStore[node.ID] = true
 		case a.withoutStore[node.ID]:
 			delete(a.withoutStore, node.ID)
-			returned = true
+			recovered = true
 		}
 	}
-	return returned
+	return recovered
 }
 
 // AnnounceStop tells the other nodes the state of a node that stops as planned.
--- a/internal/hosted/announcer.go
+++ b/internal/hosted/announcer.go
@@ -33,13 +33,13 @@
 	// rejoinSpread is the time over which nodes look after entries that former lives
 	// of them have left. These were renewed 60 s before at most, which leaves time.
 	rejoinSpread = 20 * time.Second
-	// entryLife is the life of this node's entry in the store, and renewInterval
+	// entryTTL is the life of this node's entry in the store, and renewInterval
 	// how often it is lengthened, or looked whether there are too few.
-	entryLife     = 2 * time.Minute
+	entryTTL      = 2 * time.Minute
 	renewInterval = 40 * time.Second
-	// returnSpread is the time over which nodes look after their entries when the
+	// recoverySpread is the time over which nodes look after their entries when the
 	// store is back. Entries that lapsed are there again within two seconds.
-	returnSpread = 500 * time.Millisecond
+	recoverySpread = 500 * time.Millisecond
 	// restoreSpreadPerNode, times the nodes known, is the time over which nodes write their
 	// entries again when the store came back from a copy, if that is longer than
 	// returnSpread. Each takes up to three writes: a mesh of 985 nodes, of which 32 had an
@@ -68,39 +68,39 @@
 	table     *fleet.Table
 	// firstStart tells that the whole mesh starts, so that nobody has former lives.
 	firstStart bool
-	// found is called with the other nodes that the store names, and whether it names this
+	// onListed is called with the other nodes that the store names, and whether it names this
 	// one. It returns when some of them have been asked.
-	found func(ctx context.Context, nodes []fleet.Node, named bool)
-	// former is called with entries of this node that others have written: its
-	// former lives.
-	former func(n fleet.Node)
-	// recalled reports whether the node knows its former lives already, and
+	onListed func(ctx context.Context, nodes []fleet.Node, named bool)
+	// onPrevious is called with entries of this node that others have written: its
+	// onPrevious lives.
+	onPrevious func(n fleet.Node)
+	// commitmentsKnown reports whether the node knows its former lives already, and
 	// settled is called when the store knows nothing more of them.
-	recalled func() bool
-	settled  func()
-	// shared returns the entry of this node as another one has read it for many; false
+	commitmentsKnown func() bool
+	onSettled        func()
+	// sharedEntry returns the entry of this node as another one has read it for many; false
 	// when that has not answered.
-	shared func(ctx context.Context) (Entry, bool)
+	sharedEntry func(ctx context.Context) (Entry, bool)
 
-	// rewritten is told that the entry was written again after the store came back from a copy,
+	// onRewritten is told that the entry was written again after the store came back from a copy,
 	// with so many promises.
-	rewritten func(era uint64, promised int)
-	// rejected is told of entries that are no node's.
-	rejected func(id string)
+	onRewritten func(era uint64, promised int)
+	// onRejected is told of entries that are no node's.
+	onRejected func(id string)
 
-	// met is closed when the nodes that were met last have answered, or have not in
+	// contacted is closed when the nodes that were contacted last have answered, or have not in
 	// time. It belongs to the announcer's own goroutine.
-	met <-chan struct{}
-	// turn is held while the entry is written, so that a newer one never meets an
+	contacted <-chan struct{}
+	// writeTurn is held while the entry is written, so that a newer one never meets an
 	// older one on its way.
-	turn chan struct{}
-	// stale is signalled when the entry is to be written, returned when the store
+	writeTurn chan struct{}
+	// writeDue is signalled when the entry is to be written, returned when the store
 	// answers again after an outage.
-	stale    chan struct{}
-	returned chan struct{}
+	writeDue chan struct{}
+	checkDue chan struct{}
 
-	// seen returns the highest era that the store has told this node.
-	seen func() Era
+	// seenEra returns the highest era that the store has told this node.
+	seenEra func() Era
 
 	mu sync.Mutex
 	// lease is the one that the entry is under; empty while this life has none.
@@ -112,18 +112,18 @@
 	// restoring tells that the entry is to be written again after the store came back from a
 	// copy.
 	restoring bool
-	// restored is the highest era that this node has heard of.
-	restored uint64
+	// restoredEra is the highest era that this node has heard of.
+	restoredEra uint64
 }
 
 func newAnnouncer(directory Directory, table *fleet.Table, seen func() Era) *Announcer {
 	return &Announcer{
 		directory: directory,
 		table:     table,
-		seen:      seen,
-		turn:      make(chan struct{}, 1),
-		stale:     make(chan struct{}, 1),
-		returned:  make(chan struct{}, 1),
+		seenEra:   seen,
+		writeTurn: make(chan struct{}, 1),
+		writeDue:  make(chan struct{}, 1),
+		checkDue:  make(chan struct{}, 1),
 	}
 }
 
@@ -133,9 +133,9 @@
 // Serve finds the others, and keeps the entry until the context ends.
 func (a *Announcer) Serve(ctx context.Context) error {
 	if a.firstStart {
-		sleep(ctx, firstCall(1-rand.Float64()))
+		sleep(ctx, firstStartDelay(1-rand.Float64()))
 	}
-	a.until(ctx, a.join)
+	a.retryUntilDone(ctx, a.join)
 	a.settle(ctx)
 	time.AfterFunc(jittered(hubEntryPause), a.enterHub)
 	for ctx.Err() == nil {
@@ -154,13 +154,13 @@
 	self := view.Self()
 	hubs := fleet.Hubs(inZone(view.Nodes(), self.Zone))
 	if slices.ContainsFunc(hubs[:min(zoneEntries, len(hubs))], func(n *fleet.Node) bool { return n.ID == self.ID }) {
-		a.soon()
+		a.writeSoon()
 	}
 }
 
-// firstCall returns how long after the first start of a mesh a node calls the store, given
+// firstStartDelay returns how long after the first start of a mesh a node calls the store, given
 // a number drawn from above 0 up to 1.
-func firstCall(drawn float64) time.Duration {
+func firstStartDelay(drawn float64) time.Duration {
 	early := time.Duration(-math.Log2(drawn) * float64(startDoubling))
 	return max(startSpread-early, 0)
 }
@@ -169,16 +169,16 @@
 // nor the store is enough alone: the nodes may all have started just now, and the
 // store may not have been reached when the promise was made.
 func (a *Announcer) settle(ctx context.Context) {
-	within(ctx, a.met, recallPause)
-	a.until(ctx, a.recall)
-	within(ctx, a.met, formerBound)
+	waitAtMost(ctx, a.contacted, recallPause)
+	a.retryUntilDone(ctx, a.recall)
+	waitAtMost(ctx, a.contacted, previousBound)
 	if ctx.Err() == nil {
-		a.settled()
+		a.onSettled()
 	}
 }
 
-// within waits for an end, for at most the given time.
-func within(ctx context.Context, end <-chan struct{}, bound time.Duration) {
+// waitAtMost waits for an end, for at most the given time.
+func waitAtMost(ctx context.Context, end <-chan struct{}, bound time.Duration) {
 	t := time.NewTimer(bound)
 	defer t.Stop()
 	select {
@@ -191,21 +191,21 @@
 // wait renews the entry, or looks whether there are too few, when it is time, and
 // writes the entry when that is asked for.
 func (a *Announcer) wait(ctx context.Context) {
-	t := time.NewTimer(a.nextLook())
+	t := time.NewTimer(a.nextCheck())
 	defer t.Stop()
 	select {
 	case <-t.C:
 		a.renew(ctx)
-	case <-a.returned:
+	case <-a.checkDue:
 		a.confirm(ctx)
-	case <-a.stale:
-		a.until(ctx, a.write)
+	case <-a.writeDue:
+		a.retryUntilDone(ctx, a.write)
 	case <-ctx.Done():
 	}
 }
 
-// until makes a call until it succeeds, with growing pauses.
-func (a *Announcer) until(ctx context.Context, call func(ctx context.Context) error) {
+// retryUntilDone makes a call retryUntilDone it succeeds, with growing pauses.
+func (a *Announcer) retryUntilDone(ctx context.Context, call func(ctx context.Context) error) {
 	pause := firstWritePause
 	for ctx.Err() == nil {
 		if bounded(ctx, call) == nil {
@@ -222,7 +222,7 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-a.returned:
+	case <-a.checkDue:
 	case <-ctx.Done():
 	}
 }
@@ -230,7 +230,7 @@
 // StoreRecovered tells that the store answers again after an outage, in which the
 // entry may have lapsed. The entry is looked after within returnSpread.
 func (a *Announcer) StoreRecovered() {
-	time.AfterFunc(rand.N(returnSpread), a.check)
+	time.AfterFunc(rand.N(recoverySpread), a.check)
 }
 
 // StoreRestored tells that the store came back from a copy into an era: the entry of this
@@ -238,7 +238,7 @@
 // within a time that grows with the mesh.
 func (a *Announcer) StoreRestored(era uint64) {
 	a.mu.Lock()
-	a.restored = max(a.restored, era)
+	a.restoredEra = max(a.restoredEra, era)
 	a.mu.Unlock()
 	if a.outdated() {
 		time.AfterFunc(a.restorePause(), a.check)
@@ -247,12 +247,12 @@
 
 // restorePause returns the pause before this node writes its entry again.
 func (a *Announcer) restorePause() time.Duration {
-	return rand.N(max(returnSpread, time.Duration(len(a.table.View().Nodes()))*restoreSpreadPerNode))
+	return rand.N(max(recoverySpread, time.Duration(len(a.table.View().Nodes()))*restoreSpreadPerNode))
 }
 
-// nextLook returns after how long the entry is looked after. The word that the store came
+// nextCheck returns after how long the entry is looked after. The word that the store came
 // back from a copy may have come while the announcer was busy with something else.
-func (a *Announcer) nextLook() time.Duration {
+func (a *Announcer) nextCheck() time.Duration {
 	if a.outdated() {
 		return a.restorePause()
 	}
@@ -269,10 +269,10 @@
 
 // newestEra returns the newest era that the store or other nodes have told.
 func (a *Announcer) newestEra() uint64 {
-	seen := a.seen().Number
+	seen := a.seenEra().Number
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return max(seen, a.restored)
+	return max(seen, a.restoredEra)
 }
 
 // hasWritten reports whether this life has an entry already, or had one before the store came
@@ -286,7 +286,7 @@
 // check has the announcer's own goroutine make sure that the entry is there.
 func (a *Announcer) check() {
 	select {
-	case a.returned <- struct{}{}:
+	case a.checkDue <- struct{}{}:
 	default:
 	}
 }
--- a/internal/hosted/broadcast.go
+++ b/internal/hosted/broadcast.go
@@ -12,15 +12,15 @@
 const (
 	// fanOut is how many nodes of its zone a node hands news to.
 	fanOut = 4
-	// silentPause is how long a node that is handed a document may be silent before the next one
+	// hedgeDelay is how long a node that is handed a document may be silent before the next one
 	// of its part gets the document, too. Nodes answer within some milliseconds. After a loss of
 	// power of many machines most nodes of a part may be silent, on each level of a broadcast,
 	// and waiting for each in turn would take seconds.
-	silentPause = 100 * time.Millisecond
+	hedgeDelay = 100 * time.Millisecond
 )
 
-// news is what a broadcast carries.
-type news struct {
+// update is what a broadcast carries.
+type update struct {
 	nodes    []*exchangepb.Node
 	evidence []*exchangepb.Evidence
 	document *exchangepb.Document
@@ -30,7 +30,7 @@
 
 // BroadcastZones hands news to one node of each of the other zones that the
 // function takes, which hands them on there if it lacks them.
-func (p *Peers) BroadcastZones(ctx context.Context, what news, wanted func(zone string) bool) {
+func (p *Peers) BroadcastZones(ctx context.Context, u update, wanted func(zone string) bool) {
 	self := p.table.View().Self()
 	var parts []fleet.Part
 	for zone, nodes := range p.byZone() {
@@ -38,13 +38,13 @@
 			parts = append(parts, fleet.SinglePart(nodes, self.ID))
 		}
 	}
-	p.handOnAll(ctx, what, parts)
+	p.forwardAll(ctx, u, parts)
 }
 
 // BroadcastOwnZone hands news to the nodes of the own zone in a range.
-func (p *Peers) BroadcastOwnZone(ctx context.Context, what news, after, until string) {
+func (p *Peers) BroadcastOwnZone(ctx context.Context, u update, after, until string) {
 	self := p.table.View().Self()
-	p.handOnAll(ctx, what, fleet.Spread(p.inZone(self.Zone), self.ID, after, until, fanOut))
+	p.forwardAll(ctx, u, fleet.Spread(p.inZone(self.Zone), self.ID, after, until, fanOut))
 }
 
 func (p *Peers) byZone() map[string][]*fleet.Node {
@@ -57,10 +57,10 @@
 
 func (p *Peers) inZone(zone string) []*fleet.Node { return p.byZone()[zone] }
 
-func (p *Peers) handOnAll(ctx context.Context, what news, parts []fleet.Part) {
+func (p *Peers) forwardAll(ctx context.Context, u update, parts []fleet.Part) {
 	var waiting sync.WaitGroup
 	for _, part := range parts {
-		waiting.Go(func() { p.handOn(ctx, what, part) })
+		waiting.Go(func() { p.forward(ctx, u, part) })
 	}
 	waiting.Wait()
 }
@@ -78,29 +78,29 @@
 	return reachable
 }
 
-// handOn gives a part of a broadcast to the first node of it that takes it. When
+// forward gives a part of a broadcast to the first node of it that takes it. When
 // one does not answer, the next one gets the rest.
-func (p *Peers) handOn(ctx context.Context, what news, part fleet.Part) {
-	message := p.message(what, exchangepb.Reach_REACH_RANGE)
+func (p *Peers) forward(ctx context.Context, u update, part fleet.Part) {
+	message := p.message(u, exchangepb.Reach_REACH_RANGE)
 	if len(part.Candidates) > 1 {
 		message.After, message.Until = part.After, part.Until
 	}
-	if what.version == 0 {
+	if u.version == 0 {
 		p.toFirst(ctx, part.Candidates, message)
 		return
 	}
-	p.toFirstSoon(ctx, part.Candidates, message)
+	p.toFirstHedged(ctx, part.Candidates, message)
 }
 
 // message returns the message that brings news, which reach as far as given.
-func (p *Peers) message(what news, reach exchangepb.Reach) *exchangepb.BroadcastRequest {
+func (p *Peers) message(u update, reach exchangepb.Reach) *exchangepb.BroadcastRequest {
 	return &exchangepb.BroadcastRequest{
 		Mesh:            p.mesh,
 		Sender:          p.table.View().Self().ID,
-		Nodes:           what.nodes,
-		Evidence:        what.evidence,
-		Document:        what.document,
-		DocumentVersion: what.version,
+		Nodes:           u.nodes,
+		Evidence:        u.evidence,
+		Document:        u.document,
+		DocumentVersion: u.version,
 		Reach:           reach,
 	}
 }
@@ -119,19 +119,19 @@
 	return false
 }
 
-// toFirstSoon is toFirst that does not wait for one that is silent: the next gets the message
+// toFirstHedged is toFirst that does not wait for one that is silent: the next gets the message
 // beside it. More than one may take it.
-func (p *Peers) toFirstSoon(ctx context.Context, candidates []*fleet.Node, message *exchangepb.BroadcastRequest) {
+func (p *Peers) toFirstHedged(ctx context.Context, candidates []*fleet.Node, message *exchangepb.BroadcastRequest) {
 	answers := make(chan bool, len(candidates))
-	asked, silent := 0, 0
+	sent, pending := 0, 0
 	for {
-		if asked < len(candidates) {
-			candidate := *candidates[asked]
+		if sent < len(candidates) {
+			candidate := *candidates[sent]
 			go func() { answers <- p.send(ctx, candidate, message) }()
-			asked++
-			silent++
+			sent++
+			pending++
 		}
-		if silent == 0 {
+		if pending == 0 {
 			return
 		}
 		taken, answered := awaitAnswer(ctx, answers)
@@ -139,14 +139,14 @@
 		case taken || ctx.Err() != nil:
 			return
 		case answered:
-			silent--
+			pending--
 		}
 	}
 }
 
 // awaitAnswer waits for an answer for as long as a node may be silent.
 func awaitAnswer(ctx context.Context, answers <-chan bool) (taken, answered bool) {
-	t := time.NewTimer(silentPause)
+	t := time.NewTimer(hedgeDelay)
 	defer t.Stop()
 	select {
 	case taken = <-answers:
@@ -165,13 +165,13 @@
 	return p.deliver(ctx, node, request)
 }
 
-// ask reports whether a node is there.
-func (p *Peers) ask(ctx context.Context, node fleet.Node) bool {
+// probe reports whether a node is there.
+func (p *Peers) probe(ctx context.Context, node fleet.Node) bool {
 	ctx, cancel := context.WithTimeout(ctx, messageBound)
 	defer cancel()
-	p.sent.questions.Add(1)
+	p.sent.probes.Add(1)
 	// A message that brings no news is answered, and changes nothing.
-	return p.deliver(ctx, node, p.message(news{}, exchangepb.Reach_REACH_RANGE))
+	return p.deliver(ctx, node, p.message(update{}, exchangepb.Reach_REACH_RANGE))
 }
 
 // deliver sends a message and notes whether the node is there.
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -12,18 +12,18 @@
 func (a *Announcer) join(ctx context.Context) error {
 	before := a.newestEra()
 	listed, err := a.list(ctx, true)
-	if err == nil && a.seemsNew(listed) {
+	if err == nil && a.mayBeIncomplete(listed) {
 		listed, err = a.list(ctx, false)
 	}
 	if err != nil {
 		return err
 	}
 	if len(listed.nodes) >= directorySize && listed.own == nil {
-		a.meet(ctx, listed)
+		a.contact(ctx, listed)
 		return nil
 	}
 	if listed.own != nil {
-		a.meet(ctx, listed)
+		a.contact(ctx, listed)
 		a.adopt(*listed.own, before)
 		return nil
 	}
@@ -35,24 +35,24 @@
 	if listed, err = a.list(ctx, false); err != nil {
 		return err
 	}
-	a.meet(ctx, listed)
+	a.contact(ctx, listed)
 	return nil
 }
 
-// seemsNew reports whether a list that may be old shows so few nodes that a newer one may
+// mayBeIncomplete reports whether a list that may be old shows so few nodes that a newer one may
 // show more.
-func (a *Announcer) seemsNew(listed listing) bool {
+func (a *Announcer) mayBeIncomplete(listed listing) bool {
 	return listed.others() == 0 || a.firstStart && listed.others() < directorySize
 }
 
-// meet hands the nodes on, and does not wait until they have answered: that is
+// contact hands the nodes on, and does not wait until they have answered: that is
 // bounded by itself.
-func (a *Announcer) meet(ctx context.Context, listed listing) {
-	met := make(chan struct{})
-	a.met = met
+func (a *Announcer) contact(ctx context.Context, listed listing) {
+	contacted := make(chan struct{})
+	a.contacted = contacted
 	go func() {
-		defer close(met)
-		a.found(context.WithoutCancel(ctx), listed.nodes, listed.own != nil)
+		defer close(contacted)
+		a.onListed(context.WithoutCancel(ctx), listed.nodes, listed.own != nil)
 	}()
 }
 
@@ -81,28 +81,28 @@
 		case ok:
 			listed.nodes = append(listed.nodes, n)
 		default:
-			a.rejected(entry.ID)
+			a.onRejected(entry.ID)
 		}
 	}
 	return listed, nil
 }
 
-func (a *Announcer) look(ctx context.Context) error {
+func (a *Announcer) checkDirectory(ctx context.Context) error {
 	listed, err := a.list(ctx, true)
 	if err != nil {
 		return err
 	}
-	var strangers []fleet.Node
+	var unknown []fleet.Node
 	for _, n := range listed.nodes {
 		if _, known := a.table.View().Node(n.ID); !known {
-			strangers = append(strangers, n)
+			unknown = append(unknown, n)
 		}
 	}
-	if len(strangers) > 0 {
-		a.meet(ctx, listing{nodes: strangers})
+	if len(unknown) > 0 {
+		a.contact(ctx, listing{nodes: unknown})
 	}
 	if listed.others() < directorySize {
-		a.soon()
+		a.writeSoon()
 	}
 	return nil
 }
--- a/internal/hosted/documents.go
+++ b/internal/hosted/documents.go
@@ -14,36 +14,36 @@
 type Documents struct {
 	consumer Consumer
 	events   Events
-	// news is signalled when there is a document that was not offered yet.
-	news chan struct{}
-	// held is closed when there is a first document.
-	held    chan struct{}
-	returns returnCounters
+	// changed is signalled when there is a document that was not offered yet.
+	changed chan struct{}
+	// available is closed when there is a first document.
+	available chan struct{}
+	restores  restoreCounters
 	// offered is the version of the last document that the consumer took.
 	offered atomic.Uint64
 
 	mu       sync.Mutex
 	newest   Document
-	whole    *exchangepb.Document // the newest in full, made when it is needed
+	full     *exchangepb.Document // the newest in full, made when it is needed
 	delta    *exchangepb.Document // the newest by the one before it; nil if there is none
 	previous uint64
 }
 
 // NewDocuments returns an empty Documents.
 func NewDocuments(consumer Consumer, events Events) *Documents {
-	return &Documents{consumer: consumer, events: events, news: make(chan struct{}, 1), held: make(chan struct{})}
+	return &Documents{consumer: consumer, events: events, changed: make(chan struct{}, 1), available: make(chan struct{})}
 }
 
 // String names the part in events.
 func (d *Documents) String() string { return "documents" }
 
-// restFactor is how long, in times of its duration, nothing is put in force after a
+// pauseFactor is how long, in times of its duration, nothing is put in force after a
 // document was: a storm of changes then takes at most a tenth of what the machine has
-// for everything. longestRest keeps every document in force within half a second; the
+// for everything. longestPause keeps every document in force within half a second; the
 // tightest bound that operators have asked for is two.
 const (
-	restFactor  = 9
-	longestRest = 500 * time.Millisecond
+	pauseFactor  = 9
+	longestPause = 500 * time.Millisecond
 )
 
 // noRevision stands for the revision of a document that another node has sent.
@@ -55,10 +55,10 @@
 func (d *Documents) Serve(ctx context.Context) error {
 	for {
 		select {
-		case <-d.news:
+		case <-d.changed:
 			began := time.Now()
 			d.offer()
-			sleep(ctx, min(restFactor*time.Since(began), longestRest))
+			sleep(ctx, min(pauseFactor*time.Since(began), longestPause))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -81,7 +81,7 @@
 func (d *Documents) InForce() bool { return d.offered.Load() > 0 }
 
 // Available is closed when there is a first document.
-func (d *Documents) Available() <-chan struct{} { return d.held }
+func (d *Documents) Available() <-chan struct{} { return d.available }
 
 // Version returns the version of the newest document; zero when there is none.
 func (d *Documents) Version() uint64 {
@@ -101,10 +101,10 @@
 	case d.delta != nil && d.delta.GetBase() == version:
 		return d.delta
 	}
-	if d.whole == nil {
-		d.whole = &exchangepb.Document{Version: d.newest.Version, Content: compress(d.newest.Content, nil)}
+	if d.full == nil {
+		d.full = &exchangepb.Document{Version: d.newest.Version, Content: compress(d.newest.Content, nil)}
 	}
-	return d.whole
+	return d.full
 }
 
 // ForBroadcast returns the newest document for all others: by the one before it, which
@@ -127,7 +127,7 @@
 		d.events.DocumentRejected(document.Revision, ErrInvalidDocument.New("the content tells no version"))
 		return false
 	case document.Version < d.newest.Version:
-		d.returns.passedOver.Add(1)
+		d.restores.passedOver.Add(1)
 		d.events.DocumentPassedOver(document.Version, d.newest.Version, document.Revision)
 		return false
 	case document.Version == d.newest.Version:
@@ -169,26 +169,26 @@
 // all the same: others may be able to, and all must agree on which is the newest.
 // The mutex is held.
 func (d *Documents) put(document Document, message *exchangepb.Document) {
-	former := d.newest
-	if former.Version == 0 {
-		close(d.held)
+	previous := d.newest
+	if previous.Version == 0 {
+		close(d.available)
 	}
-	d.newest, d.previous = document, former.Version
-	d.whole, d.delta = nil, nil
+	d.newest, d.previous = document, previous.Version
+	d.full, d.delta = nil, nil
 	switch {
 	case message.GetBase() != 0:
 		d.delta = message
-	case former.Version != 0:
+	case previous.Version != 0:
 		d.delta = &exchangepb.Document{
-			Version: document.Version, Base: former.Version,
-			Content: compress(document.Content, former.Content),
+			Version: document.Version, Base: previous.Version,
+			Content: compress(document.Content, previous.Content),
 		}
 	}
 	if message != nil && message.GetBase() == 0 {
-		d.whole = message
+		d.full = message
 	}
 	select {
-	case d.news <- struct{}{}:
+	case d.changed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/hosted/documents_test.go
+++ b/internal/hosted/documents_test.go
@@ -20,34 +20,34 @@
 	return nil
 }
 
-// quietEvents is told everything and does nothing.
-type quietEvents struct{}
+// discardEvents is told everything and does nothing.
+type discardEvents struct{}
 
-func (quietEvents) DocumentRejected(uint64, error)                 {}
-func (quietEvents) DocumentPassedOver(uint64, uint64, uint64)      {}
-func (quietEvents) ReaderRoleChanged(bool)                         {}
-func (quietEvents) StoreReachable()                                {}
-func (quietEvents) StoreUnreachable(error)                         {}
-func (quietEvents) StoreRestored(uint64, Era)                      {}
-func (quietEvents) HeartbeatRejected(string, error)                {}
-func (quietEvents) EntryRejected(string)                           {}
-func (quietEvents) EntryRestored(uint64, int)                      {}
-func (quietEvents) NodeLost(string, error)                         {}
-func (quietEvents) NodeFound(string)                               {}
-func (quietEvents) RecallFailed(string, error)                     {}
-func (quietEvents) WorkerChanged(workers.Worker, string)           {}
-func (quietEvents) DrainCommitmentHeld(string, int, bool)          {}
-func (quietEvents) PreviousIncarnationFound(uint64, int)           {}
-func (quietEvents) RequestQuarantined(quarantine.Verdict, string)  {}
-func (quietEvents) QuarantineEnded(quarantine.Fingerprint, string) {}
-func (quietEvents) RolloutOrdered(string, string, time.Duration)   {}
-func (quietEvents) RolloutDecided(string, string, canary.State, float64, string, float64, float64) {
+func (discardEvents) DocumentRejected(uint64, error)                 {}
+func (discardEvents) DocumentPassedOver(uint64, uint64, uint64)      {}
+func (discardEvents) ReaderRoleChanged(bool)                         {}
+func (discardEvents) StoreReachable()                                {}
+func (discardEvents) StoreUnreachable(error)                         {}
+func (discardEvents) StoreRestored(uint64, Era)                      {}
+func (discardEvents) HeartbeatRejected(string, error)                {}
+func (discardEvents) EntryRejected(string)                           {}
+func (discardEvents) EntryRestored(uint64, int)                      {}
+func (discardEvents) NodeLost(string, error)                         {}
+func (discardEvents) NodeFound(string)                               {}
+func (discardEvents) RecallFailed(string, error)                     {}
+func (discardEvents) WorkerChanged(workers.Worker, string)           {}
+func (discardEvents) DrainCommitmentHeld(string, int, bool)          {}
+func (discardEvents) PreviousIncarnationFound(uint64, int)           {}
+func (discardEvents) RequestQuarantined(quarantine.Verdict, string)  {}
+func (discardEvents) QuarantineEnded(quarantine.Fingerprint, string) {}
+func (discardEvents) RolloutOrdered(string, string, time.Duration)   {}
+func (discardEvents) RolloutDecided(string, string, canary.State, float64, string, float64, float64) {
 }
 
-// offerNews does what Serve does when there are news.
-func offerNews(d *Documents) {
+// offerPending does what Serve does when there are news.
+func offerPending(d *Documents) {
 	select {
-	case <-d.news:
+	case <-d.changed:
 		d.offer()
 	default:
 	}
@@ -65,43 +65,43 @@
 
 func TestDocumentsTravelByTheirPredecessor(t *testing.T) {
 	consumer := &recordingConsumer{}
-	source, target := NewDocuments(&recordingConsumer{}, quietEvents{}), NewDocuments(consumer, quietEvents{})
+	source, target := NewDocuments(&recordingConsumer{}, discardEvents{}), NewDocuments(consumer, discardEvents{})
 	source.Take(Document{Version: 10, Content: exampleDocument(1)})
 	first := source.ForBroadcast()
 	if !target.TakeMessage(first) {
 		t.Fatal("a whole document was not taken")
 	}
-	offerNews(target)
+	offerPending(target)
 	source.Take(Document{Version: 12, Content: exampleDocument(2)})
 	second := source.ForBroadcast()
 	if second.GetBase() != 10 || len(second.GetContent()) > len(first.GetContent())/5 {
 		t.Fatalf("base %d, %d bytes after %d", second.GetBase(), len(second.GetContent()), len(first.GetContent()))
 	}
 	held := target.TakeMessage(second)
-	offerNews(target)
+	offerPending(target)
 	if !held || !bytes.Equal(consumer.offered[1], exampleDocument(2)) {
 		t.Fatal("the second document did not arrive as it was")
 	}
 }
 
 func TestNodeThatLacksTheBaseAsksForTheWholeDocument(t *testing.T) {
-	source := NewDocuments(&recordingConsumer{}, quietEvents{})
+	source := NewDocuments(&recordingConsumer{}, discardEvents{})
 	source.Take(Document{Version: 10, Content: exampleDocument(1)})
 	source.Take(Document{Version: 12, Content: exampleDocument(2)})
 	consumer := &recordingConsumer{}
-	target := NewDocuments(consumer, quietEvents{})
+	target := NewDocuments(consumer, discardEvents{})
 	if target.TakeMessage(source.ForBroadcast()) {
 		t.Fatal("a document was made of a base that is not held")
 	}
 	held := target.TakeMessage(source.After(target.Version()))
-	offerNews(target)
+	offerPending(target)
 	if !held || !bytes.Equal(consumer.offered[0], exampleDocument(2)) {
 		t.Fatal("the whole document was not taken")
 	}
 }
 
 func TestOlderDocumentIsNotTaken(t *testing.T) {
-	documents := NewDocuments(&recordingConsumer{}, quietEvents{})
+	documents := NewDocuments(&recordingConsumer{}, discardEvents{})
 	documents.Take(Document{Version: 12, Content: exampleDocument(2)})
 	if documents.Take(Document{Version: 10, Content: exampleDocument(1)}) || documents.Version() != 12 {
 		t.Fatal("an older document was taken")
@@ -111,14 +111,14 @@
 // TestDocumentsBetweenAreLeftOut lets two documents come before the consumer is free.
 func TestDocumentsBetweenAreLeftOut(t *testing.T) {
 	consumer := &recordingConsumer{}
-	documents := NewDocuments(consumer, quietEvents{})
+	documents := NewDocuments(consumer, discardEvents{})
 	if documents.InForce() {
 		t.Fatal("in force before there is a document")
 	}
 	documents.Take(Document{Version: 10, Content: exampleDocument(1)})
 	documents.Take(Document{Version: 12, Content: exampleDocument(2)})
-	offerNews(documents)
-	offerNews(documents)
+	offerPending(documents)
+	offerPending(documents)
 	if len(consumer.offered) != 1 || !bytes.Equal(consumer.offered[0], exampleDocument(2)) || !documents.InForce() {
 		t.Fatalf("%d documents offered", len(consumer.offered))
 	}
@@ -130,9 +130,9 @@
 func (rejectingConsumer) Offer([]byte) error { return ErrInvalidDocument.New("test") }
 
 func TestDocumentThatCannotBeUsedIsNotInForce(t *testing.T) {
-	documents := NewDocuments(rejectingConsumer{}, quietEvents{})
+	documents := NewDocuments(rejectingConsumer{}, discardEvents{})
 	documents.Take(Document{Version: 10, Content: exampleDocument(1)})
-	offerNews(documents)
+	offerPending(documents)
 	if documents.InForce() || documents.ForBroadcast() == nil {
 		t.Fatal("a document that cannot be used must be handed on and not be in force")
 	}
--- a/internal/hosted/entry.go
+++ b/internal/hosted/entry.go
@@ -16,18 +16,18 @@
 		// A promise was kept before the list came: what it shows is older.
 		return
 	}
-	former, own := decodeEntry(e)
+	previous, own := decodeEntry(e)
 	if !own {
 		// Another writer's: its lease is not this node's to keep.
 		e.Lease = ""
-		a.rejected(e.ID)
+		a.onRejected(e.ID)
 	}
 	a.setLease(e.Lease, before)
 	a.mu.Lock()
 	a.revision = e.Revision
 	a.mu.Unlock()
-	again := a.soon
-	if self := a.table.View().Self(); e.Lease != "" && former.ControlAddress == self.ControlAddress && former.CallAddress == self.CallAddress {
+	again := a.writeSoon
+	if self := a.table.View().Self(); e.Lease != "" && previous.ControlAddress == self.ControlAddress && previous.CallAddress == self.CallAddress {
 		again = a.check
 	}
 	time.AfterFunc(rand.N(rejoinSpread), again)
@@ -37,10 +37,10 @@
 // have told: by way of the hub of the zone, which reads for many nodes at a time, or
 // by itself.
 func (a *Announcer) recall(ctx context.Context) error {
-	if a.recalled() || a.firstStart {
+	if a.commitmentsKnown() || a.firstStart {
 		return nil
 	}
-	if e, answered := a.shared(ctx); answered {
+	if e, answered := a.sharedEntry(ctx); answered {
 		a.take(e)
 		return nil
 	}
@@ -60,9 +60,9 @@
 	n, ok := decodeEntry(held)
 	switch {
 	case ok:
-		a.former(n)
+		a.onPrevious(n)
 	case held.Revision != 0:
-		a.rejected(held.ID)
+		a.onRejected(held.ID)
 	}
 }
 
@@ -71,15 +71,15 @@
 func (a *Announcer) PersistEntry(ctx context.Context) error {
 	err := bounded(ctx, a.write)
 	if err != nil {
-		time.AfterFunc(jittered(firstWritePause), a.soon)
+		time.AfterFunc(jittered(firstWritePause), a.writeSoon)
 	}
 	return err
 }
 
-// soon has the entry written by the announcer's own goroutine.
-func (a *Announcer) soon() {
+// writeSoon has the entry written by the announcer's own goroutine.
+func (a *Announcer) writeSoon() {
 	select {
-	case a.stale <- struct{}{}:
+	case a.writeDue <- struct{}{}:
 	default:
 	}
 }
@@ -89,8 +89,8 @@
 // taken over before it is replaced.
 func (a *Announcer) write(ctx context.Context) error {
 	select {
-	case a.turn <- struct{}{}:
-		defer func() { <-a.turn }()
+	case a.writeTurn <- struct{}{}:
+		defer func() { <-a.writeTurn }()
 	case <-ctx.Done():
 		return ErrUnanswered.Wrap(ctx.Err(), "an earlier write is under way")
 	}
@@ -119,7 +119,7 @@
 	lease, revision := a.held()
 	if lease == "" {
 		before := a.newestEra()
-		granted, err := a.directory.Grant(ctx, entryLife)
+		granted, err := a.directory.Grant(ctx, entryTTL)
 		if err != nil {
 			return false, err
 		}
@@ -139,7 +139,7 @@
 		return false, nil
 	}
 	if a.wrote(held.Revision) {
-		a.rewritten(a.newestEra(), len(promisedOnly(own.Workers)))
+		a.onRewritten(a.newestEra(), len(drainCommittedOnly(own.Workers)))
 	}
 	return !a.outdated(), nil
 }
@@ -187,17 +187,17 @@
 func (a *Announcer) renew(ctx context.Context) {
 	lease, _ := a.held()
 	if lease == "" {
-		_ = bounded(ctx, a.look)
+		_ = bounded(ctx, a.checkDirectory)
 		a.enterHub()
 		return
 	}
 	if a.outdated() {
-		a.until(ctx, a.write)
+		a.retryUntilDone(ctx, a.write)
 		return
 	}
 	err := bounded(ctx, func(ctx context.Context) error { return a.directory.Renew(ctx, lease) })
 	if errorx.IsOfType(err, ErrLeaseEnded) {
-		a.until(ctx, a.write)
+		a.retryUntilDone(ctx, a.write)
 	}
 }
 
@@ -215,7 +215,7 @@
 	lease, _ := a.held()
 	own := a.table.View().Self()
 	// A lease of an earlier era may have been granted to another node since.
-	if lease == "" || a.outdated() || len(promisedOnly(own.Workers)) > 0 || len(own.Quarantined) > 0 {
+	if lease == "" || a.outdated() || len(drainCommittedOnly(own.Workers)) > 0 || len(own.Quarantined) > 0 {
 		return
 	}
 	_ = bounded(ctx, func(ctx context.Context) error { return a.directory.Withdraw(ctx, lease) })
--- a/internal/hosted/evidence.go
+++ b/internal/hosted/evidence.go
@@ -24,21 +24,21 @@
 // others: all that a worker had in hand then goes in one message.
 const evidenceBatch = 5 * time.Millisecond
 
-// comparedEvidence bounds the pieces of evidence that go with one comparison, some 60 bytes
+// exchangedEvidence bounds the pieces of evidence that go with one comparison, some 60 bytes
 // each: 2 KB a second at most while nodes hold different evidence.
-const comparedEvidence = 32
+const exchangedEvidence = 32
 
 // Sources of what a node knows of a request.
 const (
-	sourceOwnWorker  = "own worker"
-	sourceOwnCall    = "own call"
-	sourceEvidence   = "evidence of other nodes"
-	sourceRecord     = "record of another node"
-	sourceComparison = "comparison with another node"
-	sourceFormerLife = "former life"
-	sourceOperator   = "operator"
-	sourceAnswer     = "whole answer"
-	sourceExpired    = "time is over"
+	sourceOwnWorker           = "own worker"
+	sourceOwnCall             = "own call"
+	sourceEvidence            = "evidence of other nodes"
+	sourceRecord              = "record of another node"
+	sourceExchange            = "comparison with another node"
+	sourcePreviousIncarnation = "former life"
+	sourceOperator            = "operator"
+	sourceCompleteAnswer      = "whole answer"
+	sourceExpired             = "time is over"
 	// sourceHousekeeping stands for what was found when nobody told: a call that began
 	// here was lost with its worker, or the time of a quarantine is over.
 	sourceHousekeeping = ""
@@ -51,7 +51,7 @@
 	table *quarantine.Table
 
 	mu      sync.Mutex
-	waiting []quarantine.Report
+	pending []quarantine.Report
 	// logged are the requests that are quarantined as the log has it.
 	logged map[quarantine.Fingerprint]bool
 }
@@ -61,12 +61,12 @@
 }
 
 // ReportEvidence brings what this node has found out of requests to the others. It does not block.
-func (a *Agent) ReportEvidence(reports []quarantine.Report) { a.evidence.tell(reports) }
+func (a *Agent) ReportEvidence(reports []quarantine.Report) { a.evidence.report(reports) }
 
-func (e *evidence) tell(reports []quarantine.Report) {
+func (e *evidence) report(reports []quarantine.Report) {
 	e.mu.Lock()
-	first := len(e.waiting) == 0
-	e.waiting = append(e.waiting, reports...)
+	first := len(e.pending) == 0
+	e.pending = append(e.pending, reports...)
 	e.mu.Unlock()
 	if first {
 		e.agent.background(e.send)
@@ -77,11 +77,11 @@
 func (e *evidence) send(ctx context.Context) {
 	sleep(ctx, evidenceBatch)
 	e.mu.Lock()
-	reports := e.waiting
-	e.waiting = nil
+	reports := e.pending
+	e.pending = nil
 	e.mu.Unlock()
 	e.review(sourceOwnWorker)
-	e.agent.peers.announce(ctx, news{evidence: evidencewire.Reports(reports)})
+	e.agent.peers.announce(ctx, update{evidence: evidencewire.Reports(reports)})
 }
 
 // take takes what another node tells.
@@ -99,13 +99,13 @@
 // held returns evidence and all decisions, for another node.
 func (e *evidence) held() ([]*exchangepb.Evidence, []*exchangepb.Quarantine) {
 	now := time.Now()
-	return evidencewire.Reports(e.table.Reports(comparedEvidence, now)), evidencewire.Verdicts(e.table.Verdicts(now))
+	return evidencewire.Reports(e.table.Reports(exchangedEvidence, now)), evidencewire.Verdicts(e.table.Verdicts(now))
 }
 
 // takeDecisions takes what another node holds to be decided.
 func (e *evidence) takeDecisions(messages []*exchangepb.Quarantine) {
 	if len(e.table.Restore(evidencewire.VerdictsOf(messages), false, time.Now())) > 0 {
-		e.review(sourceComparison)
+		e.review(sourceExchange)
 	}
 }
 
@@ -120,13 +120,13 @@
 	}
 }
 
-// takeFormer takes the decisions that a former life of this node has left.
-func (e *evidence) takeFormer(former fleet.Node) {
-	if len(former.Quarantined) == 0 {
+// takePrevious takes the decisions that a former life of this node has left.
+func (e *evidence) takePrevious(previous fleet.Node) {
+	if len(previous.Quarantined) == 0 {
 		return
 	}
-	e.table.Restore(former.Quarantined, true, time.Now())
-	e.review(sourceFormerLife)
+	e.table.Restore(previous.Quarantined, true, time.Now())
+	e.review(sourcePreviousIncarnation)
 }
 
 // Lift has requests run again, on the word of an operator, at all nodes.
@@ -143,7 +143,7 @@
 		return
 	}
 	e.review(sourceOperator)
-	e.tell(reports)
+	e.report(reports)
 }
 
 // expire forgets what is too old.
@@ -160,12 +160,12 @@
 func (e *evidence) review(source string) {
 	now := time.Now()
 	e.log(e.table.Verdicts(now), source)
-	vouched := e.table.Confirmed(now)
+	confirmed := e.table.Confirmed(now)
 	own := e.agent.config.Table.View().Self()
-	if slices.EqualFunc(own.Quarantined, vouched, sameVerdict) {
+	if slices.EqualFunc(own.Quarantined, confirmed, sameVerdict) {
 		return
 	}
-	e.agent.config.Table.Update(func(own *fleet.Node) { own.Quarantined = vouched })
+	e.agent.config.Table.Update(func(own *fleet.Node) { own.Quarantined = confirmed })
 	e.agent.background(e.agent.spreadRecord)
 	e.agent.background(func(ctx context.Context) {
 		// Without the store the others know: it is tried again later.
@@ -210,6 +210,6 @@
 	case sourceHousekeeping:
 		return sourceExpired
 	default:
-		return sourceAnswer
+		return sourceCompleteAnswer
 	}
 }
--- a/internal/hosted/evidence_test.go
+++ b/internal/hosted/evidence_test.go
@@ -16,9 +16,9 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// contact is the time after which all nodes that reach each other must know of a request
+// contactBound is the time after which all nodes that reach each other must know of a request
 // that crashes workers.
-const contact = 3 * time.Second
+const contactBound = 3 * time.Second
 
 // slots is how many requests a worker has in hand when it ends.
 const slots = 13
@@ -28,13 +28,13 @@
 }
 
 // crash has the worker beside a node end with a request and others in hand.
-func (n *testNode) crash(guilty quarantine.Fingerprint, life int) {
-	instance := fmt.Sprintf("%s-%d", n.table.View().Self().ID, life)
+func (n *testNode) crash(crashing quarantine.Fingerprint, incarnation int) {
+	instance := fmt.Sprintf("%s-%d", n.table.View().Self().ID, incarnation)
 	var reports []quarantine.Report
-	for other := range slots {
-		f := guilty
-		if other > 0 {
-			f = fingerprintOf(fmt.Sprintf("/innocent-%s-%d", instance, other))
+	for i := range slots {
+		f := crashing
+		if i > 0 {
+			f = fingerprintOf(fmt.Sprintf("/innocent-%s-%d", instance, i))
 		}
 		level, _ := n.quarantine.Level(f, time.Now())
 		report, _ := n.quarantine.Crashed(f, instance, level, time.Now())
@@ -60,11 +60,11 @@
 // quarantine has three workers end under a request, and waits until all nodes know.
 func (m *simulated) quarantine(t *testing.T, request quarantine.Fingerprint) {
 	t.Helper()
-	for life := range 3 {
-		m.nodes[life].crash(request, life)
+	for i := range 3 {
+		m.nodes[i].crash(request, i)
 		time.Sleep(500 * time.Millisecond)
 	}
-	m.within(t, contact, "all nodes know", func() bool { return m.allQuarantine(request) })
+	m.within(t, contactBound, "all nodes know", func() bool { return m.allQuarantine(request) })
 }
 
 func (m *simulated) messages() (sum, most uint64) {
@@ -85,14 +85,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				m := startSimulated(t, size)
 				time.Sleep(10 * time.Second)
-				guilty := fingerprintOf("/guilty")
+				crashing := fingerprintOf("/guilty")
 				before, _ := m.messages()
-				for life := range 3 {
-					m.nodes[life*size/3].crash(guilty, life)
+				for i := range 3 {
+					m.nodes[i*size/3].crash(crashing, i)
 					time.Sleep(time.Second)
 				}
-				took := m.within(t, contact-time.Second, "all nodes know", func() bool { return m.allQuarantine(guilty) })
-				time.Sleep(contact)
+				took := m.within(t, contactBound-time.Second, "all nodes know", func() bool { return m.allQuarantine(crashing) })
+				time.Sleep(contactBound)
 				sum, _ := m.messages()
 				perNode := float64(sum-before) / float64(size)
 				// Three crashes, and a few records and entries of the nodes that saw them.
@@ -113,9 +113,9 @@
 		const size = 12
 		m := startSimulated(t, size)
 		time.Sleep(30 * time.Second)
-		guilty := fingerprintOf("/guilty")
-		for life := range 3 {
-			m.nodes[4*life].crash(guilty, life)
+		crashing := fingerprintOf("/guilty")
+		for i := range 3 {
+			m.nodes[4*i].crash(crashing, i)
 			time.Sleep(500 * time.Millisecond)
 		}
 		for _, n := range m.nodes {
@@ -124,7 +124,7 @@
 		for n := range m.nodes {
 			m.nodes[n] = m.start(t, n, false)
 		}
-		took := m.within(t, contact, "all nodes know after the loss of all", func() bool { return m.allQuarantine(guilty) })
+		took := m.within(t, contactBound, "all nodes know after the loss of all", func() bool { return m.allQuarantine(crashing) })
 		t.Logf("all know after %v", took)
 	})
 }
@@ -136,9 +136,9 @@
 		const size = 12
 		m := startSimulated(t, size)
 		time.Sleep(time.Second)
-		guilty := fingerprintOf("/guilty")
-		m.nodes[0].crash(guilty, 0)
-		m.nodes[1].crash(guilty, 0)
+		crashing := fingerprintOf("/guilty")
+		m.nodes[0].crash(crashing, 0)
+		m.nodes[1].crash(crashing, 0)
 		time.Sleep(time.Second)
 		away, _ := simulatedAddress(2)
 		for n := range size {
@@ -146,18 +146,18 @@
 				m.network.Cut(away, other)
 			}
 		}
-		m.nodes[2].crash(guilty, 0)
+		m.nodes[2].crash(crashing, 0)
 		time.Sleep(time.Second)
-		if m.nodes[3].quarantines(guilty) {
+		if m.nodes[3].quarantines(crashing) {
 			t.Fatal("a node knows what only one that is cut off has seen")
 		}
-		m.nodes[3].crash(guilty, 0)
+		m.nodes[3].crash(crashing, 0)
 		m.network.Heal()
-		m.within(t, contact, "all nodes know", func() bool { return m.allQuarantine(guilty) })
+		m.within(t, contactBound, "all nodes know", func() bool { return m.allQuarantine(crashing) })
 		m.nodes[0].kill()
 		m.nodes[0] = m.start(t, 0, false)
 		m.nodes = append(m.nodes, m.start(t, size, false))
-		m.within(t, contact, "nodes that have just started know", func() bool { return m.allQuarantine(guilty) })
+		m.within(t, contactBound, "nodes that have just started know", func() bool { return m.allQuarantine(crashing) })
 	})
 }
 
@@ -168,12 +168,12 @@
 		m := startSimulated(t, 12)
 		request := fingerprintOf("/slow")
 		m.quarantine(t, request)
-		report, news := m.nodes[7].quarantine.Answered(request, time.Now())
-		if !news {
+		report, changed := m.nodes[7].quarantine.Answered(request, time.Now())
+		if !changed {
 			t.Fatal("the answer is no news")
 		}
 		m.nodes[7].agent.ReportEvidence([]quarantine.Report{report})
-		m.within(t, contact, "no node holds to it", func() bool { return m.noneQuarantines(request) })
+		m.within(t, contactBound, "no node holds to it", func() bool { return m.noneQuarantines(request) })
 		time.Sleep(time.Minute)
 		if !m.noneQuarantines(request) {
 			t.Error("a node has taken the quarantine up again")
@@ -188,12 +188,12 @@
 		request := fingerprintOf("/mended")
 		m.quarantine(t, request)
 		m.nodes[9].agent.Lift([]quarantine.Fingerprint{request, fingerprintOf("/unknown")})
-		m.within(t, contact, "no node holds to it", func() bool { return m.noneQuarantines(request) })
+		m.within(t, contactBound, "no node holds to it", func() bool { return m.noneQuarantines(request) })
 		time.Sleep(time.Minute)
 		if !m.noneQuarantines(request) {
 			t.Error("a node has taken the quarantine up again")
 		}
-		m.within(t, time.Second, "no record tells of it", func() bool { return m.noneTells() })
+		m.within(t, time.Second, "no record tells of it", func() bool { return m.noRecordQuarantines() })
 	})
 }
 
@@ -206,7 +206,7 @@
 	return true
 }
 
-func (m *simulated) noneTells() bool {
+func (m *simulated) noRecordQuarantines() bool {
 	for _, n := range m.nodes {
 		for _, record := range n.table.View().Nodes() {
 			if record.State == fleet.StateLive && len(record.Quarantined) > 0 {
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -43,8 +43,8 @@
 	updated []workers.Worker
 	open    bool
 
-	// asked is what the worker says when it is asked; nil when it does not answer.
-	asked atomic.Pointer[workers.Heartbeat]
+	// probed is what the worker says when it is probed; nil when it does not answer.
+	probed atomic.Pointer[workers.Heartbeat]
 }
 
 func (n *testNode) Offer(content []byte) error {
@@ -174,8 +174,8 @@
 
 // Identify implements hosted.WorkerProbe with the worker that the test has set.
 func (n *testNode) Identify(context.Context) (workers.Heartbeat, error) {
-	if beat := n.asked.Load(); beat != nil {
-		return *beat, nil
+	if heartbeat := n.probed.Load(); heartbeat != nil {
+		return *heartbeat, nil
 	}
 	return workers.Heartbeat{}, hosted.ErrUnanswered.New("no worker")
 }
@@ -273,7 +273,7 @@
 	testwait.Eventually(t, "the document is everywhere", allHold(nodes, testDocument(1)))
 }
 
-func TestHerdWaitsForTheStore(t *testing.T) {
+func TestSimultaneousStartsWaitForTheStore(t *testing.T) {
 	store := newStore()
 	store.SetFaults("", hostedstore.Faults{Refuse: true})
 	var nodes []*testNode
@@ -316,7 +316,7 @@
 	return workers.Heartbeat{Instance: instance, Service: "ledger", Address: "127.0.0.1:1", Slots: 6, Sequence: sequence, Draining: draining}
 }
 
-func mustBeat(t *testing.T, node *testNode, beat workers.Heartbeat) {
+func mustHeartbeat(t *testing.T, node *testNode, beat workers.Heartbeat) {
 	t.Helper()
 	if err := node.agent.Heartbeat(t.Context(), beat); err != nil {
 		t.Fatal(err)
@@ -328,15 +328,15 @@
 func TestAcknowledgedDrainBindsWhoeverDies(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1", "d1")
-	mustBeat(t, nodes[0], heartbeat("w1", 3, false))
-	mustBeat(t, nodes[0], heartbeat("w1", 5, true))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 3, false))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 5, true))
 	if holders := nodes[0].events.holders("w1"); holders < 2 {
 		t.Fatalf("acknowledged with %d other holders", holders)
 	}
 	nodes[0].kill()
 	store.SetFaults("", hostedstore.Faults{Silent: true})
 	restarted := startNode(t, store, "a1", nodes[0].address)
-	mustBeat(t, restarted, heartbeat("w1", 4, false))
+	mustHeartbeat(t, restarted, heartbeat("w1", 4, false))
 	if worker, known := restarted.table.View().Self().Serves("ledger"); known {
 		t.Fatalf("%v is offered before the former life is known", worker)
 	}
@@ -351,8 +351,8 @@
 func TestAcknowledgedDrainOutlastsAllNodes(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
-	mustBeat(t, nodes[0], heartbeat("w1", 3, false))
-	mustBeat(t, nodes[0], heartbeat("w1", 5, true))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 3, false))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 5, true))
 	for _, node := range nodes {
 		node.kill()
 	}
@@ -360,7 +360,7 @@
 	for _, node := range nodes {
 		restarted = append(restarted, startNode(t, store, node.table.View().Self().ID, node.address))
 	}
-	mustBeat(t, restarted[0], heartbeat("w1", 4, false))
+	mustHeartbeat(t, restarted[0], heartbeat("w1", 4, false))
 	testwait.Eventually(t, "the restarted node is ready", restarted[0].agent.Ready)
 	if worker, ready := restarted[0].workers.Ready("ledger"); ready {
 		t.Fatalf("%v gets work after its drain was acknowledged", worker)
@@ -371,10 +371,10 @@
 func TestPromiseReachesTheStoreLater(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
-	mustBeat(t, nodes[0], heartbeat("w1", 3, false))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 3, false))
 	store.SetFaults("a1", hostedstore.Faults{Refuse: true})
 	before := store.Calls()
-	mustBeat(t, nodes[0], heartbeat("w1", 5, true))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 5, true))
 	testwait.Eventually(t, "the store was asked", func() bool { return store.Calls() > before })
 	store.SetFaults("a1", hostedstore.Faults{})
 	testwait.Eventually(t, "the entry names the promise", func() bool {
@@ -382,7 +382,7 @@
 	})
 }
 
-func TestPlannedStopIsTold(t *testing.T) {
+func TestPlannedStopIsAnnounced(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
 	nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeaving)
--- a/internal/hosted/hub.go
+++ b/internal/hosted/hub.go
@@ -41,25 +41,25 @@
 
 func newHub(p *Peers, background func(work func(ctx context.Context))) *hub {
 	h := &hub{background: background}
-	h.mesh = h.batches(p.toOtherZones, p.batchInterval)
-	h.zone = h.batches(func(ctx context.Context, what news) { p.BroadcastOwnZone(ctx, what, "", "") }, p.batchInterval)
+	h.mesh = h.batchingRelay(p.toOtherZones, p.batchInterval)
+	h.zone = h.batchingRelay(func(ctx context.Context, u update) { p.BroadcastOwnZone(ctx, u, "", "") }, p.batchInterval)
 	return h
 }
 
-// batches returns a relay that sends at intervals. It does not wait for a message to
+// batchingRelay returns a relay that sends at intervals. It does not wait for a message to
 // arrive: a node that does not answer must not hold up what the others are to know.
-func (h *hub) batches(send func(ctx context.Context, what news), interval func() time.Duration) *relay {
-	return newRelay(func(ctx context.Context, what news, _ partKey) {
-		h.background(func(ctx context.Context) { send(ctx, what) })
+func (h *hub) batchingRelay(send func(ctx context.Context, u update), interval func() time.Duration) *relay {
+	return newRelay(func(ctx context.Context, u update, _ partKey) {
+		h.background(func(ctx context.Context) { send(ctx, u) })
 		sleep(ctx, interval())
 	})
 }
 
-// take takes news that reach the own zone or the whole mesh.
-func (h *hub) take(what news, reach exchangepb.Reach) {
-	h.background(func(ctx context.Context) { h.zone.handOn(ctx, what, partKey{}) })
+// accept takes news that reach the own zone or the whole mesh.
+func (h *hub) accept(u update, reach exchangepb.Reach) {
+	h.background(func(ctx context.Context) { h.zone.forward(ctx, u, partKey{}) })
 	if reach == exchangepb.Reach_REACH_MESH {
-		h.background(func(ctx context.Context) { h.mesh.handOn(ctx, what, partKey{}) })
+		h.background(func(ctx context.Context) { h.mesh.forward(ctx, u, partKey{}) })
 	}
 }
 
@@ -75,30 +75,30 @@
 
 // Announce tells all other nodes of records, by way of the hub of the own zone.
 func (p *Peers) Announce(ctx context.Context, records []*exchangepb.Node) {
-	p.announce(ctx, news{nodes: records})
+	p.announce(ctx, update{nodes: records})
 }
 
-func (p *Peers) announce(ctx context.Context, what news) {
+func (p *Peers) announce(ctx context.Context, u update) {
 	self := p.table.View().Self()
 	candidates := fleet.Hubs(append(p.inZone(self.Zone), &self))
 	own := slices.IndexFunc(candidates, func(n *fleet.Node) bool { return n.ID == self.ID })
 	switch {
-	case p.toFirst(ctx, candidates[:own], p.message(what, exchangepb.Reach_REACH_MESH)):
+	case p.toFirst(ctx, candidates[:own], p.message(u, exchangepb.Reach_REACH_MESH)):
 	case self.State != fleet.StateLive:
 		// This node may end before the next batch.
-		p.toOtherZones(ctx, what)
+		p.toOtherZones(ctx, u)
 	default:
-		p.hub.take(what, exchangepb.Reach_REACH_MESH)
+		p.hub.accept(u, exchangepb.Reach_REACH_MESH)
 	}
 }
 
 // toOtherZones sends news to the hub of each other zone.
-func (p *Peers) toOtherZones(ctx context.Context, what news) {
+func (p *Peers) toOtherZones(ctx context.Context, u update) {
 	self := p.table.View().Self()
 	var zones sync.WaitGroup
 	for zone, nodes := range p.byZone() {
 		if zone != self.Zone {
-			zones.Go(func() { p.toFirst(ctx, fleet.Hubs(nodes), p.message(what, exchangepb.Reach_REACH_ZONE)) })
+			zones.Go(func() { p.toFirst(ctx, fleet.Hubs(nodes), p.message(u, exchangepb.Reach_REACH_ZONE)) })
 		}
 	}
 	zones.Wait()
@@ -107,7 +107,7 @@
 // Replicate gives records to as many other nodes as wanted, which keep them. Taken is
 // called for each that does.
 func (p *Peers) Replicate(ctx context.Context, records []*exchangepb.Node, wanted int, taken func()) {
-	message := p.message(news{nodes: records}, exchangepb.Reach_REACH_RANGE)
+	message := p.message(update{nodes: records}, exchangepb.Reach_REACH_RANGE)
 	candidates := p.reachablePeers()
 	candidates = pickRandom(candidates, len(candidates))
 	var replicas sync.WaitGroup
--- a/internal/hosted/mesh_cost_test.go
+++ b/internal/hosted/mesh_cost_test.go
@@ -59,7 +59,7 @@
 				before := m.sent()
 				changing := m.nodes[:size/2]
 				for i, n := range changing {
-					mustBeat(t, n, heartbeat(fmt.Sprintf("w%d", i), 1, false))
+					mustHeartbeat(t, n, heartbeat(fmt.Sprintf("w%d", i), 1, false))
 					time.Sleep(time.Second / time.Duration(len(changing)))
 				}
 				took := m.within(t, time.Second, "all changes are known", func() bool {
@@ -98,11 +98,11 @@
 	})
 }
 
-// TestHeartbeatsWithoutNewsAreNotTold sends the same heartbeat again.
-func TestHeartbeatsWithoutNewsAreNotTold(t *testing.T) {
+// TestUnchangedHeartbeatsAreNotBroadcast sends the same heartbeat again.
+func TestUnchangedHeartbeatsAreNotBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 8)
-		mustBeat(t, m.nodes[0], heartbeat("w1", 1, false))
+		mustHeartbeat(t, m.nodes[0], heartbeat("w1", 1, false))
 		time.Sleep(time.Second)
 		before := m.sent()
 		for range 5 {
--- a/internal/hosted/messages.go
+++ b/internal/hosted/messages.go
@@ -13,13 +13,13 @@
 
 // messageCounters counts the messages that a node sends.
 type messageCounters struct {
-	comparisons, broadcasts, records, borrowings, questions atomic.Uint64
+	exchanges, broadcasts, records, quotaRequests, probes atomic.Uint64
 }
 
 func (c *messageCounters) read() Messages {
 	return Messages{
-		Exchanges: c.comparisons.Load(), Broadcasts: c.broadcasts.Load(), Records: c.records.Load(), QuotaRequests: c.borrowings.Load(),
-		Probes: c.questions.Load(),
+		Exchanges: c.exchanges.Load(), Broadcasts: c.broadcasts.Load(), Records: c.records.Load(), QuotaRequests: c.quotaRequests.Load(),
+		Probes: c.probes.Load(),
 	}
 }
 
--- a/internal/hosted/observed.go
+++ b/internal/hosted/observed.go
@@ -13,11 +13,11 @@
 
 // Results of calls to the store.
 const (
-	resultDone     = "done"
-	resultRefused  = "refused"
-	resultSilent   = "unanswered"
-	resultMissing  = "missing"
-	resultConflict = "conflict"
+	resultDone       = "done"
+	resultRefused    = "refused"
+	resultUnanswered = "unanswered"
+	resultMissing    = "missing"
+	resultConflict   = "conflict"
 )
 
 // Observe returns a source and a directory whose calls are told to the observer.
@@ -35,11 +35,11 @@
 	case errorx.IsOfType(err, ErrHistoryGone), errorx.IsOfType(err, ErrLeaseEnded), errorx.IsOfType(err, ErrNoDocument):
 		return resultMissing
 	default:
-		return resultSilent
+		return resultUnanswered
 	}
 }
 
-func (o StoreObserver) tell(call string, began time.Time, err error) {
+func (o StoreObserver) report(call string, began time.Time, err error) {
 	o(call, resultOf(err), time.Since(began))
 }
 
@@ -52,7 +52,7 @@
 func (s observedSource) Read(ctx context.Context) (Document, Position, error) {
 	began := time.Now()
 	document, next, err := s.Source.Read(ctx)
-	s.observer.tell("read", began, err)
+	s.observer.report("read", began, err)
 	return document, next, err
 }
 
@@ -60,7 +60,7 @@
 func (s observedSource) Watch(ctx context.Context, after Position, wait time.Duration) (Watched, error) {
 	began := time.Now()
 	watched, err := s.Source.Watch(ctx, after, wait)
-	s.observer.tell("watch", began, err)
+	s.observer.report("watch", began, err)
 	return watched, err
 }
 
@@ -73,7 +73,7 @@
 func (d observedDirectory) Grant(ctx context.Context, life time.Duration) (Lease, error) {
 	began := time.Now()
 	lease, err := d.Directory.Grant(ctx, life)
-	d.observer.tell("grant", began, err)
+	d.observer.report("grant", began, err)
 	return lease, err
 }
 
@@ -85,7 +85,7 @@
 		d.observer("replace", resultConflict, time.Since(began))
 		return held, false, nil
 	}
-	d.observer.tell("replace", began, err)
+	d.observer.report("replace", began, err)
 	return held, replaced, err
 }
 
@@ -93,7 +93,7 @@
 func (d observedDirectory) Renew(ctx context.Context, lease Lease) error {
 	began := time.Now()
 	err := d.Directory.Renew(ctx, lease)
-	d.observer.tell("renew", began, err)
+	d.observer.report("renew", began, err)
 	return err
 }
 
@@ -101,7 +101,7 @@
 func (d observedDirectory) Withdraw(ctx context.Context, lease Lease) error {
 	began := time.Now()
 	err := d.Directory.Withdraw(ctx, lease)
-	d.observer.tell("withdraw", began, err)
+	d.observer.report("withdraw", began, err)
 	return err
 }
 
@@ -109,7 +109,7 @@
 func (d observedDirectory) List(ctx context.Context, stale bool) ([]Entry, error) {
 	began := time.Now()
 	entries, err := d.Directory.List(ctx, stale)
-	d.observer.tell("list", began, err)
+	d.observer.report("list", began, err)
 	return entries, err
 }
 
@@ -117,7 +117,7 @@
 func (d observedDirectory) ListAll(ctx context.Context) ([]Entry, error) {
 	began := time.Now()
 	entries, err := d.Directory.ListAll(ctx)
-	d.observer.tell("list-all", began, err)
+	d.observer.report("list-all", began, err)
 	return entries, err
 }
 
@@ -125,6 +125,6 @@
 func (d observedDirectory) Entry(ctx context.Context, id string) (Entry, error) {
 	began := time.Now()
 	e, err := d.Directory.Entry(ctx, id)
-	d.observer.tell("entry", began, err)
+	d.observer.report("entry", began, err)
 	return e, err
 }
--- a/internal/hosted/observed_test.go
+++ b/internal/hosted/observed_test.go
@@ -9,11 +9,11 @@
 	"github.com/levertide/levertide/internal/lab/hostedstore"
 )
 
-func TestCallsToTheStoreAreTold(t *testing.T) {
+func TestCallsToTheStoreAreReported(t *testing.T) {
 	store := newStore()
 	client := store.Client("a1")
-	told := map[string]int{}
-	source, directory := hosted.Observe(client, client, func(call, result string, _ time.Duration) { told[call+" "+result]++ })
+	reported := map[string]int{}
+	source, directory := hosted.Observe(client, client, func(call, result string, _ time.Duration) { reported[call+" "+result]++ })
 	lease, err := directory.Grant(t.Context(), time.Minute)
 	if err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 		"grant done", "replace done", "replace conflict", "read done", "list done", "entry done", "renew done", "withdraw done",
 		"renew missing", "watch refused", "read unanswered",
 	} {
-		if told[want] != 1 {
-			t.Errorf("%q was told %d times", want, told[want])
+		if reported[want] != 1 {
+			t.Errorf("%q was told %d times", want, reported[want])
 		}
 	}
 }
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -36,12 +36,12 @@
 	documents *Documents
 	events    Events
 	web       *http.Client
-	// former is called with what this node promised in former lives.
-	former func(merged fleet.Merged, promised []*exchangepb.Worker)
-	// remembered is set once a node has answered that knows a former life of this one.
-	remembered atomic.Bool
-	// spoken is set once a message went from or to another node.
-	spoken atomic.Bool
+	// onPrevious is called with what this node promised in onPrevious lives.
+	onPrevious func(merged fleet.Merged, promised []*exchangepb.Worker)
+	// previousKnown is set once a node has answered that knows a former life of this one.
+	previousKnown atomic.Bool
+	// contacted is set once a message went from or to another node.
+	contacted atomic.Bool
 	// relay hands on what other nodes have sent.
 	relay *relay
 	// hub collects the news of the zone while this node is its hub.
@@ -51,9 +51,9 @@
 	directory sharedDirectory
 	// evidence takes what others know of requests that crash workers.
 	evidence *evidence
-	// rolloutNews is called when a record was taken that tells of a roll-out; nil where
+	// onRolloutRecord is called when a record was taken that tells of a roll-out; nil where
 	// nobody orders any.
-	rolloutNews func()
+	onRolloutRecord func()
 
 	mutex   sync.Mutex
 	clients map[string]exchangepb.Exchange
@@ -76,8 +76,8 @@
 			DisableCompression:  true,
 		}},
 	}
-	p.relay = newRelay(func(ctx context.Context, what news, part partKey) {
-		p.BroadcastOwnZone(ctx, what, part.after, part.until)
+	p.relay = newRelay(func(ctx context.Context, u update, part partKey) {
+		p.BroadcastOwnZone(ctx, u, part.after, part.until)
 	})
 	return p
 }
@@ -152,9 +152,9 @@
 
 // lackedBy returns the records of buckets that a node lacks which has told all its
 // own of them.
-func lackedBy(view *fleet.View, buckets []uint32, told []*exchangepb.Node) []*exchangepb.Node {
-	held := make(map[string]fleet.Node, len(told))
-	for _, n := range nodesOf(told...) {
+func lackedBy(view *fleet.View, buckets []uint32, reported []*exchangepb.Node) []*exchangepb.Node {
+	held := make(map[string]fleet.Node, len(reported))
+	for _, n := range nodesOf(reported...) {
 		held[n.ID] = n
 	}
 	var missing []*exchangepb.Node
@@ -169,7 +169,7 @@
 func (p *Peers) sync(ctx context.Context, node fleet.Node, request *exchangepb.SyncRequest) (*exchangepb.SyncResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, messageBound)
 	defer cancel()
-	p.sent.comparisons.Add(1)
+	p.sent.exchanges.Add(1)
 	response, err := p.client(node.ControlAddress).Sync(ctx, request)
 	if err != nil {
 		p.noteFailure(node.ID, err)
@@ -181,7 +181,7 @@
 	p.evidence.take(response.GetEvidence())
 	p.evidence.takeDecisions(response.GetQuarantined())
 	if response.GetKnowsFormer() {
-		p.remembered.Store(true)
+		p.previousKnown.Store(true)
 	}
 	return response, nil
 }
@@ -193,12 +193,12 @@
 		// It was lost, and others have heard from it: it need not be tried first.
 		p.noteContact(id)
 	}
-	if p.rolloutNews != nil && slices.ContainsFunc(merged.Updates, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
-		p.rolloutNews()
+	if p.onRolloutRecord != nil && slices.ContainsFunc(merged.Updates, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
+		p.onRolloutRecord()
 	}
 	p.evidence.takeRecords(merged.Updates)
 	if merged.PreviousSelf != nil || len(promised) > 0 {
-		p.former(merged, promised)
+		p.onPrevious(merged, promised)
 	}
 	return merged.Updates
 }
@@ -210,7 +210,7 @@
 }
 
 func (p *Peers) noteContact(id string) {
-	p.spoken.Store(true)
+	p.contacted.Store(true)
 	if p.contacts.Reached(id) {
 		p.events.NodeFound(id)
 	}
--- a/internal/hosted/power_test.go
+++ b/internal/hosted/power_test.go
@@ -13,8 +13,8 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// silence cuts nodes off from all others, as a loss of power does, and returns the rest.
-func (m *simulated) silence(chosen func(id string) bool) []*testNode {
+// cutOff cuts nodes off from all others, as a loss of power does, and returns the rest.
+func (m *simulated) cutOff(chosen func(id string) bool) []*testNode {
 	var rest []*testNode
 	for n, node := range m.nodes {
 		if !chosen(node.table.View().Self().ID) {
@@ -47,7 +47,7 @@
 		var worst time.Duration
 		for round := range rounds {
 			time.Sleep(15 * time.Second)
-			rest := m.silence(func(string) bool { return r.Float64() < share })
+			rest := m.cutOff(func(string) bool { return r.Float64() < share })
 			time.Sleep(latest * time.Duration(round) / rounds)
 			m.store.Put(testDocument(round + 1))
 			took := m.within(t, bound, "all that run have the document", allHold(rest, testDocument(round+1)))
@@ -73,7 +73,7 @@
 		for round := range rounds {
 			time.Sleep(15 * time.Second)
 			readers := fleet.Readers(m.nodes[0].table.View(), func(string) bool { return true }, 3)
-			rest := m.silence(func(id string) bool { return slices.Contains(readers, id) })
+			rest := m.cutOff(func(id string) bool { return slices.Contains(readers, id) })
 			for _, id := range readers {
 				m.store.SetFaults(id, hostedstore.Faults{Silent: true})
 			}
--- a/internal/hosted/prober.go
+++ b/internal/hosted/prober.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// introductionPause is the pause between two looks whether the worker can be
+	// probePause is the pause between two looks whether the worker can be
 	// asked, introductionBound how long one answer is waited for, and
 	// introductionTries how often a worker that does not answer is asked.
-	introductionPause = 10 * time.Millisecond
-	introductionBound = 300 * time.Millisecond
-	introductionTries = 5
+	probePause    = 10 * time.Millisecond
+	probeBound    = 300 * time.Millisecond
+	probeAttempts = 5
 )
 
 // WorkerProbe asks the worker beside the node who it is.
@@ -32,21 +32,21 @@
 	probe     WorkerProbe
 	documents *Documents
 	workers   *workers.Registry
-	// introduced is told of the worker that has answered.
-	introduced func(ctx context.Context, change workers.Change)
+	// onProbed is told of the worker that has answered.
+	onProbed func(ctx context.Context, change workers.Change)
 }
 
 // String names the part in events.
-func (i *Prober) String() string { return "introduction" }
+func (p *Prober) String() string { return "introduction" }
 
 // Serve asks until a worker is known, or the tries are used up.
-func (i *Prober) Serve(ctx context.Context) error {
-	for tries := 0; tries < introductionTries && i.workers.Service() == ""; {
-		if i.documents.InForce() {
-			i.ask(ctx)
+func (p *Prober) Serve(ctx context.Context) error {
+	for tries := 0; tries < probeAttempts && p.workers.Service() == ""; {
+		if p.documents.InForce() {
+			p.probeOnce(ctx)
 			tries++
 		}
-		sleep(ctx, introductionPause)
+		sleep(ctx, probePause)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -54,16 +54,16 @@
 	return suture.ErrDoNotRestart
 }
 
-func (i *Prober) ask(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, introductionBound)
+func (p *Prober) probeOnce(ctx context.Context) {
+	bounded, cancel := context.WithTimeout(ctx, probeBound)
 	defer cancel()
-	beat, err := i.probe.Identify(bounded)
+	heartbeat, err := p.probe.Identify(bounded)
 	if err != nil {
 		return
 	}
-	change, err := i.workers.RegisterProbed(beat, time.Now())
+	change, err := p.workers.RegisterProbed(heartbeat, time.Now())
 	if err != nil {
 		return
 	}
-	i.introduced(ctx, change)
+	p.onProbed(ctx, change)
 }
--- a/internal/hosted/quota.go
+++ b/internal/hosted/quota.go
@@ -24,8 +24,8 @@
 	// hubCandidates is how many nodes of a zone are asked whether they hold shares of former
 	// lives.
 	hubCandidates = 3
-	// lostAfter is after how many messages without an answer the hub is taken for lost.
-	lostAfter = 3
+	// failuresUntilLost is after how many messages without an answer the hub is taken for lost.
+	failuresUntilLost = 3
 )
 
 // QuotaConfig sets up Quotas. All fields must be given.
@@ -54,7 +54,7 @@
 	config  QuotaConfig
 	started time.Time
 	// suspended is for how long the machine was suspended since.
-	suspended longest
+	suspended longestDuration
 	node      *quota.Node
 	usage     usage
 	// peers and known are set by the agent; known reports whether this node can know how
@@ -66,10 +66,10 @@
 	wake chan struct{}
 	// owners are the nodes that own a share.
 	owners owners
-	// asking joins those that want to ask other hubs.
-	asking singleflight.Group
-	// looked is when look last told q.node of the mesh.
-	looked time.Time
+	// askGroup joins those that want to ask other hubs.
+	askGroup singleflight.Group
+	// lookedAt is when look last told q.node of the mesh.
+	lookedAt time.Time
 	// failures counts the messages to the hub that were not answered, one after the other.
 	failures int
 
@@ -92,13 +92,13 @@
 	return time.Since(q.started) + q.suspended.add(q.config.Suspended(q.started))
 }
 
-// longest is the longest of the durations that were added. How long a machine was suspended is
+// longestDuration is the longestDuration of the durations that were added. How long a machine was suspended is
 // told by the time of day as well, and tells less once that is set back; a clock that went
 // back with it would have two nodes use one share.
-type longest struct{ nanoseconds atomic.Int64 }
+type longestDuration struct{ nanoseconds atomic.Int64 }
 
 // add adds a duration and returns the longest one.
-func (l *longest) add(d time.Duration) time.Duration {
+func (l *longestDuration) add(d time.Duration) time.Duration {
 	for {
 		held := l.nanoseconds.Load()
 		if int64(d) <= held {
@@ -192,27 +192,27 @@
 // look tells q.node how many nodes there are, which may have been the hub of the zone lately,
 // and which one is.
 func (q *Quotas) look() {
-	if time.Since(q.looked) < quotaLook {
+	if time.Since(q.lookedAt) < quotaLook {
 		return
 	}
-	q.looked = time.Now()
+	q.lookedAt = time.Now()
 	view := q.config.Table.View()
 	self := view.Self()
 	nodes := 0
 	if q.known() {
-		nodes = q.owners.count(view.Nodes(), q.looked)
+		nodes = q.owners.count(view.Nodes(), q.lookedAt)
 	}
 	reached := q.peers.inZone(self.Zone)
-	former := formerHubs(reached)
+	recent := recentHubs(reached)
 	hub := fleet.Hub(append(reached, &self))
-	q.node.SetMesh(q.now(), nodes, former, hub.ID)
+	q.node.SetMesh(q.now(), nodes, recent, hub.ID)
 }
 
-// formerHubs returns which of the other nodes of a zone that are reached may have been its
+// recentHubs returns which of the other nodes of a zone that are reached may have been its
 // hub just now: all nodes choose the hub in the same order. A former hub that is cut off from
 // here hands out the shares of lives that have ended for as long as their leases last; a new
 // life that waited for its word would refuse whole zones after each loss of power.
-func formerHubs(reached []*fleet.Node) []string {
+func recentHubs(reached []*fleet.Node) []string {
 	var ids []string
 	for _, n := range fleet.Hubs(reached) {
 		if n.State != fleet.StateLeft && len(ids) < hubCandidates {
@@ -255,16 +255,16 @@
 // messages wait for a shorter time than others, and a hub may be busy.
 func (q *Quotas) failed(hub string, err error) {
 	q.failures++
-	if refused(err) || q.failures >= lostAfter {
+	if refused(err) || q.failures >= failuresUntilLost {
 		q.peers.noteFailure(hub, err)
 	}
 	q.node.Failed(q.now())
-	q.looked = time.Time{}
+	q.lookedAt = time.Time{}
 }
 
 // askOthers asks hubs of other zones for what this one lacks, and waits for a bounded time.
 func (q *Quotas) askOthers(ctx context.Context) {
-	done := q.asking.DoChan("", func() (any, error) {
+	done := q.askGroup.DoChan("", func() (any, error) {
 		q.askRounds()
 		return nil, nil
 	})
@@ -279,11 +279,11 @@
 		if len(hubs) == 0 {
 			return
 		}
-		wants := q.node.Shortage(q.now())
-		if len(wants) == 0 {
+		demands := q.node.Shortage(q.now())
+		if len(demands) == 0 {
 			return
 		}
-		q.ask(hubs, wants)
+		q.ask(hubs, demands)
 		if round < quota.AskRounds-1 {
 			time.Sleep(quota.AskGap)
 		}
@@ -294,8 +294,8 @@
 func (q *Quotas) otherHubs() []*fleet.Node {
 	zone := q.config.Table.View().Self().Zone
 	var hubs []*fleet.Node
-	for other, nodes := range q.peers.byZone() {
-		if other != zone {
+	for otherZone, nodes := range q.peers.byZone() {
+		if otherZone != zone {
 			hubs = append(hubs, fleet.Hub(nodes))
 		}
 	}
@@ -303,11 +303,11 @@
 }
 
 // ask asks each of the hubs for its part.
-func (q *Quotas) ask(hubs []*fleet.Node, wants []quota.Demand) {
-	for i := range wants {
-		wants[i].Requested /= float64(len(hubs))
+func (q *Quotas) ask(hubs []*fleet.Node, demands []quota.Demand) {
+	for i := range demands {
+		demands[i].Requested /= float64(len(hubs))
 	}
-	request := q.message(quota.Request{Node: q.config.Table.View().Self().ID, Demands: wants})
+	request := q.message(quota.Request{Node: q.config.Table.View().Self().ID, Demands: demands})
 	request.Move = true
 	var asked sync.WaitGroup
 	for _, hub := range hubs {
@@ -342,7 +342,7 @@
 func (p *Peers) borrow(ctx context.Context, node fleet.Node, request *exchangepb.BorrowRequest, bound time.Duration) (*exchangepb.BorrowResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
-	p.sent.borrowings.Add(1)
+	p.sent.quotaRequests.Add(1)
 	response, err := p.client(node.ControlAddress).Borrow(ctx, request)
 	if err != nil {
 		return nil, err
--- a/internal/hosted/quota_clock_test.go
+++ b/internal/hosted/quota_clock_test.go
@@ -8,10 +8,10 @@
 // TestQuotaClockNeverGoesBack has the time of day be set back after the machine was suspended:
 // the suspension is then no longer told.
 func TestQuotaClockNeverGoesBack(t *testing.T) {
-	told := 3 * time.Second
-	q := &Quotas{started: time.Now(), config: QuotaConfig{Suspended: func(time.Time) time.Duration { return told }}}
+	suspended := 3 * time.Second
+	q := &Quotas{started: time.Now(), config: QuotaConfig{Suspended: func(time.Time) time.Duration { return suspended }}}
 	before := q.now()
-	told = 0
+	suspended = 0
 	if now := q.now(); now < before {
 		t.Errorf("the clock goes back by %v", before-now)
 	}
--- a/internal/hosted/quota_test.go
+++ b/internal/hosted/quota_test.go
@@ -103,8 +103,8 @@
 			n.limited.Store(false)
 		}
 		time.Sleep(10 * time.Second)
-		if told := n.events.limits; !slices.Equal(told, []string{"acme limited", "acme ended"}) {
-			t.Errorf("told: %v", told)
+		if limits := n.events.limits; !slices.Equal(limits, []string{"acme limited", "acme ended"}) {
+			t.Errorf("told: %v", limits)
 		}
 		if read := n.quotas.Reading().Tenants; len(read) != 1 || read[0].Limited {
 			t.Errorf("metrics show %+v", read)
@@ -165,9 +165,9 @@
 	})
 }
 
-// TestNodeWithoutNewsOfOthersAdmitsNothing has a node that knows of others and has heard of
+// TestNodeWithoutContactToOthersAdmitsNothing has a node that knows of others and has heard of
 // none: it cannot know how many share the limits.
-func TestNodeWithoutNewsOfOthersAdmitsNothing(t *testing.T) {
+func TestNodeWithoutContactToOthersAdmitsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(time.Minute) })
 		store := newStore()
--- a/internal/hosted/quota_usage.go
+++ b/internal/hosted/quota_usage.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// limitedQuiet is how long no request of a tenant must be refused until it counts as
+	// limitEndDelay is how long no request of a tenant must be refused until it counts as
 	// not limited any more.
-	limitedQuiet = 5 * time.Second
+	limitEndDelay = 5 * time.Second
 	// namedTenants bounds the tenants that metrics tell apart; OtherTenants stands for the
 	// rest.
 	namedTenants = 100
@@ -77,7 +77,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for tenant, c := range u.tenants {
-		if !c.since.IsZero() && now.Sub(c.last) >= limitedQuiet {
+		if !c.since.IsZero() && now.Sub(c.last) >= limitEndDelay {
 			u.events.TenantLimitEnded(tenant, c.admittedAtLast-c.admittedBefore, c.refused-c.refusedBefore, c.last.Sub(c.since))
 			c.since = time.Time{}
 		}
--- a/internal/hosted/reader.go
+++ b/internal/hosted/reader.go
@@ -19,11 +19,11 @@
 	// once, a document is everywhere 2.25 s later at most (simulated time, 60 nodes,
 	// 120 cuts), and not within 2.5 s when watches are held for as long as that.
 	watchWait = 800 * time.Millisecond
-	// quietWatchWait is how long the readers hold their watches that are not the first.
+	// secondaryWatchWait is how long the readers hold their watches that are not the first.
 	// News come through a watch at once, however long it is held. That all readers
 	// are cut off has to be noticed by one of them only: the others need not ask the
 	// store as often (1.65 calls a second of three readers in place of 3).
-	quietWatchWait = 5 * time.Second
+	secondaryWatchWait = 5 * time.Second
 	// answerBound is how long the store may take beyond that.
 	answerBound = time.Second
 	// roleInterval is how often a node looks whether it is its turn to read.
@@ -33,29 +33,29 @@
 	// all together try no more often.
 	retryPause = 400 * time.Millisecond
 	pauseNodes = 12
-	// othersBound is how long a node that starts waits at most for the nodes that it
+	// peersBound is how long a node that starts waits at most for the nodes that it
 	// meets before it reads the store itself: they answer within some milliseconds,
 	// and those that start, too, say at once that they have no document.
-	othersBound = 300 * time.Millisecond
+	peersBound = 300 * time.Millisecond
 	// firstReadPerNode, times the nodes known, is the time over which the nodes of a
 	// mesh that starts for the first time come to read, up to longestFirstRead: one
 	// of them reads every few milliseconds and hands the document to all others.
 	firstReadPerNode = 25 * time.Millisecond
 	longestFirstRead = 5 * time.Second
-	// hubPatience is how long the hub of a zone waits for others to hand it the document
+	// hubWaitLimit is how long the hub of a zone waits for others to hand it the document
 	// before it reads: those that run answer within some milliseconds, and when all
 	// start, the zone waits for its hub.
-	hubPatience = 50 * time.Millisecond
+	hubWaitLimit = 50 * time.Millisecond
 	// hubHeadStart is how long nodes that start leave it to the hub of their zone to read
 	// the document: it takes a read of the store and one or two hops until they have
 	// it. When all nodes start at once, those that do not know each other yet would read
 	// side by side: 91 of 985 nodes with a spread alone (simulated time).
 	hubHeadStart = 150 * time.Millisecond
-	// herdReadPerNode, times the nodes known, is the time over which nodes that start
+	// restartReadPerNode, times the nodes known, is the time over which nodes that start
 	// at the same moment come to read, up to longestHerdRead: a few milliseconds after
 	// the first has read, it has told the others.
-	herdReadPerNode = time.Millisecond
-	longestHerdRead = 100 * time.Millisecond
+	restartReadPerNode = time.Millisecond
+	longestRestartRead = 100 * time.Millisecond
 	// longestRetryPause bounds that pause.
 	longestRetryPause = 20 * time.Second
 )
@@ -67,11 +67,11 @@
 	table     *fleet.Table
 	contacts  *fleet.Contacts
 	events    Events
-	// asked is closed when the first nodes that were met have answered, and
+	// peersAsked is closed when the first nodes that were met have answered, and
 	// firstStart tells that the whole mesh starts.
-	asked <-chan struct{}
-	// leads reports whether the others of the zone ask this node first.
-	leads      func() bool
+	peersAsked <-chan struct{}
+	// isZoneHub reports whether the others of the zone ask this node first.
+	isZoneHub  func() bool
 	firstStart bool
 	// spread hands a new document to all nodes, and announce this node's record.
 	spread, announce func(ctx context.Context)
@@ -97,12 +97,12 @@
 
 // Serve reads the store until the context ends.
 func (r *Reader) Serve(ctx context.Context) error {
-	r.awaitOthers(ctx)
+	r.awaitPeers(ctx)
 	for ctx.Err() == nil {
 		switch {
 		case !r.table.View().Self().ReadsStore:
 			r.recover(ctx)
-		case r.documents.Version() > 0 && !r.turn():
+		case r.documents.Version() > 0 && !r.isReader():
 			r.after = Position{}
 			sleep(ctx, roleInterval)
 		case r.after != Position{} && !r.waited:
@@ -117,25 +117,25 @@
 	return ctx.Err()
 }
 
-// awaitOthers gives other nodes the time to hand the document over, so that a herd
+// awaitPeers gives other nodes the time to hand the document over, so that a herd
 // that starts does not read the store node by node.
-func (r *Reader) awaitOthers(ctx context.Context) {
-	bound, headStart := othersBound, hubHeadStart
+func (r *Reader) awaitPeers(ctx context.Context) {
+	bound, headStart := peersBound, hubHeadStart
 	if r.firstStart {
 		// Nodes come over startSpread, and the first know few others.
 		bound, headStart = bound+startSpread, startSpread
 	}
 	if r.firstStart {
-		r.awaitDocument(ctx, r.asked, bound)
+		r.awaitDocument(ctx, r.peersAsked, bound)
 	} else {
-		r.awaitDocument(ctx, r.asked, hubPatience)
+		r.awaitDocument(ctx, r.peersAsked, hubWaitLimit)
 	}
-	if r.leads() {
+	if r.isZoneHub() {
 		return
 	}
-	r.awaitDocument(ctx, r.asked, bound)
+	r.awaitDocument(ctx, r.peersAsked, bound)
 	r.awaitDocument(ctx, nil, headStart)
-	spread := min(time.Duration(len(r.table.View().Nodes()))*herdReadPerNode, longestHerdRead)
+	spread := min(time.Duration(len(r.table.View().Nodes()))*restartReadPerNode, longestRestartRead)
 	if r.firstStart {
 		spread = min(time.Duration(len(r.table.View().Nodes()))*firstReadPerNode, longestFirstRead)
 	}
@@ -144,19 +144,19 @@
 
 // awaitDocument waits for a document, until the channel is closed or for at most the
 // given time.
-func (r *Reader) awaitDocument(ctx context.Context, until <-chan struct{}, bound time.Duration) {
+func (r *Reader) awaitDocument(ctx context.Context, done <-chan struct{}, bound time.Duration) {
 	t := time.NewTimer(bound)
 	defer t.Stop()
 	select {
 	case <-r.documents.Available():
-	case <-until:
+	case <-done:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// turn reports whether this node is one of those that read for all.
-func (r *Reader) turn() bool {
+// isReader reports whether this node is one of those that read for all.
+func (r *Reader) isReader() bool {
 	view := r.table.View()
 	own := view.Self().ID
 	place := slices.Index(fleet.Readers(view, r.contacts.Reachable, readerCount), own)
@@ -174,7 +174,7 @@
 	if r.first {
 		return watchWait
 	}
-	return quietWatchWait
+	return secondaryWatchWait
 }
 
 // step makes one call to the store.
@@ -194,7 +194,7 @@
 	case errorx.IsOfType(err, ErrHistoryGone):
 		r.after = Position{}
 	case err != nil:
-		r.lost(ctx, err)
+		r.storeLost(ctx, err)
 	default:
 		r.after = watched.Next
 		if r.rollouts != nil {
@@ -219,10 +219,10 @@
 	switch {
 	case errorx.IsOfType(err, ErrNoDocument):
 		// Whoever finds the first document tells the others.
-		r.awaitDocument(ctx, nil, jittered(r.shared(roleInterval)))
+		r.awaitDocument(ctx, nil, jittered(r.scaledToMesh(roleInterval)))
 		return true
 	case err != nil:
-		r.lost(ctx, err)
+		r.storeLost(ctx, err)
 		return false
 	}
 	r.after = next
@@ -239,7 +239,7 @@
 	defer cancel()
 	orders, err := r.orders(bounded)
 	if err != nil {
-		r.lost(ctx, err)
+		r.storeLost(ctx, err)
 		return false
 	}
 	r.rollouts.TakeOrders(orders)
@@ -253,9 +253,9 @@
 	}
 }
 
-// lost tells the other nodes that this one does not reach the store, so that
+// storeLost tells the other nodes that this one does not reach the store, so that
 // another takes its part.
-func (r *Reader) lost(ctx context.Context, err error) {
+func (r *Reader) storeLost(ctx context.Context, err error) {
 	if ctx.Err() != nil || !r.table.View().Self().ReadsStore {
 		return
 	}
@@ -277,12 +277,12 @@
 }
 
 func (r *Reader) pause() time.Duration {
-	return jittered(min(r.shared(retryPause), longestRetryPause))
+	return jittered(min(r.scaledToMesh(retryPause), longestRetryPause))
 }
 
-// shared returns a pause that all nodes make in place of the given one, which suits a
+// scaledToMesh returns a pause that all nodes make in place of the given one, which suits a
 // mesh of up to pauseNodes: all together then call no more often than those.
-func (r *Reader) shared(pause time.Duration) time.Duration {
+func (r *Reader) scaledToMesh(pause time.Duration) time.Duration {
 	nodes := len(r.table.View().Nodes())
 	return pause * time.Duration(max(nodes, pauseNodes)) / pauseNodes
 }
--- a/internal/hosted/reader_test.go
+++ b/internal/hosted/reader_test.go
@@ -32,9 +32,9 @@
 // after a watch that brought several documents.
 func TestReaderThatFallsBehindReadsTheNewest(t *testing.T) {
 	source := &burstSource{}
-	documents := NewDocuments(&recordingConsumer{}, quietEvents{})
+	documents := NewDocuments(&recordingConsumer{}, discardEvents{})
 	r := &Reader{
-		source: source, documents: documents, events: quietEvents{},
+		source: source, documents: documents, events: discardEvents{},
 		table:    fleet.NewTable(fleet.Node{ID: "self", State: fleet.StateLive, ReadsStore: true}),
 		contacts: fleet.NewContacts(), spread: func(context.Context) {}, announce: func(context.Context) {},
 	}
--- a/internal/hosted/recall_test.go
+++ b/internal/hosted/recall_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestStoreThatDoesNotAnswerIsToldToAllThatAsk has a read fail.
-func TestStoreThatDoesNotAnswerIsToldToAllThatAsk(t *testing.T) {
+// TestFailedReadIsReportedToAllThatWait has a read fail.
+func TestFailedReadIsReportedToAllThatWait(t *testing.T) {
 	shared := sharedDirectory{list: func(context.Context) ([]Entry, error) { return nil, ErrRefused.New("refused") }}
 	if _, err := shared.entry(t.Context(), "a"); err == nil {
 		t.Error("no error")
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -17,29 +17,29 @@
 // messages stay few.
 type relay struct {
 	// send returns when the next news for the part may follow.
-	send func(ctx context.Context, what news, part partKey)
+	send func(ctx context.Context, u update, part partKey)
 
 	mu sync.Mutex
 	// waiting holds what is to follow, for each part with news on their way.
-	waiting map[partKey]*news
+	waiting map[partKey]*update
 }
 
-func newRelay(send func(ctx context.Context, what news, part partKey)) *relay {
-	return &relay{send: send, waiting: map[partKey]*news{}}
+func newRelay(send func(ctx context.Context, u update, part partKey)) *relay {
+	return &relay{send: send, waiting: map[partKey]*update{}}
 }
 
-// handOn sends news to a part, or leaves them to whoever is sending there now.
-func (r *relay) handOn(ctx context.Context, what news, part partKey) {
-	if r.leave(what, part) {
+// forward sends news to a part, or leaves them to whoever is sending there now.
+func (r *relay) forward(ctx context.Context, u update, part partKey) {
+	if r.enqueue(u, part) {
 		return
 	}
-	for next := &what; next != nil; next = r.next(part) {
+	for next := &u; next != nil; next = r.next(part) {
 		r.send(ctx, *next, part)
 	}
 }
 
-// leave adds news to those that wait, if others are on their way.
-func (r *relay) leave(what news, part partKey) bool {
+// enqueue adds news to those that wait, if others are on their way.
+func (r *relay) enqueue(u update, part partKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waiting, busy := r.waiting[part]
@@ -47,15 +47,15 @@
 	case !busy:
 		r.waiting[part] = nil
 	case waiting == nil:
-		r.waiting[part] = &what
+		r.waiting[part] = &u
 	default:
-		waiting.add(what)
+		waiting.add(u)
 	}
 	return busy
 }
 
 // next takes what waits for a part; nil when there is nothing, and the part is free.
-func (r *relay) next(part partKey) *news {
+func (r *relay) next(part partKey) *update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waiting := r.waiting[part]
@@ -68,10 +68,10 @@
 }
 
 // add joins later news: the newest record of each node and the newest document.
-func (n *news) add(later news) {
-	nodes := make([]*exchangepb.Node, 0, len(n.nodes)+len(later.nodes))
+func (u *update) add(later update) {
+	nodes := make([]*exchangepb.Node, 0, len(u.nodes)+len(later.nodes))
 	place := map[string]int{}
-	for _, message := range append(append(nodes, n.nodes...), later.nodes...) {
+	for _, message := range append(append(nodes, u.nodes...), later.nodes...) {
 		i, known := place[message.GetId()]
 		switch {
 		case !known:
@@ -81,11 +81,11 @@
 			nodes[i] = message
 		}
 	}
-	n.nodes = nodes
+	u.nodes = nodes
 	// Messages on their way share what they carry: nothing is appended in place.
-	n.evidence = slices.Concat(n.evidence, later.evidence)
-	if later.document.GetVersion() > n.document.GetVersion() {
-		n.document = later.document
+	u.evidence = slices.Concat(u.evidence, later.evidence)
+	if later.document.GetVersion() > u.document.GetVersion() {
+		u.document = later.document
 	}
-	n.version = max(n.version, later.version)
+	u.version = max(u.version, later.version)
 }
--- a/internal/hosted/relay_test.go
+++ b/internal/hosted/relay_test.go
@@ -8,27 +8,27 @@
 	"github.com/levertide/levertide/internal/testwait"
 )
 
-// TestNewsForABusyPartGoTogether holds the first message up and hands on more.
-func TestNewsForABusyPartGoTogether(t *testing.T) {
+// TestUpdatesForABusyPartAreBatched holds the first message up and hands on more.
+func TestUpdatesForABusyPartAreBatched(t *testing.T) {
 	part := partKey{until: "z"}
-	sent, release := make(chan news, 8), make(chan struct{})
-	r := newRelay(func(_ context.Context, what news, _ partKey) {
-		sent <- what
+	sent, release := make(chan update, 8), make(chan struct{})
+	r := newRelay(func(_ context.Context, u update, _ partKey) {
+		sent <- u
 		<-release
 	})
-	record := func(id string, sequence uint64) news {
-		return news{nodes: []*exchangepb.Node{{Id: id, Sequence: sequence}}}
+	record := func(id string, sequence uint64) update {
+		return update{nodes: []*exchangepb.Node{{Id: id, Sequence: sequence}}}
 	}
 	done := make(chan struct{})
 	go func() {
-		r.handOn(t.Context(), record("a", 1), part)
+		r.forward(t.Context(), record("a", 1), part)
 		close(done)
 	}()
 	<-sent
-	r.handOn(t.Context(), record("b", 2), part)
-	r.handOn(t.Context(), record("b", 1), part)
-	r.handOn(t.Context(), news{document: &exchangepb.Document{Version: 7}, version: 7}, part)
-	r.handOn(t.Context(), record("c", 1), part)
+	r.forward(t.Context(), record("b", 2), part)
+	r.forward(t.Context(), record("b", 1), part)
+	r.forward(t.Context(), update{document: &exchangepb.Document{Version: 7}, version: 7}, part)
+	r.forward(t.Context(), record("c", 1), part)
 	close(release)
 	<-done
 	together := <-sent
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -78,8 +78,8 @@
 	return m
 }
 
-// awayAndBack has the store away for a second and come back from a copy.
-func (m *simulated) awayAndBack(saved *hostedstore.Copy) {
+// restoreAfterOutage has the store away for a second and come back from a copy.
+func (m *simulated) restoreAfterOutage(saved *hostedstore.Copy) {
 	m.store.SetFaults("", hostedstore.Faults{Silent: true})
 	time.Sleep(time.Second)
 	m.store.Restore(saved)
@@ -94,13 +94,13 @@
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := meshWithEntries(t, size)
-				mustBeat(t, m.nodes[1], heartbeat("w1", 1, false))
+				mustHeartbeat(t, m.nodes[1], heartbeat("w1", 1, false))
 				time.Sleep(time.Second)
 				saved := m.store.Copy()
-				mustBeat(t, m.nodes[1], heartbeat("w1", 2, true))
+				mustHeartbeat(t, m.nodes[1], heartbeat("w1", 2, true))
 				promised := m.store.Entry(m.nodes[1].table.View().Self().ID)
 				entries, written := m.store.Entries(), m.store.Written()
-				m.awayAndBack(saved)
+				m.restoreAfterOutage(saved)
 				took := m.within(t, 5*time.Second, "the entry tells the promise again", func() bool {
 					return bytes.Contains(m.store.Entry(m.nodes[1].table.View().Self().ID), []byte("w1")) && m.store.Entries() >= entries
 				})
@@ -126,10 +126,10 @@
 	m.within(t, 5*time.Second, "all are ready", func() bool { return m.allKnow(len(m.nodes)) })
 }
 
-// wantNoWork sends an old heartbeat of a worker that was promised to be left alone.
-func (n *testNode) wantNoWork(t *testing.T) {
+// expectNoWork sends an old heartbeat of a worker that was promised to be left alone.
+func (n *testNode) expectNoWork(t *testing.T) {
 	t.Helper()
-	mustBeat(t, n, heartbeat("w1", 1, false))
+	mustHeartbeat(t, n, heartbeat("w1", 1, false))
 	if worker, ready := n.workers.Ready(""); ready {
 		t.Errorf("%+v is given work", worker)
 	}
@@ -140,14 +140,14 @@
 func TestPromiseOutlastsAReturnOfTheStoreAndThenAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := meshWithEntries(t, 12)
-		mustBeat(t, m.nodes[5], heartbeat("w1", 1, false))
+		mustHeartbeat(t, m.nodes[5], heartbeat("w1", 1, false))
 		time.Sleep(time.Second)
 		saved := m.store.Copy()
-		mustBeat(t, m.nodes[5], heartbeat("w1", 2, true))
-		m.awayAndBack(saved)
+		mustHeartbeat(t, m.nodes[5], heartbeat("w1", 2, true))
+		m.restoreAfterOutage(saved)
 		time.Sleep(3 * time.Second)
 		m.crashAll(t)
-		m.nodes[5].wantNoWork(t)
+		m.nodes[5].expectNoWork(t)
 	})
 }
 
@@ -159,7 +159,7 @@
 		saved := m.store.Copy()
 		m.within(t, time.Minute, "all have an entry", func() bool { return m.store.Entries() == 4 })
 		time.Sleep(time.Second)
-		m.awayAndBack(saved)
+		m.restoreAfterOutage(saved)
 		m.within(t, 5*time.Second, "all have an entry again", func() bool { return m.store.Entries() == 4 })
 		time.Sleep(time.Minute)
 		m.nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
@@ -172,13 +172,13 @@
 	})
 }
 
-// historian checks that no node is offered an older document than before in one life.
-type historian struct {
+// historyChecker checks that no node is offered an older document than before in one life.
+type historyChecker struct {
 	highest map[*testNode]int
 }
 
 // look notes what all nodes hold.
-func (h *historian) look(t *testing.T, m *simulated) {
+func (h *historyChecker) look(t *testing.T, m *simulated) {
 	t.Helper()
 	for i, n := range m.nodes {
 		number := n.documentNumber()
@@ -217,7 +217,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				m := startSimulated(t, size)
 				random := rand.New(rand.NewPCG(seed, 37))
-				history := &historian{highest: map[*testNode]int{}}
+				history := &historyChecker{highest: map[*testNode]int{}}
 				saved, number := m.store.Copy(), 0
 				for range steps {
 					number = m.disturb(t, random, &saved, number)
@@ -307,7 +307,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := meshWithEntries(t, 6)
 		id := m.nodes[0].table.View().Self().ID
-		mustBeat(t, m.nodes[0], heartbeat("w1", 1, false))
+		mustHeartbeat(t, m.nodes[0], heartbeat("w1", 1, false))
 		time.Sleep(time.Second)
 		m.nodes[0].kill()
 		m.store.SetFaults(id, hostedstore.Faults{Silent: true})
@@ -315,20 +315,20 @@
 		time.Sleep(200 * time.Millisecond)
 		m.store.SetFaults(id, hostedstore.Faults{})
 		saved := m.store.Copy()
-		mustBeat(t, m.nodes[0], heartbeat("w1", 2, true))
+		mustHeartbeat(t, m.nodes[0], heartbeat("w1", 2, true))
 		if !bytes.Contains(m.store.Entry(id), []byte("w1")) {
 			t.Fatal("the promise is not kept in the store")
 		}
 		m.store.Restore(saved)
 		time.Sleep(5 * time.Second)
 		m.crashAll(t)
-		m.nodes[0].wantNoWork(t)
+		m.nodes[0].expectNoWork(t)
 	})
 }
 
-// TestNodesThatAreNotToldTheEraWriteAgainOnce has the store leave its era out of the answers to
+// TestNodesWithoutTheEraRewriteTheirEntriesOnce has the store leave its era out of the answers to
 // all nodes but the readers, which tell the others.
-func TestNodesThatAreNotToldTheEraWriteAgainOnce(t *testing.T) {
+func TestNodesWithoutTheEraRewriteTheirEntriesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 12
 		m := meshWithEntries(t, size)
@@ -356,10 +356,10 @@
 		readers := fleet.Readers(m.nodes[0].table.View(), func(string) bool { return true }, 3)
 		stays := slices.IndexFunc(m.nodes, func(n *testNode) bool { return !slices.Contains(readers, n.table.View().Self().ID) })
 		id := m.nodes[stays].table.View().Self().ID
-		mustBeat(t, m.nodes[stays], heartbeat("w1", 1, false))
+		mustHeartbeat(t, m.nodes[stays], heartbeat("w1", 1, false))
 		time.Sleep(time.Second)
 		saved := m.store.Copy()
-		mustBeat(t, m.nodes[stays], heartbeat("w1", 2, true))
+		mustHeartbeat(t, m.nodes[stays], heartbeat("w1", 2, true))
 		for n := range m.nodes {
 			if n != stays {
 				m.nodes[n].kill()
--- a/internal/hosted/restores.go
+++ b/internal/hosted/restores.go
@@ -20,15 +20,15 @@
 	Rejected uint64
 }
 
-// returnCounters are the counters behind StoreReturns.
-type returnCounters struct{ era, restores, passedOver, rejected atomic.Uint64 }
+// restoreCounters are the counters behind StoreReturns.
+type restoreCounters struct{ era, restores, passedOver, rejected atomic.Uint64 }
 
-func (c *returnCounters) read() StoreRestores {
+func (c *restoreCounters) read() StoreRestores {
 	return StoreRestores{Era: c.era.Load(), Restores: c.restores.Load(), PassedOver: c.passedOver.Load(), Rejected: c.rejected.Load()}
 }
 
 // StoreRestores returns what has been counted since the node started.
-func (a *Agent) StoreRestores() StoreRestores { return a.documents.returns.read() }
+func (a *Agent) StoreRestores() StoreRestores { return a.documents.restores.read() }
 
 // followEras finds out that the store came back from a copy, by the answers to this node or
 // the records of others, and has what this node keeps there written again. Few nodes call the
@@ -40,24 +40,24 @@
 	for _, n := range a.config.Table.View().Nodes() {
 		newest = max(newest, n.StoreEra)
 	}
-	if seen.Number > 0 && a.noteEra(seen.Number) {
+	if seen.Number > 0 && a.recordEra(seen.Number) {
 		a.background(a.spreadRecord)
 	}
 	if newest <= a.storeEra {
 		return
 	}
 	if a.storeEra != 0 {
-		a.documents.returns.restores.Add(1)
+		a.documents.restores.restores.Add(1)
 		a.config.Events.StoreRestored(newest, seen)
 	}
 	a.storeEra = newest
-	a.documents.returns.era.Store(newest)
+	a.documents.restores.era.Store(newest)
 	a.announcer.StoreRestored(newest)
 }
 
-// noteEra takes an era into the own record, unless another node's tells it. It reports whether
+// recordEra takes an era into the own record, unless another node's tells it. It reports whether
 // that is news.
-func (a *Agent) noteEra(era uint64) bool {
+func (a *Agent) recordEra(era uint64) bool {
 	known := slices.ContainsFunc(a.config.Table.View().Nodes(), func(n *fleet.Node) bool { return n.StoreEra >= era })
 	if !known {
 		a.config.Table.Update(func(own *fleet.Node) { own.StoreEra = era })
--- a/internal/hosted/rollout_lead.go
+++ b/internal/hosted/rollout_lead.go
@@ -12,14 +12,14 @@
 // statusBound bounds one call to the store about a status.
 const statusBound = 500 * time.Millisecond
 
-// lead is one node's part as coordinator of one roll-out.
-type lead struct {
+// coordinator is one node's part as coordinator of one roll-out.
+type coordinator struct {
 	store RolloutStore
 	// era and order are the era and the revision of the order.
 	era, order uint64
 	machine    *canary.Rollout
-	// seen is what each node has told that its worker did, by node and route.
-	seen map[runsOf]canary.Tally
+	// counted is what each node has told that its worker did, by node and route.
+	counted map[runsKey]canary.Tally
 	// ran and failed count the requests of the new version, and reason says why it was
 	// rolled back.
 	ran, failed float64
@@ -29,40 +29,40 @@
 	known  bool
 }
 
-// runsOf names one row of what a node has told.
-type runsOf struct {
+// runsKey names one row of what a node has told.
+type runsKey struct {
 	node        string
 	incarnation uint64
 	route       string
 }
 
-func newLead(store RolloutStore, held fleet.Rollout) *lead {
-	l := &lead{
-		store: store, era: held.Era, order: held.Revision, seen: map[runsOf]canary.Tally{},
+func newCoordinator(store RolloutStore, held fleet.Rollout) *coordinator {
+	c := &coordinator{
+		store: store, era: held.Era, order: held.Revision, counted: map[runsKey]canary.Tally{},
 		machine: canary.NewRollout(held.Ordered, held.Deadline),
 	}
-	l.machine.Resume(canary.Decision{State: held.State, Share: held.Share})
-	return l
+	c.machine.Resume(canary.Decision{State: held.State, Share: held.Share})
+	return c
 }
 
 // decide returns the decision from now on. What is final is first of all so in the
 // store: a version that is completed there has its former workers stopped at once. A
 // roll-back is applied before, since leaving a bad version harms nobody.
-func (l *lead) decide(ctx context.Context, view *fleet.View, held fleet.Rollout, longest time.Duration, now time.Time) fleet.Rollout {
-	if !l.known && !l.readStatus(ctx, held) {
+func (c *coordinator) decide(ctx context.Context, view *fleet.View, held fleet.Rollout, drain time.Duration, now time.Time) fleet.Rollout {
+	if !c.known && !c.readStatus(ctx, held) {
 		return held
 	}
-	if l.decidedInStore(held) {
-		return decidedAs(held, l.status.State)
+	if c.decidedInStore(held) {
+		return decidedAs(held, c.status.State)
 	}
-	seen := l.observe(view, held)
-	seen.Drain = longest
-	decision := l.machine.Step(seen, now)
-	l.reason = decision.Reason
-	written := l.writeStatus(ctx, held, decision.State)
+	progress := c.observe(view, held)
+	progress.Drain = drain
+	decision := c.machine.Step(progress, now)
+	c.reason = decision.Reason
+	written := c.writeStatus(ctx, held, decision.State)
 	switch {
-	case l.decidedInStore(held):
-		return decidedAs(held, l.status.State)
+	case c.decidedInStore(held):
+		return decidedAs(held, c.status.State)
 	case decision.State == canary.Completed && !written:
 		return held
 	case decision.State == held.State && decision.Share == held.Share:
@@ -88,85 +88,85 @@
 }
 
 // decidedInStore reports whether the store holds a final state of this order.
-func (l *lead) decidedInStore(held fleet.Rollout) bool {
-	return l.status.State.Final() && l.status.Target == held.Target && l.status.Revision > held.Revision
+func (c *coordinator) decidedInStore(held fleet.Rollout) bool {
+	return c.status.State.Final() && c.status.Target == held.Target && c.status.Revision > held.Revision
 }
 
-func (l *lead) readStatus(ctx context.Context, held fleet.Rollout) bool {
+func (c *coordinator) readStatus(ctx context.Context, held fleet.Rollout) bool {
 	bounded, cancel := context.WithTimeout(ctx, statusBound)
 	defer cancel()
-	status, err := l.store.Status(bounded, held.Service)
+	status, err := c.store.Status(bounded, held.Service)
 	if err != nil {
 		// The store is tried again with the next look; until then nothing is decided.
 		return false
 	}
-	l.status, l.known = status, true
+	c.status, c.known = status, true
 	return true
 }
 
 // writeStatus has the store hold the state, unless it does. It reports whether it does
 // afterwards. A write whose answer was lost is found by its condition with the next look.
-func (l *lead) writeStatus(ctx context.Context, held fleet.Rollout, state canary.State) bool {
-	if l.status.State == state && l.status.Target == held.Target && l.status.Revision > held.Revision {
+func (c *coordinator) writeStatus(ctx context.Context, held fleet.Rollout, state canary.State) bool {
+	if c.status.State == state && c.status.Target == held.Target && c.status.Revision > held.Revision {
 		return true
 	}
 	bounded, cancel := context.WithTimeout(ctx, statusBound)
 	defer cancel()
-	wanted := RolloutStatus{Service: held.Service, Target: held.Target, State: state, Revision: l.status.Revision}
-	status, written, err := l.store.WriteStatus(bounded, wanted)
+	wanted := RolloutStatus{Service: held.Service, Target: held.Target, State: state, Revision: c.status.Revision}
+	status, written, err := c.store.WriteStatus(bounded, wanted)
 	if err != nil {
 		return false
 	}
-	l.status = status
+	c.status = status
 	return written
 }
 
 // observe hands the judge what workers did since the last look.
-func (l *lead) observe(view *fleet.View, held fleet.Rollout) canary.Progress {
-	former, next := map[string]canary.Tally{}, map[string]canary.Tally{}
-	seen := canary.Progress{Applied: true}
+func (c *coordinator) observe(view *fleet.View, held fleet.Rollout) canary.Progress {
+	previous, next := map[string]canary.Tally{}, map[string]canary.Tally{}
+	progress := canary.Progress{Applied: true}
 	for _, n := range view.Nodes() {
 		worker, has := workerOf(n, held.Service)
 		if has && worker.State == workers.StateReady && worker.Version == held.Target && n.State == fleet.StateLive {
-			seen.Workers++
+			progress.Workers++
 		}
-		told, knows := rolloutOf(n, held)
-		if n.State == fleet.StateLive && (!knows || !told.SameDecision(held)) {
-			seen.Applied = false
+		reported, known := rolloutOf(n, held)
+		if n.State == fleet.StateLive && (!known || !reported.SameDecision(held)) {
+			progress.Applied = false
 		}
 		if !has || worker.Version == "" {
 			continue
 		}
-		into := former
+		into := previous
 		if worker.Version == held.Target {
 			into = next
 		}
-		for _, runs := range told.Runs {
-			into[runs.Route] = into[runs.Route].Plus(l.since(n, runs))
+		for _, runs := range reported.Runs {
+			into[runs.Route] = into[runs.Route].Plus(c.since(n, runs))
 		}
 	}
 	for route, did := range next {
-		l.ran += did.Runs
-		l.failed += did.Failed
-		l.machine.Judge().Observe(route, former[route], did)
-		delete(former, route)
+		c.ran += did.Runs
+		c.failed += did.Failed
+		c.machine.Judge().Observe(route, previous[route], did)
+		delete(previous, route)
 	}
-	for route, did := range former {
-		l.machine.Judge().Observe(route, did, canary.Tally{})
+	for route, did := range previous {
+		c.machine.Judge().Observe(route, did, canary.Tally{})
 	}
-	seen.Runs = l.ran
-	return seen
+	progress.Runs = c.ran
+	return progress
 }
 
 // since returns what a node's worker did on a route since the last look.
-func (l *lead) since(n *fleet.Node, runs fleet.RouteRuns) canary.Tally {
-	key := runsOf{node: n.ID, incarnation: n.Incarnation, route: runs.Route}
-	did := runs.Tally.Minus(l.seen[key])
+func (c *coordinator) since(n *fleet.Node, runs fleet.RouteRuns) canary.Tally {
+	key := runsKey{node: n.ID, incarnation: n.Incarnation, route: runs.Route}
+	did := runs.Tally.Minus(c.counted[key])
 	if did.Runs < 0 {
 		// Another worker of the same life of the node counts from its own beginning.
 		did = runs.Tally
 	}
-	l.seen[key] = runs.Tally
+	c.counted[key] = runs.Tally
 	return did
 }
 
@@ -184,9 +184,9 @@
 
 // rolloutOf returns what a node tells of an order.
 func rolloutOf(n *fleet.Node, order fleet.Rollout) (fleet.Rollout, bool) {
-	for _, told := range n.Rollouts {
-		if told.Service == order.Service && told.Era == order.Era && told.Revision == order.Revision {
-			return told, true
+	for _, reported := range n.Rollouts {
+		if reported.Service == order.Service && reported.Era == order.Era && reported.Revision == order.Revision {
+			return reported, true
 		}
 	}
 	return fleet.Rollout{}, false
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -45,25 +45,25 @@
 	events   Events
 	// announce tells the other nodes the own record.
 	announce func(ctx context.Context)
-	// news is signalled when there is something to look at.
-	news chan struct{}
+	// wake is signalled when there is something to look at.
+	wake chan struct{}
 
 	mu     sync.Mutex
 	orders []Order
 
 	// What follows belongs to the goroutine of Serve.
 
-	known map[string]fleet.Rollout
-	leads map[string]*lead
-	// toldRuns is when the own record last told what the worker did.
-	toldRuns time.Time
+	known        map[string]fleet.Rollout
+	coordinators map[string]*coordinator
+	// publishedAt is when the own record last told what the worker did.
+	publishedAt time.Time
 }
 
 func newRollouts(config Config, announce func(ctx context.Context)) *Rollouts {
 	return &Rollouts{
 		store: config.Rollouts, steering: config.Steering, table: config.Table, contacts: config.Contacts,
-		events: config.Events, announce: announce, news: make(chan struct{}, 1),
-		known: map[string]fleet.Rollout{}, leads: map[string]*lead{},
+		events: config.Events, announce: announce, wake: make(chan struct{}, 1),
+		known: map[string]fleet.Rollout{}, coordinators: map[string]*coordinator{},
 	}
 }
 
@@ -78,7 +78,7 @@
 			sleep(ctx, rolloutTick)
 		} else {
 			select {
-			case <-r.news:
+			case <-r.wake:
 			case <-ctx.Done():
 			}
 		}
@@ -91,7 +91,7 @@
 // Signal has the node look at once.
 func (r *Rollouts) Signal() {
 	select {
-	case r.news <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
@@ -112,19 +112,19 @@
 	changed := r.adoptOrders(now)
 	view := r.table.View()
 	for _, n := range view.Nodes() {
-		for _, told := range n.Rollouts {
-			changed = r.adopt(told, now) || changed
+		for _, reported := range n.Rollouts {
+			changed = r.adopt(reported, now) || changed
 		}
 	}
 	changed = r.forget(now) || changed
 	for service := range r.known {
-		changed = r.lead(ctx, view, service, now) || changed
+		changed = r.coordinate(ctx, view, service, now) || changed
 	}
 	if changed {
 		r.steering.Steer(r.decisions())
 	}
-	if changed || len(r.known) > 0 && now.Sub(r.toldRuns) >= runsInterval {
-		r.tell(ctx, changed, now)
+	if changed || len(r.known) > 0 && now.Sub(r.publishedAt) >= runsInterval {
+		r.publish(ctx, changed, now)
 	}
 }
 
@@ -172,13 +172,13 @@
 }
 
 // adopt takes a decision that is newer than the one known. It reports whether it was.
-func (r *Rollouts) adopt(told fleet.Rollout, now time.Time) bool {
-	held, known := r.known[told.Service]
-	if known && !told.Supersedes(held) || now.After(told.Deadline.Add(forgetRollout)) {
+func (r *Rollouts) adopt(reported fleet.Rollout, now time.Time) bool {
+	held, known := r.known[reported.Service]
+	if known && !reported.Supersedes(held) || now.After(reported.Deadline.Add(forgetRollout)) {
 		return false
 	}
-	told.Runs = nil
-	r.known[told.Service] = told
+	reported.Runs = nil
+	r.known[reported.Service] = reported
 	return true
 }
 
@@ -188,40 +188,40 @@
 	for service, held := range r.known {
 		if now.After(held.Deadline.Add(forgetRollout)) {
 			delete(r.known, service)
-			delete(r.leads, service)
+			delete(r.coordinators, service)
 		}
 	}
 	return len(r.known) < before
 }
 
-// lead decides on a roll-out if this node is the coordinator. It reports whether the
+// coordinate decides on a roll-out if this node is the coordinator. It reports whether the
 // decision has changed.
-func (r *Rollouts) lead(ctx context.Context, view *fleet.View, service string, now time.Time) bool {
+func (r *Rollouts) coordinate(ctx context.Context, view *fleet.View, service string, now time.Time) bool {
 	held := r.known[service]
-	l, leading := r.leads[service]
-	if leading && (l.era != held.Era || l.order != held.Revision) {
+	c, leading := r.coordinators[service]
+	if leading && (c.era != held.Era || c.order != held.Revision) {
 		leading = false
 	}
-	if !r.coordinates(view) {
-		delete(r.leads, service)
+	if !r.isCoordinator(view) {
+		delete(r.coordinators, service)
 		return false
 	}
 	if !leading {
-		l = newLead(r.store, held)
-		r.leads[service] = l
+		c = newCoordinator(r.store, held)
+		r.coordinators[service] = c
 	}
-	decided := l.decide(ctx, view, held, r.steering.LongestCall(service), now)
+	decided := c.decide(ctx, view, held, r.steering.LongestCall(service), now)
 	if decided.SameDecision(held) {
 		return false
 	}
 	r.known[service] = decided
-	r.events.RolloutDecided(service, decided.Target, decided.State, decided.Share, l.reason, l.ran, l.failed)
+	r.events.RolloutDecided(service, decided.Target, decided.State, decided.Share, c.reason, c.ran, c.failed)
 	return true
 }
 
-// coordinates reports whether this node decides. Two nodes with different views may both
+// isCoordinator reports whether this node decides. Two nodes with different views may both
 // do so for a while: what is final is decided by the store.
-func (r *Rollouts) coordinates(view *fleet.View) bool {
+func (r *Rollouts) isCoordinator(view *fleet.View) bool {
 	first := fleet.Readers(view, r.contacts.Reachable, 1)
 	return len(first) == 1 && first[0] == view.Self().ID
 }
@@ -236,21 +236,21 @@
 	return list
 }
 
-// tell writes the own record, and announces it when it says something new.
-func (r *Rollouts) tell(ctx context.Context, decided bool, now time.Time) {
-	r.toldRuns = now
+// publish writes the own record, and announces it when it says something new.
+func (r *Rollouts) publish(ctx context.Context, decided bool, now time.Time) {
+	r.publishedAt = now
 	list := r.decisions()
 	for i := range list {
 		list[i].Runs = r.steering.Runs(list[i].Service)
 	}
-	former := r.table.View().Self().Rollouts
-	if !decided && slices.EqualFunc(former, list, sameTelling) {
+	previous := r.table.View().Self().Rollouts
+	if !decided && slices.EqualFunc(previous, list, samePublished) {
 		return
 	}
 	r.table.Update(func(own *fleet.Node) { own.Rollouts = list })
 	r.announce(ctx)
 }
 
-func sameTelling(a, b fleet.Rollout) bool {
+func samePublished(a, b fleet.Rollout) bool {
 	return a.Service == b.Service && a.SameDecision(b) && slices.Equal(a.Runs, b.Runs)
 }
--- a/internal/hosted/rollouts_restored_test.go
+++ b/internal/hosted/rollouts_restored_test.go
@@ -47,7 +47,7 @@
 		store := &heldStatus{status: RolloutStatus{Service: "s", Target: "v1", Revision: 60}}
 		table := fleet.NewTable(fleet.Node{ID: "a", State: fleet.StateLive, ReadsStore: true})
 		r := newRollouts(Config{
-			Rollouts: store, Steering: idleSteering{}, Table: table, Contacts: fleet.NewContacts(), Events: quietEvents{},
+			Rollouts: store, Steering: idleSteering{}, Table: table, Contacts: fleet.NewContacts(), Events: discardEvents{},
 		}, func(context.Context) {})
 		held := fleet.Rollout{
 			Service: "s", Target: "v2", Era: 1, Revision: 100, Ordered: now, Deadline: now.Add(time.Minute),
--- a/internal/hosted/rollouts_test.go
+++ b/internal/hosted/rollouts_test.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	formerVersion, nextVersion = "v1", "v2"
+	previousVersion, nextVersion = "v1", "v2"
 	// rolloutTime is how long the operators give a roll-out in these tests.
 	rolloutTime = 15 * time.Second
 )
@@ -42,11 +42,11 @@
 	t.Helper()
 	tr := &traffic{simulated: startSimulated(t, size), random: rand.New(rand.NewPCG(seed, 9)), dead: map[int]bool{}}
 	for i, n := range tr.nodes {
-		version := formerVersion
+		version := previousVersion
 		if i%2 == 1 {
 			version = nextVersion
 		}
-		mustBeat(t, n, workers.Heartbeat{
+		mustHeartbeat(t, n, workers.Heartbeat{
 			Instance: fmt.Sprintf("i%d", i), Service: "ledger", Address: "127.0.0.1:1", Version: version, Slots: 6, Sequence: 1,
 		})
 	}
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -17,8 +17,8 @@
 	peers *Peers
 	// background runs what goes on after an answer.
 	background func(func(ctx context.Context))
-	// heard is told who has spoken.
-	heard func(id string)
+	// onContact is told who has spoken.
+	onContact func(id string)
 	// quotas keeps the limits of tenants; nil where nobody does.
 	quotas *Quotas
 }
@@ -41,13 +41,13 @@
 	sender := request.GetSender().GetId()
 	promised := p.table.DrainCommitted(sender)
 	knowsFormer := p.table.KnowsPrevious(sender, request.GetSender().GetIncarnation())
-	former, known := p.table.View().Node(sender)
+	held, known := p.table.View().Node(sender)
 	p.noteContact(sender)
 	p.merge(append(nodesOf(request.GetNodes()...), nodesOf(request.GetSender())...), nil)
 	p.documents.TakeMessage(request.GetDocument())
 	p.evidence.take(request.GetEvidence())
 	p.evidence.takeDecisions(request.GetQuarantined())
-	s.heard(sender)
+	s.onContact(sender)
 	view := p.table.View()
 	response := &exchangepb.SyncResponse{
 		Receiver:        nodeMessage(view.Self()),
@@ -67,8 +67,8 @@
 		digests := view.Digests()
 		response.BucketDigests = digests[:]
 	}
-	if known && former.NewerThan(nodeOf(request.GetSender())) {
-		response.Nodes = append(response.Nodes, nodeMessage(former))
+	if known && held.NewerThan(nodeOf(request.GetSender())) {
+		response.Nodes = append(response.Nodes, nodeMessage(held))
 	}
 	return response, nil
 }
@@ -84,19 +84,19 @@
 	p.merge(nodesOf(request.GetNodes()...), nil)
 	p.evidence.take(request.GetEvidence())
 	held := p.documents.TakeMessage(request.GetDocument()) || p.documents.Version() >= request.GetDocumentVersion()
-	what := news{nodes: request.GetNodes(), evidence: request.GetEvidence(), document: request.GetDocument(), version: request.GetDocumentVersion()}
+	u := update{nodes: request.GetNodes(), evidence: request.GetEvidence(), document: request.GetDocument(), version: request.GetDocumentVersion()}
 	if reach := request.GetReach(); reach != exchangepb.Reach_REACH_RANGE {
-		p.hub.take(what, reach)
+		p.hub.accept(u, reach)
 		return &exchangepb.BroadcastResponse{}, nil
 	}
 	s.background(func(ctx context.Context) {
 		if !held && s.fetch(ctx, request.GetSender()) {
-			what.document = p.documents.ForBroadcast()
+			u.document = p.documents.ForBroadcast()
 		}
 		// A message that only reminds of a document goes on, too: this node may have it from
 		// a comparison, and then nobody has handed it on here.
 		if request.GetUntil() != "" {
-			p.relay.handOn(ctx, what, partKey{after: request.GetAfter(), until: request.GetUntil()})
+			p.relay.forward(ctx, u, partKey{after: request.GetAfter(), until: request.GetUntil()})
 		}
 	})
 	return &exchangepb.BroadcastResponse{}, nil
--- a/internal/hosted/simulated_test.go
+++ b/internal/hosted/simulated_test.go
@@ -136,7 +136,7 @@
 		m := startSimulated(t, 3)
 		time.Sleep(30 * time.Second) // the entry is written
 		m.store.SetFaults("", hostedstore.Faults{Silent: true})
-		mustBeat(t, m.nodes[0], heartbeat("w1", 1, true))
+		mustHeartbeat(t, m.nodes[0], heartbeat("w1", 1, true))
 		began := time.Now()
 		m.nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
 		if took := time.Since(began); took > 400*time.Millisecond {
--- a/internal/hosted/standby.go
+++ b/internal/hosted/standby.go
@@ -49,10 +49,10 @@
 // it asks all others before it at once.
 func (s *Standby) look(ctx context.Context) {
 	before := s.before()
-	if len(before) < readerCount || s.anyIsThere(ctx, someOf(before)) {
+	if len(before) < readerCount || s.anyAnswers(ctx, pickProbed(before)) {
 		return
 	}
-	s.anyIsThere(ctx, s.before())
+	s.anyAnswers(ctx, s.before())
 }
 
 // before returns the nodes before this one in the order of readers, as far as it takes them to be
@@ -63,8 +63,8 @@
 	return order[:max(slices.Index(order, view.Self().ID), 0)]
 }
 
-// someOf returns whom a node asks that has the given ones before it, the readers at least.
-func someOf(before []string) []string {
+// pickProbed returns whom a node asks that has the given ones before it, the readers at least.
+func pickProbed(before []string) []string {
 	const near = readerCount + nearStandbys
 	if len(before) < near {
 		return before[:readerCount]
@@ -73,22 +73,22 @@
 	return before[n : n+1]
 }
 
-// anyIsThere asks nodes at a time, and reports whether one of them has answered.
-func (s *Standby) anyIsThere(ctx context.Context, ids []string) bool {
+// anyAnswers asks nodes at a time, and reports whether one of them has answered.
+func (s *Standby) anyAnswers(ctx context.Context, ids []string) bool {
 	view := s.table.View()
-	var there atomic.Bool
-	var questions sync.WaitGroup
+	var answered atomic.Bool
+	var probes sync.WaitGroup
 	for _, id := range ids {
 		node, known := view.Node(id)
 		if !known {
 			continue
 		}
-		questions.Go(func() {
-			if s.peers.ask(ctx, node) {
-				there.Store(true)
+		probes.Go(func() {
+			if s.peers.probe(ctx, node) {
+				answered.Store(true)
 			}
 		})
 	}
-	questions.Wait()
-	return there.Load()
+	probes.Wait()
+	return answered.Load()
 }
--- a/internal/hosted/syncer.go
+++ b/internal/hosted/syncer.go
@@ -22,9 +22,9 @@
 	// partner is asked again before the connection to it is idle for too long.
 	nearPartners = 3
 	farPartners  = 2
-	// strangerShare is the share of comparisons with any other node, so that nodes
+	// anyNodeShare is the share of comparisons with any other node, so that nodes
 	// whose partners know as little as they do find the rest.
-	strangerShare = 0.05
+	anyNodeShare = 0.05
 	// lostInterval is how often lost nodes are looked after.
 	lostInterval = 250 * time.Millisecond
 	// lostTries bounds how many lost nodes are tried at a time.
@@ -58,11 +58,11 @@
 	for ctx.Err() == nil {
 		sleep(ctx, lostInterval)
 		s.housekeeping(ctx)
-		s.tryLost(ctx)
+		s.retryLost(ctx)
 		s.forget(time.Now())
 		if now := time.Now(); !now.Before(next) {
 			next = now.Add(jittered(intervalAfter(now.Sub(s.started))))
-			s.compare(ctx)
+			s.exchange(ctx)
 		}
 	}
 	return ctx.Err()
@@ -77,13 +77,13 @@
 	return syncInterval
 }
 
-// compare compares notes with a node that is taken to be reachable: mostly one of
+// exchange compares notes with a node that is taken to be reachable: mostly one of
 // few partners, to which a connection is open, and mostly of the own zone, since
 // bytes between zones are dear.
-func (s *Syncer) compare(ctx context.Context) {
+func (s *Syncer) exchange(ctx context.Context) {
 	peers := s.peers.reachablePeers()
 	self := s.table.View().Self()
-	if rand.Float64() >= strangerShare {
+	if rand.Float64() >= anyNodeShare {
 		near, far := nearPartners, 0
 		if rand.Float64() >= s.nearShare() {
 			near, far = 0, farPartners
@@ -111,8 +111,8 @@
 	return nearShare
 }
 
-// tryLost tries some of the lost nodes whose time has come.
-func (s *Syncer) tryLost(ctx context.Context) {
+// retryLost tries some of the lost nodes whose time has come.
+func (s *Syncer) retryLost(ctx context.Context) {
 	due := s.contacts.Due(time.Now())
 	rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	view := s.table.View()
