--- a/internal/hosted/agent.go
+++ b/internal/hosted/agent.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// reminderPause is how long after a document the zones that read the store
-	// themselves are told that it exists.
+	// reminderPause is how long after a document the zones with other readers are told its version.
 	reminderPause = 200 * time.Millisecond
-	// endBound bounds the end of the parts.
+	// endBound is how long the services may take to end.
 	endBound = 200 * time.Millisecond
-	// farewellBound bounds the telling of others at a planned stop.
-	farewellBound = 300 * time.Millisecond
+	// announceStopBound bounds the announcement of a planned stop.
+	announceStopBound = 300 * time.Millisecond
 )
 
-// Config sets up an Agent. All fields but Rollouts, Steering and Quotas must be given.
+// Config configures an Agent. All fields except KnowsService, Rollouts, Steering and Quotas must be
+// given.
 type Config struct {
-	// Mesh names the system; nodes of another one are not listened to.
+	// Mesh names the mesh; messages from nodes of another one are refused.
 	Mesh string
-	// FirstStart tells that the whole mesh starts for the first time.
+	// FirstStart is set when the whole mesh starts for the first time.
 	FirstStart bool
 	Table      *fleet.Table
 	Contacts   *fleet.Contacts
@@ -44,20 +44,19 @@
 	Source       Source
 	Directory    Directory
 	Consumer     Consumer
-	// Rollouts and Steering move services to other versions; nil where nobody orders
-	// that.
+	// Rollouts and Steering move services to other versions; nil where roll-outs are not used.
 	Rollouts RolloutStore
 	Steering Steering
-	// Quarantine is what this node knows of requests that crash workers.
+	// Quarantine holds what this node knows of requests that crash workers.
 	Quarantine *quarantine.Table
-	// Quotas keeps the limits of tenants; nil where there are none.
+	// Quotas enforces the limits of tenants; nil where there are none.
 	Quotas *Quotas
-	// Serving is told of the workers that may be given work: Update is called
-	// after each change of a registration, Open when the first may be.
+	// Serving receives the workers that may be given work: Update is called after each change of a
+	// registration, Open when work may be given for the first time.
 	Serving Serving
-	// Probe asks the worker beside the node who it is.
+	// Probe asks the worker beside the node to identify itself.
 	Probe WorkerProbe
-	// Listener takes the messages of other nodes.
+	// Listener accepts the messages of other nodes.
 	Listener net.Listener
 	Dial     httpleg.DialFunc
 	Events   Events
@@ -65,13 +64,12 @@
 
 // Serving is the part of the node that gives work to its workers.
 type Serving interface {
-	// Update returns when no worker that was promised to be left alone can be
-	// given anything new.
+	// Update returns when no worker with a drain commitment can be given anything new.
 	Update(registered []workers.Worker)
 	Open()
 }
 
-// Agent coordinates one node with the others. Use New.
+// Agent coordinates one node with the others. Create it with New.
 type Agent struct {
 	config     Config
 	documents  *Documents
@@ -82,34 +80,34 @@
 	web        *http.Server
 
 	started time.Time
-	// commitmentsKnown is set once the node knows what its former life has promised.
+	// commitmentsKnown is set once the node knows the drain commitments of its previous
+	// incarnation.
 	commitmentsKnown atomic.Bool
 	commitmentsMu    sync.Mutex
-	// listed is set once the store has named other nodes.
+	// listed is set once the store has listed other nodes.
 	listed atomic.Bool
-	// zoneHub tells that the others of the zone ask this node first.
+	// zoneHub is set when this node is the hub of its zone among the listed nodes: the others of
+	// the zone ask it first.
 	zoneHub atomic.Bool
-	// peersAsked is closed when the first nodes that were met have answered, or have not
-	// in time.
+	// peersAsked is closed when the first nodes that were asked have answered or timed out.
 	peersAsked     chan struct{}
 	peersAskedOnce sync.Once
-	// queryingContact is set while this node asks others because one has spoken with it.
+	// queryingContact is set while this node queries others because one has contacted it.
 	queryingContact atomic.Bool
 
-	// storeEra is the highest era of the store that this node has heard of. It belongs to
-	// housekeeping.
+	// storeEra is the highest era of the store that this node knows of. Only housekeeping uses it.
 	storeEra uint64
-	// withoutStore are the nodes that did not reach the store at the last look. It
-	// belongs to housekeeping.
+	// withoutStore are the nodes that did not reach the store at the last check. Only housekeeping
+	// uses it.
 	withoutStore map[string]bool
 
-	// rejections bounds the lines on calls that cannot be used.
+	// rejections limits the log lines on invalid calls.
 	rejections *rate.Limiter
 
 	backgroundContext atomic.Pointer[context.Context]
 }
 
-// New puts the parts of an agent together. Nothing runs before Serve.
+// New returns an agent. Nothing runs before Serve.
 func New(config Config) *Agent {
 	agent := &Agent{
 		config: config, started: time.Now(), peersAsked: make(chan struct{}), withoutStore: map[string]bool{},
@@ -165,10 +163,10 @@
 	return agent
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (a *Agent) String() string { return "agent" }
 
-// Serve runs the parts until the context ends.
+// Serve runs the services until the context ends.
 func (a *Agent) Serve(ctx context.Context) error {
 	a.backgroundContext.Store(&ctx)
 	return a.supervisor.Serve(ctx)
@@ -177,7 +175,7 @@
 // listener answers other nodes, as a suture service.
 type listener struct{ agent *Agent }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (l *listener) String() string { return "messages" }
 
 // Serve answers until the context ends.
@@ -187,7 +185,7 @@
 	return l.agent.web.Serve(l.agent.config.Listener)
 }
 
-// background runs what goes on after an answer, until the agent ends.
+// background runs work that continues after an answer, until the agent ends.
 func (a *Agent) background(work func(ctx context.Context)) {
 	ctx := context.Background()
 	if running := a.backgroundContext.Load(); running != nil {
@@ -196,18 +194,17 @@
 	go work(ctx)
 }
 
-// Ready reports whether the node has put a document in force and knows its former
-// promises.
+// Ready reports whether the node has put a document in force and knows the drain commitments of its
+// previous incarnations.
 func (a *Agent) Ready() bool { return a.commitmentsKnown.Load() && a.documents.InForce() }
 
-// knowsMesh reports whether this node can know how many nodes there are: another one has
-// spoken with it, or it is alone.
+// knowsMesh reports whether this node can know how many nodes there are: it has been in contact
+// with another one, or it is alone.
 func (a *Agent) knowsMesh() bool {
 	return a.peers.contacted.Load() || a.Ready() && len(a.config.Table.View().Nodes()) == 1
 }
 
-// refreshWorkers brings the serving part and the own record in line with the
-// registrations.
+// refreshWorkers updates Serving and this node's record from the registrations.
 func (a *Agent) refreshWorkers() {
 	registered := a.config.Workers.Workers()
 	a.config.Serving.Update(registered)
@@ -220,20 +217,19 @@
 	})
 }
 
-// ownRecord returns the own record as news.
+// ownRecord returns this node's record as a message.
 func (a *Agent) ownRecord() []*exchangepb.Node {
 	return []*exchangepb.Node{nodeMessage(a.config.Table.View().Self())}
 }
 
-// spreadRecord tells all other nodes of the own record.
+// spreadRecord sends this node's record to all other nodes.
 func (a *Agent) spreadRecord(ctx context.Context) {
 	a.peers.Announce(ctx, a.ownRecord())
 }
 
-// spreadDocument hands the newest document on, without waiting: to the own zone
-// and to zones where nobody else reads the store. The readers of the other zones
-// have it from there; these zones are told a little later that it exists, for the
-// case that they have not.
+// spreadDocument sends the newest document, without waiting, to the own zone and to zones without
+// another reader. The readers of the other zones get it from the store and forward it there; these
+// zones are told its version a little later, in case they have not.
 func (a *Agent) spreadDocument(context.Context) {
 	version := a.documents.Version()
 	u := update{document: a.documents.ForBroadcast(), version: version}
@@ -254,8 +250,9 @@
 	})
 }
 
-// zoneRecords returns the records of the own zone for a broadcast there, while this node has
-// just started: when all start at once those that are to hand it on know few others yet.
+// zoneRecords returns the records of the own zone for a broadcast there, while this node has just
+// started: when all nodes start at once, those that have to forward the broadcast know few others
+// yet.
 func (a *Agent) zoneRecords() []*exchangepb.Node {
 	if time.Since(a.started) >= startBatchTime {
 		return nil
@@ -275,8 +272,8 @@
 	return zones
 }
 
-// housekeeping looks after the entry in the store when that is back, marks workers that
-// went silent, and forgets evidence that is too old.
+// housekeeping checks the entry when the store has recovered, marks workers that became
+// unresponsive, and expires evidence.
 func (a *Agent) housekeeping(context.Context) {
 	if a.storeRecovered() {
 		a.announcer.StoreRecovered()
@@ -294,8 +291,8 @@
 	a.background(a.spreadRecord)
 }
 
-// storeRecovered reports whether some node, this one or another, reaches the store
-// again that did not at the last look.
+// storeRecovered reports whether some node, this one or another, reaches the store that did not at
+// the last check.
 func (a *Agent) storeRecovered() bool {
 	recovered := false
 	for _, node := range a.config.Table.View().Nodes() {
@@ -310,10 +307,10 @@
 	return recovered
 }
 
-// AnnounceStop tells the other nodes the state of a node that stops as planned.
+// AnnounceStop sends the state of a node that stops as planned to the other nodes.
 func (a *Agent) AnnounceStop(ctx context.Context, state fleet.State) {
 	a.config.Table.Update(func(own *fleet.Node) { own.State = state })
-	bounded, cancel := context.WithTimeout(ctx, farewellBound)
+	bounded, cancel := context.WithTimeout(ctx, announceStopBound)
 	defer cancel()
 	a.spreadRecord(bounded)
 	if state == fleet.StateLeft {
--- a/internal/hosted/announcer.go
+++ b/internal/hosted/announcer.go
@@ -12,107 +12,107 @@
 )
 
 const (
-	// directorySize is how many nodes have an entry in the store at least. Others
-	// find the mesh by these: a herd of any size then writes no more than that.
+	// directorySize is the minimum number of nodes with an entry in the store. Others find the mesh
+	// through these entries: when any number of nodes start simultaneously, no more than that are
+	// written.
 	directorySize = 24
-	// zoneEntries is how many nodes of each zone, the first hubs of it, have an entry beside
-	// the directory's size: all nodes of a zone that starts ask its hub, and the entries that
-	// happened to come first are mostly of machines that cannot answer so many. With hubs of
-	// 0.16 of a core for 164 nodes, 153 of 247 nodes got no answer in 250 ms; with the
-	// largest machines none of 158 was without.
+	// zoneEntries is how many nodes of each zone, its first hubs, have an entry in addition to
+	// directorySize: all nodes of a zone that starts ask its hub, and the entries that happened to
+	// be written first are mostly those of machines that cannot answer so many. With hubs of 0.16
+	// of a core for 164 nodes, 153 of 247 nodes got no answer in 250 ms; with the largest machines
+	// as hubs, none of 158 was without an answer.
 	zoneEntries = 2
-	// hubEntryPause is the mean time after a start at which a node knows whether it is one
-	// of these.
+	// hubEntryPause is the mean time after a start at which a node knows whether it is one of these
+	// first hubs.
 	hubEntryPause = 4 * time.Second
-	// startSpread is the time within which the nodes of a whole mesh that starts for the
-	// first time come to the empty store: those that have come double each startDoubling.
-	// However many nodes there are, some come first, write their entries, which takes
-	// three calls of a few milliseconds, and are found by the others in a stale list.
+	// startSpread is the time over which the nodes of a whole mesh that starts for the first time
+	// call the empty store: the number of nodes that have called doubles every startDoubling.
+	// However many nodes there are, a few call first and write their entries, which takes three
+	// calls of a few milliseconds, and the others find them in a stale list.
 	startSpread   = 2 * time.Second
 	startDoubling = 150 * time.Millisecond
-	// rejoinSpread is the time over which nodes look after entries that former lives
-	// of them have left. These were renewed 60 s before at most, which leaves time.
+	// rejoinSpread is the time over which nodes check entries that their previous incarnations have
+	// left. These were renewed 60 s before at most, which leaves enough time.
 	rejoinSpread = 20 * time.Second
-	// entryTTL is the life of this node's entry in the store, and renewInterval
-	// how often it is lengthened, or looked whether there are too few.
+	// entryTTL is the time to live of this node's entry in the store, and renewInterval how often
+	// it is renewed, or, on a node without one, how often it is checked whether there are too few.
 	entryTTL      = 2 * time.Minute
 	renewInterval = 40 * time.Second
-	// recoverySpread is the time over which nodes look after their entries when the
-	// store is back. Entries that lapsed are there again within two seconds.
+	// recoverySpread is the time over which nodes check their entries when the store has recovered.
+	// Entries that expired are restored within two seconds.
 	recoverySpread = 500 * time.Millisecond
-	// restoreSpreadPerNode, times the nodes known, is the time over which nodes write their
-	// entries again when the store came back from a copy, if that is longer than
-	// returnSpread. Each takes up to three writes: a mesh of 985 nodes, of which 32 had an
-	// entry, made 95 writes in 0.7 s (simulated time).
+	// restoreSpreadPerNode, times the nodes known, is the time over which nodes write their entries
+	// again when the store was restored from a copy, if that is longer than recoverySpread. Each
+	// takes up to three writes: a mesh of 985 nodes, of which 32 had an entry, made 95 writes in
+	// 0.7 s (simulated time).
 	restoreSpreadPerNode = 2 * time.Millisecond
-	// recallPause is how long nodes that were met have before the store is asked
-	// for the former lives of this one.
+	// recallPause is how long the nodes that were asked have to answer before the store is read for
+	// the previous incarnations of this one.
 	recallPause = 100 * time.Millisecond
-	// callBound bounds one call to the store.
+	// callBound is the timeout of one call to the store.
 	callBound = 1500 * time.Millisecond
-	// writeTries bounds how often an entry is written again at once because
-	// another one was found, or its lease had ended.
+	// writeTries bounds how often an entry is written again at once because another entry was
+	// found, or its lease had ended.
 	writeTries = 3
-	// firstWritePause and longestWritePause bound the pauses between calls that
-	// the store does not answer.
+	// firstWritePause and longestWritePause bound the pauses between calls that the store does not
+	// answer.
 	firstWritePause   = 100 * time.Millisecond
 	longestWritePause = 4 * time.Second
 )
 
-// Announcer finds the first other nodes in the store, and keeps this node's entry
-// there if too few others have one, or if the node has promised something of its
-// workers: when all nodes die at once, nobody else remembers. It is a suture
-// service.
+// Announcer finds the first other nodes in the store, and maintains this node's entry there if too
+// few others have one, or if the node has made drain commitments for its workers: when all nodes
+// die at once, only the store still holds them. It is a suture service.
 type Announcer struct {
 	directory Directory
 	table     *fleet.Table
-	// firstStart tells that the whole mesh starts, so that nobody has former lives.
+	// firstStart is set when the whole mesh starts for the first time, so that no node has previous
+	// incarnations.
 	firstStart bool
-	// onListed is called with the other nodes that the store names, and whether it names this
-	// one. It returns when some of them have been asked.
+	// onListed is called with the other nodes that the store lists, and whether it lists this one.
+	// It returns when some of them have been asked.
 	onListed func(ctx context.Context, nodes []fleet.Node, named bool)
-	// onPrevious is called with entries of this node that others have written: its
-	// onPrevious lives.
+	// onPrevious is called with entries of this node that others have written: those of its
+	// previous incarnations.
 	onPrevious func(n fleet.Node)
-	// commitmentsKnown reports whether the node knows its former lives already, and
-	// settled is called when the store knows nothing more of them.
+	// commitmentsKnown reports whether the node already knows the commitments of its previous
+	// incarnations, and onSettled is called when the store has been read for them.
 	commitmentsKnown func() bool
 	onSettled        func()
-	// sharedEntry returns the entry of this node as another one has read it for many; false
-	// when that has not answered.
+	// sharedEntry returns the entry of this node as read by another node on behalf of many; false
+	// when that node has not answered.
 	sharedEntry func(ctx context.Context) (Entry, bool)
 
-	// onRewritten is told that the entry was written again after the store came back from a copy,
-	// with so many promises.
+	// onRewritten is called when the entry was written again after a restore of the store, with the
+	// number of drain commitments in it.
 	onRewritten func(era uint64, promised int)
-	// onRejected is told of entries that are no node's.
+	// onRejected is called with the identifiers of entries that were not written by a node.
 	onRejected func(id string)
 
-	// contacted is closed when the nodes that were contacted last have answered, or have not in
-	// time. It belongs to the announcer's own goroutine.
+	// contacted is closed when the nodes that were last asked have answered or timed out. Only the
+	// announcer's own goroutine uses it.
 	contacted <-chan struct{}
-	// writeTurn is held while the entry is written, so that a newer one never meets an
-	// older one on its way.
+	// writeTurn is held while the entry is written, so that a newer write never overtakes an older
+	// one.
 	writeTurn chan struct{}
-	// writeDue is signalled when the entry is to be written, returned when the store
-	// answers again after an outage.
+	// writeDue is signalled when the entry is to be written, checkDue when the store answers again
+	// after an outage or was restored.
 	writeDue chan struct{}
 	checkDue chan struct{}
 
-	// seenEra returns the highest era that the store has told this node.
+	// seenEra returns the highest era that the store has reported to this node.
 	seenEra func() Era
 
 	mu sync.Mutex
-	// lease is the one that the entry is under; empty while this life has none.
+	// lease is the lease of the entry; empty while this incarnation has none.
 	lease    Lease
 	revision uint64
-	// era is the one in which the lease was granted, or found alive. Leases and revisions of
-	// an earlier one are nobody's, or another's.
+	// era is the one in which the lease was granted, or found alive. Leases and revisions of an
+	// earlier era are invalid, or may belong to another node.
 	era uint64
-	// restoring tells that the entry is to be written again after the store came back from a
-	// copy.
+	// restoring is set when the entry is to be written again after a restore of the store.
 	restoring bool
-	// restoredEra is the highest era that this node has heard of.
+	// restoredEra is the highest era that was reported to StoreRestored.
 	restoredEra uint64
 }
 
@@ -127,10 +127,10 @@
 	}
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (a *Announcer) String() string { return "announcer" }
 
-// Serve finds the others, and keeps the entry until the context ends.
+// Serve finds the other nodes, and maintains the entry until the context ends.
 func (a *Announcer) Serve(ctx context.Context) error {
 	if a.firstStart {
 		sleep(ctx, firstStartDelay(1-rand.Float64()))
@@ -144,8 +144,8 @@
 	return ctx.Err()
 }
 
-// enterHub has the entry written if this node is one of the first hubs of its zone, and has
-// none.
+// enterHub has the entry written if this node is one of the first hubs of its zone and has no
+// entry.
 func (a *Announcer) enterHub() {
 	if lease, _ := a.held(); lease != "" {
 		return
@@ -158,16 +158,16 @@
 	}
 }
 
-// firstStartDelay returns how long after the first start of a mesh a node calls the store, given
-// a number drawn from above 0 up to 1.
+// firstStartDelay returns how long after the first start of a mesh a node calls the store, for a
+// random number drawn from (0, 1].
 func firstStartDelay(drawn float64) time.Duration {
 	early := time.Duration(-math.Log2(drawn) * float64(startDoubling))
 	return max(startSpread-early, 0)
 }
 
-// settle finds out what former lives have promised. Neither the nodes that were met
-// nor the store is enough alone: the nodes may all have started just now, and the
-// store may not have been reached when the promise was made.
+// settle learns the drain commitments of previous incarnations. Neither the nodes that were asked
+// nor the store is enough alone: the nodes may all have started just now, and the store may not
+// have been reached when the commitment was made.
 func (a *Announcer) settle(ctx context.Context) {
 	waitAtMost(ctx, a.contacted, recallPause)
 	a.retryUntilDone(ctx, a.recall)
@@ -177,7 +177,7 @@
 	}
 }
 
-// waitAtMost waits for an end, for at most the given time.
+// waitAtMost waits until the channel is closed, for at most the given time.
 func waitAtMost(ctx context.Context, end <-chan struct{}, bound time.Duration) {
 	t := time.NewTimer(bound)
 	defer t.Stop()
@@ -188,8 +188,8 @@
 	}
 }
 
-// wait renews the entry, or looks whether there are too few, when it is time, and
-// writes the entry when that is asked for.
+// wait waits for the next task and does it: renewing the entry or checking the directory at
+// intervals, confirming the entry after an outage, or writing it on request.
 func (a *Announcer) wait(ctx context.Context) {
 	t := time.NewTimer(a.nextCheck())
 	defer t.Stop()
@@ -204,7 +204,7 @@
 	}
 }
 
-// retryUntilDone makes a call retryUntilDone it succeeds, with growing pauses.
+// retryUntilDone repeats a call until it succeeds, with growing pauses.
 func (a *Announcer) retryUntilDone(ctx context.Context, call func(ctx context.Context) error) {
 	pause := firstWritePause
 	for ctx.Err() == nil {
@@ -216,7 +216,7 @@
 	}
 }
 
-// pause waits before a call is made again, until the store answers others.
+// pause waits before a call is repeated, at most until the store has recovered for others.
 func (a *Announcer) pause(ctx context.Context, pause time.Duration) {
 	t := time.NewTimer(pause)
 	defer t.Stop()
@@ -227,15 +227,15 @@
 	}
 }
 
-// StoreRecovered tells that the store answers again after an outage, in which the
-// entry may have lapsed. The entry is looked after within returnSpread.
+// StoreRecovered is called when the store answers again after an outage, during which the entry may
+// have expired. The entry is checked within recoverySpread.
 func (a *Announcer) StoreRecovered() {
 	time.AfterFunc(rand.N(recoverySpread), a.check)
 }
 
-// StoreRestored tells that the store came back from a copy into an era: the entry of this
-// node may be gone, or an older one, and its lease may be another's. It is written again
-// within a time that grows with the mesh.
+// StoreRestored is called when the store was restored from a copy into an era: the entry of this
+// node may be missing or out of date, and its lease may belong to another node. The entry is
+// written again within a time that grows with the mesh.
 func (a *Announcer) StoreRestored(era uint64) {
 	a.mu.Lock()
 	a.restoredEra = max(a.restoredEra, era)
@@ -250,8 +250,8 @@
 	return rand.N(max(recoverySpread, time.Duration(len(a.table.View().Nodes()))*restoreSpreadPerNode))
 }
 
-// nextCheck returns after how long the entry is looked after. The word that the store came
-// back from a copy may have come while the announcer was busy with something else.
+// nextCheck returns the time until the next check of the entry. A restore of the store may have
+// been reported while the announcer was busy with something else.
 func (a *Announcer) nextCheck() time.Duration {
 	if a.outdated() {
 		return a.restorePause()
@@ -267,7 +267,7 @@
 	return a.lease != "" && a.era < newest
 }
 
-// newestEra returns the newest era that the store or other nodes have told.
+// newestEra returns the newest era that the store or other nodes have reported.
 func (a *Announcer) newestEra() uint64 {
 	seen := a.seenEra().Number
 	a.mu.Lock()
@@ -275,15 +275,15 @@
 	return max(seen, a.restoredEra)
 }
 
-// hasWritten reports whether this life has an entry already, or had one before the store came
-// back from a copy.
+// hasWritten reports whether this incarnation has an entry already, or had one before the store was
+// restored from a copy.
 func (a *Announcer) hasWritten() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lease != "" || a.restoring
 }
 
-// check has the announcer's own goroutine make sure that the entry is there.
+// check has the announcer's own goroutine make sure that the entry exists.
 func (a *Announcer) check() {
 	select {
 	case a.checkDue <- struct{}{}:
@@ -291,7 +291,7 @@
 	}
 }
 
-// bounded makes one call to the store.
+// bounded makes one call to the store with a timeout of callBound.
 func bounded(ctx context.Context, call func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, callBound)
 	defer cancel()
--- a/internal/hosted/broadcast.go
+++ b/internal/hosted/broadcast.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// fanOut is how many nodes of its zone a node hands news to.
+	// fanOut is how many nodes of its zone a node forwards an update to.
 	fanOut = 4
-	// hedgeDelay is how long a node that is handed a document may be silent before the next one
-	// of its part gets the document, too. Nodes answer within some milliseconds. After a loss of
-	// power of many machines most nodes of a part may be silent, on each level of a broadcast,
-	// and waiting for each in turn would take seconds.
+	// hedgeDelay is how long a node that is sent a document may not answer before the next one of
+	// its part is sent the document, too. Nodes answer within some milliseconds. After a loss of
+	// power of many machines most nodes of a part may be unresponsive, on each level of a
+	// broadcast, and waiting for each in turn would take seconds.
 	hedgeDelay = 100 * time.Millisecond
 )
 
-// update is what a broadcast carries.
+// update is the content of a broadcast.
 type update struct {
 	nodes    []*exchangepb.Node
 	evidence []*exchangepb.Evidence
 	document *exchangepb.Document
-	// version is the newest document's, for those who lack it.
+	// version is the version of the newest document, for nodes that lack it.
 	version uint64
 }
 
-// BroadcastZones hands news to one node of each of the other zones that the
-// function takes, which hands them on there if it lacks them.
+// BroadcastZones sends an update to one node of each of the other zones that wanted selects, which
+// forwards it there.
 func (p *Peers) BroadcastZones(ctx context.Context, u update, wanted func(zone string) bool) {
 	self := p.table.View().Self()
 	var parts []fleet.Part
@@ -41,7 +41,7 @@
 	p.forwardAll(ctx, u, parts)
 }
 
-// BroadcastOwnZone hands news to the nodes of the own zone in a range.
+// BroadcastOwnZone sends an update to the nodes of the own zone in a range.
 func (p *Peers) BroadcastOwnZone(ctx context.Context, u update, after, until string) {
 	self := p.table.View().Self()
 	p.forwardAll(ctx, u, fleet.Spread(p.inZone(self.Zone), self.ID, after, until, fanOut))
@@ -65,8 +65,8 @@
 	waiting.Wait()
 }
 
-// reachablePeers leaves out nodes that are taken to be lost: they compare notes
-// when they are found again.
+// reachablePeers returns the other nodes that are not taken to be lost: lost ones catch up by an
+// anti-entropy exchange when they are reached again.
 func (p *Peers) reachablePeers() []*fleet.Node {
 	all := p.table.View().Peers()
 	reachable := all[:0]
@@ -78,8 +78,8 @@
 	return reachable
 }
 
-// forward gives a part of a broadcast to the first node of it that takes it. When
-// one does not answer, the next one gets the rest.
+// forward sends a part of a broadcast to the first node of it that accepts it. When one does not
+// answer, the next one gets the rest.
 func (p *Peers) forward(ctx context.Context, u update, part fleet.Part) {
 	message := p.message(u, exchangepb.Reach_REACH_RANGE)
 	if len(part.Candidates) > 1 {
@@ -92,7 +92,7 @@
 	p.toFirstHedged(ctx, part.Candidates, message)
 }
 
-// message returns the message that brings news, which reach as far as given.
+// message returns the message for an update with the given reach.
 func (p *Peers) message(u update, reach exchangepb.Reach) *exchangepb.BroadcastRequest {
 	return &exchangepb.BroadcastRequest{
 		Mesh:            p.mesh,
@@ -105,8 +105,8 @@
 	}
 }
 
-// toFirst sends a message to the first of the nodes that takes it. It reports whether
-// there was one.
+// toFirst sends a message to the first of the nodes that accepts it. It reports whether there was
+// one.
 func (p *Peers) toFirst(ctx context.Context, candidates []*fleet.Node, message *exchangepb.BroadcastRequest) bool {
 	for _, candidate := range candidates {
 		if p.send(ctx, *candidate, message) {
@@ -119,8 +119,8 @@
 	return false
 }
 
-// toFirstHedged is toFirst that does not wait for one that is silent: the next gets the message
-// beside it. More than one may take it.
+// toFirstHedged is toFirst with hedging: when a node does not answer within hedgeDelay, the next is
+// sent the message, too. More than one may accept it.
 func (p *Peers) toFirstHedged(ctx context.Context, candidates []*fleet.Node, message *exchangepb.BroadcastRequest) {
 	answers := make(chan bool, len(candidates))
 	sent, pending := 0, 0
@@ -144,7 +144,7 @@
 	}
 }
 
-// awaitAnswer waits for an answer for as long as a node may be silent.
+// awaitAnswer waits for an answer, for at most hedgeDelay.
 func awaitAnswer(ctx context.Context, answers <-chan bool) (taken, answered bool) {
 	t := time.NewTimer(hedgeDelay)
 	defer t.Stop()
@@ -165,16 +165,16 @@
 	return p.deliver(ctx, node, request)
 }
 
-// probe reports whether a node is there.
+// probe reports whether a node answers.
 func (p *Peers) probe(ctx context.Context, node fleet.Node) bool {
 	ctx, cancel := context.WithTimeout(ctx, messageBound)
 	defer cancel()
 	p.sent.probes.Add(1)
-	// A message that brings no news is answered, and changes nothing.
+	// A message without an update is answered and changes nothing.
 	return p.deliver(ctx, node, p.message(update{}, exchangepb.Reach_REACH_RANGE))
 }
 
-// deliver sends a message and notes whether the node is there.
+// deliver sends a message and records whether the node answered.
 func (p *Peers) deliver(ctx context.Context, node fleet.Node, request *exchangepb.BroadcastRequest) bool {
 	if _, err := p.client(node.ControlAddress).Broadcast(ctx, request); err != nil {
 		p.noteFailure(node.ID, err)
--- a/internal/hosted/compress.go
+++ b/internal/hosted/compress.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maximumDocument bounds a document, in bytes.
+	// maximumDocument bounds the size of a document, in bytes.
 	maximumDocument = 8 << 20
-	// smallestWindow bounds the window of the compressor from below.
+	// smallestWindow is the minimum window of the compressor, in bytes.
 	smallestWindow = 64 << 10
-	// dictionaryID marks content that was compressed by a former document.
+	// dictionaryID marks content that was compressed with a previous document as the dictionary.
 	dictionaryID = 1
 )
 
-// compress returns content in fewer bytes; by a dictionary, what both have in
-// common costs next to nothing. Coders are made for each document, since they
-// are few and a coder that is kept costs memory all day.
+// compress returns compressed content; with a dictionary, what both have in common costs almost
+// nothing. Coders are created for each document, since documents are few and a coder that is kept
+// occupies memory all the time.
 func compress(content, dictionary []byte) []byte {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -36,8 +36,8 @@
 	return encoder.EncodeAll(content, nil)
 }
 
-// windowFor returns the window for content and dictionary together: it must reach
-// back over both, and a larger one costs memory.
+// windowFor returns the window size for content and dictionary together: the window must cover
+// both, and a larger one costs memory.
 func windowFor(size int) int {
 	window := smallestWindow
 	for window < size && window < maximumDocument {
--- a/internal/hosted/convert.go
+++ b/internal/hosted/convert.go
@@ -105,7 +105,7 @@
 	return list
 }
 
-// shareUnits is how a share is written: in thousandths.
+// shareUnits is the unit of a share in messages: thousandths.
 const shareUnits = 1000
 
 func rolloutMessages(list []fleet.Rollout) []*exchangepb.Rollout {
@@ -157,8 +157,8 @@
 	return list
 }
 
-// encodeEntry returns a node's record as its entry in the store. The workers are
-// part of it: the same incarnation and sequence must never name two records.
+// encodeEntry encodes a node's record as its entry in the store. The workers are part of it: the
+// same incarnation and sequence must never identify two different records.
 func encodeEntry(node fleet.Node) []byte {
 	encoded, err := proto.Marshal(nodeMessage(node))
 	if err != nil {
@@ -167,9 +167,9 @@
 	return encoded
 }
 
-// decodeEntry reads an entry of the store; false when it is none of the node that its key
-// names: another program may write there, or have left bytes that cannot be read. Workers
-// with fields missing, or in a state that there is not, are left out.
+// decodeEntry decodes an entry of the store; false when it is not a record of the node that its key
+// names: another program may write there, or have left bytes that cannot be decoded. Workers with
+// missing fields, or with an unknown state, are left out.
 func decodeEntry(e Entry) (fleet.Node, bool) {
 	var message exchangepb.Node
 	if err := proto.Unmarshal(e.Content, &message); err != nil {
@@ -185,8 +185,8 @@
 	return node, true
 }
 
-// usable reports whether a worker of an entry names something that can be asked, or left
-// alone.
+// usable reports whether a worker of an entry has the fields that its state requires: what is
+// needed to call it, or only its instance if it is draining or gone.
 func usable(w workers.Worker) bool {
 	switch w.State {
 	case workers.StateReady, workers.StateUnresponsive:
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -6,9 +6,9 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// join finds other nodes. It reads entries that may be a little old, which costs a tenth:
-// those that matter mostly are. When there are none, or too few while the whole mesh
-// starts, it reads what the store holds now.
+// join finds other nodes. It reads a list that may be slightly stale, which costs a tenth: the
+// entries that matter are mostly old enough to be in it. When the list has no other node, or too
+// few while the whole mesh starts, it reads the current list.
 func (a *Announcer) join(ctx context.Context) error {
 	before := a.newestEra()
 	listed, err := a.list(ctx, true)
@@ -27,8 +27,8 @@
 		a.adopt(*listed.own, before)
 		return nil
 	}
-	// Of two nodes that come at the same time, at least one must see the other:
-	// each writes before it reads.
+	// Of two nodes that start at the same time, at least one must see the other: each writes before
+	// it reads.
 	if err := a.write(ctx); err != nil {
 		return err
 	}
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// mayBeIncomplete reports whether a list that may be old shows so few nodes that a newer one may
-// show more.
+// mayBeIncomplete reports whether a possibly stale list has so few nodes that a current one may
+// have more.
 func (a *Announcer) mayBeIncomplete(listed listing) bool {
 	return listed.others() == 0 || a.firstStart && listed.others() < directorySize
 }
 
-// contact hands the nodes on, and does not wait until they have answered: that is
-// bounded by itself.
+// contact passes the nodes to onListed without waiting for it, since onListed has a time limit of
+// its own.
 func (a *Announcer) contact(ctx context.Context, listed listing) {
 	contacted := make(chan struct{})
 	a.contacted = contacted
@@ -56,7 +56,7 @@
 	}()
 }
 
-// listing is what the store names.
+// listing is the content of the directory.
 type listing struct {
 	nodes []fleet.Node
 	// own is the entry of this node; nil when there is none.
--- a/internal/hosted/doc.go
+++ b/internal/hosted/doc.go
@@ -1,32 +1,32 @@
-// Package hosted coordinates the nodes of a deployment whose configuration a
-// platform decides: which nodes read the platform's store, who tells whom, which
+// Package hosted coordinates the nodes of a deployment whose configuration comes from a
+// platform's store: which nodes read the store, which nodes send updates to which, which
 // document is in force on this node, and which of its workers may be given work.
 //
-// Its parts, each with a state of its own:
+// Its main parts, each with a state of its own:
 //
 //   - Documents holds the newest document and offers it to the consumer.
-//   - Reader watches the store while it is this node's turn.
-//   - Announcer keeps this node's key in the store and finds the first others.
+//   - Reader watches the store while this node is one of its readers.
+//   - Announcer maintains this node's entry in the store and finds the first other nodes.
 //   - Peers sends messages to other nodes; Server answers theirs.
-//   - Syncer compares notes with a random other node, and tries those lost.
+//   - Syncer runs anti-entropy exchanges with random other nodes, and retries lost ones.
 //
 // A node that starts goes through these steps; the file of each is named:
 //
-//  1. Announcer lists the entries that other nodes have in the store (directory.go). At the
-//     first start of a mesh the nodes come one after the other for that (announcer.go).
-//  2. Agent takes the nodes that the entries name and asks three of them, the hub of its zone
-//     first, for records, the document and what this node's former lives have
-//     promised (previous.go).
-//  3. Reader waits for the document, or reads it: at once when this node is the hub that the
-//     entries name, else when nobody has handed it on (reader.go).
-//  4. Introduction asks the worker beside the node who it is, once there is a document
+//  1. Announcer lists the entries of other nodes in the store (directory.go). At the first
+//     start of a mesh the nodes spread these calls over time (announcer.go).
+//  2. Agent adds the listed nodes to its table and asks three of them, the hub of its zone
+//     first, for records, the document and the drain commitments of this node's previous
+//     incarnations (previous.go).
+//  3. Reader waits for the document, or reads it: at once when this node is the hub of its
+//     zone among the listed nodes, else when nobody has sent it (reader.go).
+//  4. Prober asks the worker beside the node to identify itself, once there is a document
 //     (prober.go).
-//  5. Announcer has the store asked for promises that no node has told of, by the second hub
-//     of the zone or by itself (entry.go, recall.go).
-//  6. Agent lets the workers be given work and tells the other nodes of them, by way of the
-//     hub (previous.go, hub.go).
-//  7. Announcer keeps the entry of the former life, or writes one if too few nodes have any or
-//     this node is a hub (entry.go).
+//  5. Announcer has the store read for drain commitments that no node has reported, by the
+//     second hub of the zone or by itself (entry.go, recall.go).
+//  6. Agent lets the workers be given work and announces them to the other nodes, through
+//     the hub (previous.go, hub.go).
+//  7. Announcer adopts the entry of the previous incarnation, or writes one if too few nodes
+//     have one or this node is a hub (entry.go).
 //
-// Agent puts them together. docs/PLATFORM.md gives the reasons.
+// Agent connects the parts. docs/PLATFORM.md gives the reasons.
 package hosted
--- a/internal/hosted/documents.go
+++ b/internal/hosted/documents.go
@@ -9,8 +9,8 @@
 	"github.com/levertide/levertide/internal/exchangepb"
 )
 
-// Documents holds the newest document that this node knows, and has it put in
-// force. It is a suture service.
+// Documents holds the newest document that this node knows, and has it put in force. It is a suture
+// service.
 type Documents struct {
 	consumer Consumer
 	events   Events
@@ -19,7 +19,7 @@
 	// available is closed when there is a first document.
 	available chan struct{}
 	restores  restoreCounters
-	// offered is the version of the last document that the consumer took.
+	// offered is the version of the last document that the consumer accepted.
 	offered atomic.Uint64
 
 	mu       sync.Mutex
@@ -34,13 +34,13 @@
 	return &Documents{consumer: consumer, events: events, changed: make(chan struct{}, 1), available: make(chan struct{})}
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (d *Documents) String() string { return "documents" }
 
-// pauseFactor is how long, in times of its duration, nothing is put in force after a
-// document was: a storm of changes then takes at most a tenth of what the machine has
-// for everything. longestPause keeps every document in force within half a second; the
-// tightest bound that operators have asked for is two.
+// pauseFactor is the pause after a document was put in force, as a multiple of the time that this
+// took: many changes in a short time then take at most a tenth of the machine. longestPause keeps
+// every document in force within half a second; the tightest bound that operators have asked for is
+// two.
 const (
 	pauseFactor  = 9
 	longestPause = 500 * time.Millisecond
@@ -49,9 +49,9 @@
 // noRevision stands for the revision of a document that another node has sent.
 const noRevision = 0
 
-// Serve offers the newest document to the consumer, until the context ends. When
-// documents come faster than they can be put in force, those between are left out:
-// on a slow machine a storm of changes must not queue up, nor hold up calls.
+// Serve offers the newest document to the consumer, until the context ends. When documents arrive
+// faster than they can be put in force, intermediate ones are skipped: on a slow machine many
+// changes must not queue up, nor delay calls.
 func (d *Documents) Serve(ctx context.Context) error {
 	for {
 		select {
@@ -80,7 +80,7 @@
 // InForce reports whether a document has been put in force.
 func (d *Documents) InForce() bool { return d.offered.Load() > 0 }
 
-// Available is closed when there is a first document.
+// Available returns a channel that is closed when there is a first document.
 func (d *Documents) Available() <-chan struct{} { return d.available }
 
 // Version returns the version of the newest document; zero when there is none.
@@ -90,8 +90,8 @@
 	return d.newest.Version
 }
 
-// After returns the newest document, in the form of messages, for a node that
-// holds the given version; nil when that is no older.
+// After returns the newest document as a message, for a node that holds the given version; nil when
+// that is no older.
 func (d *Documents) After(version uint64) *exchangepb.Document {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,8 +107,8 @@
 	return d.full
 }
 
-// ForBroadcast returns the newest document for all others: by the one before it, which
-// most of them hold, if there is one.
+// ForBroadcast returns the newest document as a message for all other nodes: compressed with the
+// previous document, which most of them hold, if there is one.
 func (d *Documents) ForBroadcast() *exchangepb.Document {
 	d.mu.Lock()
 	base := d.previous
@@ -116,15 +116,15 @@
 	return d.After(base)
 }
 
-// Take takes a document from the store. It reports whether it was news. Documents are
-// ordered by the operators' version: a store that came back from a copy gives out lower
-// revisions again, and by these newer documents would stay out of force for seconds.
+// Take accepts a document from the store. It reports whether it was newer than the one held.
+// Documents are ordered by the operators' version: a store that was restored from a copy gives out
+// lower revisions again, and ordered by these, newer documents would not come in force for seconds.
 func (d *Documents) Take(document Document) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case document.Version == 0:
-		d.events.DocumentRejected(document.Revision, ErrInvalidDocument.New("the content tells no version"))
+		d.events.DocumentRejected(document.Revision, ErrInvalidDocument.New("the content has no version"))
 		return false
 	case document.Version < d.newest.Version:
 		d.restores.passedOver.Add(1)
@@ -137,9 +137,9 @@
 	return true
 }
 
-// TakeMessage takes a document from another node. It reports whether this node
-// holds the version of the message afterwards: it does not when the document
-// was compressed by one that it lacks.
+// TakeMessage accepts a document from another node. It reports whether this node holds the version
+// of the message afterwards: it does not when the document was compressed with one that this node
+// lacks.
 func (d *Documents) TakeMessage(message *exchangepb.Document) bool {
 	if message == nil {
 		return false
@@ -165,9 +165,8 @@
 	return true
 }
 
-// put makes a document the newest. One that cannot be used is kept and handed on
-// all the same: others may be able to, and all must agree on which is the newest.
-// The mutex is held.
+// put makes a document the newest. One that cannot be used is held and forwarded all the same:
+// others may be able to use it, and all must agree on which is the newest. The mutex is held.
 func (d *Documents) put(document Document, message *exchangepb.Document) {
 	previous := d.newest
 	if previous.Version == 0 {
--- a/internal/hosted/documents_test.go
+++ b/internal/hosted/documents_test.go
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// recordingConsumer keeps what it was offered.
+// recordingConsumer records the documents that it was offered.
 type recordingConsumer struct{ offered [][]byte }
 
 func (c *recordingConsumer) Offer(content []byte) error {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// discardEvents is told everything and does nothing.
+// discardEvents discards all events.
 type discardEvents struct{}
 
 func (discardEvents) DocumentRejected(uint64, error)                 {}
@@ -44,7 +44,7 @@
 func (discardEvents) RolloutDecided(string, string, canary.State, float64, string, float64, float64) {
 }
 
-// offerPending does what Serve does when there are news.
+// offerPending does what Serve does when there is a document that was not offered yet.
 func offerPending(d *Documents) {
 	select {
 	case <-d.changed:
@@ -53,7 +53,7 @@
 	}
 }
 
-// exampleDocument has many routes, of which one depends on the version.
+// exampleDocument has many routes, and one line that depends on the version.
 func exampleDocument(version int) []byte {
 	var text strings.Builder
 	for route := range 300 {
@@ -69,7 +69,7 @@
 	source.Take(Document{Version: 10, Content: exampleDocument(1)})
 	first := source.ForBroadcast()
 	if !target.TakeMessage(first) {
-		t.Fatal("a whole document was not taken")
+		t.Fatal("a full document was not accepted")
 	}
 	offerPending(target)
 	source.Take(Document{Version: 12, Content: exampleDocument(2)})
@@ -91,12 +91,12 @@
 	consumer := &recordingConsumer{}
 	target := NewDocuments(consumer, discardEvents{})
 	if target.TakeMessage(source.ForBroadcast()) {
-		t.Fatal("a document was made of a base that is not held")
+		t.Fatal("a document was decoded with a base that is not held")
 	}
 	held := target.TakeMessage(source.After(target.Version()))
 	offerPending(target)
 	if !held || !bytes.Equal(consumer.offered[0], exampleDocument(2)) {
-		t.Fatal("the whole document was not taken")
+		t.Fatal("the full document was not accepted")
 	}
 }
 
@@ -104,11 +104,11 @@
 	documents := NewDocuments(&recordingConsumer{}, discardEvents{})
 	documents.Take(Document{Version: 12, Content: exampleDocument(2)})
 	if documents.Take(Document{Version: 10, Content: exampleDocument(1)}) || documents.Version() != 12 {
-		t.Fatal("an older document was taken")
+		t.Fatal("an older document was accepted")
 	}
 }
 
-// TestDocumentsBetweenAreLeftOut lets two documents come before the consumer is free.
+// TestDocumentsBetweenAreLeftOut has two documents arrive before the consumer is free.
 func TestDocumentsBetweenAreLeftOut(t *testing.T) {
 	consumer := &recordingConsumer{}
 	documents := NewDocuments(consumer, discardEvents{})
@@ -124,7 +124,7 @@
 	}
 }
 
-// rejectingConsumer can use no document.
+// rejectingConsumer rejects every document.
 type rejectingConsumer struct{}
 
 func (rejectingConsumer) Offer([]byte) error { return ErrInvalidDocument.New("test") }
@@ -134,6 +134,6 @@
 	documents.Take(Document{Version: 10, Content: exampleDocument(1)})
 	offerPending(documents)
 	if documents.InForce() || documents.ForBroadcast() == nil {
-		t.Fatal("a document that cannot be used must be handed on and not be in force")
+		t.Fatal("a document that cannot be used must be forwarded and not be in force")
 	}
 }
--- a/internal/hosted/drain_commitments.go
+++ b/internal/hosted/drain_commitments.go
@@ -7,26 +7,26 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// What workers say of themselves: a leave that is acknowledged is a promise to give the
-// worker nothing new, whoever dies.
+// What workers report of themselves: an acknowledged leave is a drain commitment, to give the
+// worker nothing new, whichever nodes die.
 
 const (
-	// commitmentHolders is how many other nodes must hold a promise before it is
-	// acknowledged, and promiseBound how long that is waited for.
+	// commitmentHolders is how many other nodes must hold a drain commitment before it is
+	// acknowledged, and commitmentBound how long that is waited for.
 	commitmentHolders = 2
 	commitmentBound   = 400 * time.Millisecond
-	// rejectionLogRate and rejectionLinesBurst bound the lines a second on calls for workers that
-	// cannot be used, and longestLoggedName what is shown of who sent them, in bytes.
+	// rejectionLogRate and rejectionLogBurst bound the log lines a second on invalid calls for
+	// workers, and longestLoggedName the part of the sender's name that is logged, in bytes.
 	rejectionLogRate  = 0.2
 	rejectionLogBurst = 5
 	longestLoggedName = 64
 )
 
-// Heartbeat takes a worker's heartbeat. When it returns nil the heartbeat may be
-// acknowledged: a promise that it brings is kept from now on, whoever dies.
+// Heartbeat processes a worker's heartbeat. When it returns nil the heartbeat may be acknowledged:
+// a drain commitment in it is kept from now on, whichever nodes die.
 func (a *Agent) Heartbeat(ctx context.Context, heartbeat workers.Heartbeat) error {
 	if a.config.KnowsService != nil && !a.config.KnowsService(heartbeat.Service) {
-		// It would take the address of the worker that is beside this node.
+		// A worker of an unknown service would take the address of the worker beside this node.
 		return workers.ErrInvalid.New("there is no service %q", heartbeat.Service)
 	}
 	change, err := a.config.Workers.Heartbeat(heartbeat, time.Now())
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// Reject tells of a call to the node's address for workers that cannot be used. Lines are
-// bounded: whoever writes there by mistake mostly does so for long.
+// Reject records an invalid call to the node's address for workers. Log lines are limited: a client
+// that calls it by mistake mostly does so for long.
 func (a *Agent) Reject(instance string, err error) {
 	a.documents.restores.rejected.Add(1)
 	if a.rejections.Allow() {
@@ -46,7 +46,7 @@
 	}
 }
 
-// rejectEntry tells of an entry in the store that is no node's, within the same bound.
+// rejectEntry records an entry in the store that was not written by a node, within the same limit.
 func (a *Agent) rejectEntry(id string) {
 	a.documents.restores.rejected.Add(1)
 	if a.rejections.Allow() {
@@ -54,12 +54,12 @@
 	}
 }
 
-// workerProbed takes that a worker has told who it is.
+// workerProbed processes the registration of a worker that was probed.
 func (a *Agent) workerProbed(ctx context.Context, change workers.Change) {
 	a.workerChanged(ctx, change, "asked at the start")
 }
 
-// Leave takes a worker's sign-off, like Heartbeat.
+// Leave processes a worker's sign-off, like Heartbeat.
 func (a *Agent) Leave(ctx context.Context, incarnation workers.Incarnation) error {
 	change, err := a.config.Workers.Leave(incarnation, time.Now())
 	if err != nil {
@@ -83,9 +83,9 @@
 	a.config.Events.DrainCommitmentHeld(change.Worker.Instance, holders, stored)
 }
 
-// replicateCommitment tells other nodes of the own record, and the store. It returns once
-// enough nodes hold it and the store has answered, or the time for that is over:
-// the nodes outlast this one, the store outlasts all nodes.
+// replicateCommitment sends this node's record to other nodes and to the store. It returns once
+// enough nodes hold it and the store has answered, or the time for that is over: the nodes outlast
+// this one, the store outlasts all nodes.
 func (a *Agent) replicateCommitment(ctx context.Context) (holders int, stored bool) {
 	replication := commitmentReplication{wanted: min(commitmentHolders, len(a.peers.reachablePeers()))}
 	replication.holder = make(chan struct{}, commitmentHolders)
@@ -100,20 +100,20 @@
 	return replication.wait(ctx, a.config.Table.View().Self().ReadsStore)
 }
 
-// commitmentReplication are those who are told of a promise before it is acknowledged.
+// commitmentReplication tracks who holds a drain commitment before it is acknowledged.
 type commitmentReplication struct {
 	// wanted is how many other nodes are enough.
 	wanted int
-	// holder gets a token for each node that holds the promise; told is closed when
-	// no further one can come.
+	// holder gets a value for each node that holds the commitment; done is closed when no further
+	// one can come.
 	holder chan struct{}
 	done   chan struct{}
-	// stored gets whether the store holds the promise.
+	// stored gets whether the store holds the commitment.
 	stored chan bool
 }
 
-// wait waits for enough keepers, at most for promiseBound. A store that this node
-// does not reach is not waited for.
+// wait waits for enough holders, at most for commitmentBound. It does not wait for a store that
+// this node does not reach.
 func (r *commitmentReplication) wait(ctx context.Context, reachesStore bool) (holders int, stored bool) {
 	bound := time.NewTimer(commitmentBound)
 	defer bound.Stop()
--- a/internal/hosted/entry.go
+++ b/internal/hosted/entry.go
@@ -8,17 +8,17 @@
 	"github.com/joomcode/errorx"
 )
 
-// adopt takes over the entry that a former life has left: others find this node by
-// it, and it is enough to keep its lease alive. One that cannot be kept, or names another
-// address, is written anew. Before is the newest era known when it was asked for.
+// adopt takes over the entry of a previous incarnation: others find this node through it, and
+// renewing its lease is enough. An entry that cannot be kept, or has another address, is replaced.
+// Before is the newest era known when the entry was requested.
 func (a *Announcer) adopt(e Entry, before uint64) {
 	if a.hasWritten() {
-		// A promise was kept before the list came: what it shows is older.
+		// A drain commitment was written before the list arrived: what the list shows is older.
 		return
 	}
 	previous, own := decodeEntry(e)
 	if !own {
-		// Another writer's: its lease is not this node's to keep.
+		// The entry is another writer's: its lease is not for this node to renew.
 		e.Lease = ""
 		a.onRejected(e.ID)
 	}
@@ -33,9 +33,9 @@
 	time.AfterFunc(rand.N(rejoinSpread), again)
 }
 
-// recall reads what former lives of this node have promised, unless other nodes
-// have told: by way of the hub of the zone, which reads for many nodes at a time, or
-// by itself.
+// recall reads the drain commitments of previous incarnations of this node, unless other nodes have
+// reported them: through a hub of the zone, which reads on behalf of many nodes at a time, or by
+// itself.
 func (a *Announcer) recall(ctx context.Context) error {
 	if a.commitmentsKnown() || a.firstStart {
 		return nil
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// take keeps the revision of the entry held, and tells of a former life.
+// take records the revision of the held entry, and passes on a previous incarnation found in it.
 func (a *Announcer) take(held Entry) {
 	a.mu.Lock()
 	a.revision = held.Revision
@@ -66,8 +66,8 @@
 	}
 }
 
-// PersistEntry writes the entry as the node's record stands now. When that fails, it is
-// tried again later.
+// PersistEntry writes the entry from the current record of the node. When that fails, it is retried
+// later.
 func (a *Announcer) PersistEntry(ctx context.Context) error {
 	err := bounded(ctx, a.write)
 	if err != nil {
@@ -84,15 +84,15 @@
 	}
 }
 
-// write puts the record into the store. An entry that somebody else has written is
-// of a former life, or a write of this one that arrived late; what it promises is
+// write writes the record to the store. An entry that was written by somebody else belongs to a
+// previous incarnation, or is a write of this one that arrived late; its drain commitments are
 // taken over before it is replaced.
 func (a *Announcer) write(ctx context.Context) error {
 	select {
 	case a.writeTurn <- struct{}{}:
 		defer func() { <-a.writeTurn }()
 	case <-ctx.Done():
-		return ErrUnanswered.Wrap(ctx.Err(), "an earlier write is under way")
+		return ErrUnanswered.Wrap(ctx.Err(), "waiting for an earlier write of the entry to end")
 	}
 	var err error
 	for range writeTries {
@@ -105,13 +105,13 @@
 		}
 	}
 	if err == nil {
-		err = ErrRefused.New("the entry was written by others %d times", writeTries)
+		err = ErrRefused.New("entry was replaced by other writers in each of %d attempts", writeTries)
 	}
 	return err
 }
 
-// tryWrite makes one try; false without an error means that another entry was found, or
-// that the store came back from a copy meanwhile.
+// tryWrite makes one attempt; false without an error means that another entry was found, or that
+// the store was restored from a copy meanwhile.
 func (a *Announcer) tryWrite(ctx context.Context) (bool, error) {
 	if a.outdated() {
 		a.forgetLease()
@@ -144,8 +144,8 @@
 	return !a.outdated(), nil
 }
 
-// wrote keeps the revision of the entry that was written. It reports whether that was the first
-// one since the store came back from a copy.
+// wrote records the revision of the entry that was written. It reports whether that was the first
+// write since the store was restored from a copy.
 func (a *Announcer) wrote(revision uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -161,8 +161,9 @@
 	return a.lease, a.revision
 }
 
-// setLease keeps a lease that was asked for when the given era was the newest one known: it is
-// of that one, or of a later one. Where none was known, the answer was the first.
+// setLease records a lease that was requested when the given era was the newest one known: the
+// lease belongs to that era or a later one. When no era was known, the answer itself reported the
+// first.
 func (a *Announcer) setLease(lease Lease, before uint64) {
 	if before == 0 {
 		before = a.newestEra()
@@ -172,18 +173,17 @@
 	a.lease, a.era = lease, before
 }
 
-// forgetLease forgets lease and revision of an earlier era: both may be given out again, the
-// lease to another node. The entry that the store shows, if any, is taken over before it is
-// replaced.
+// forgetLease drops the lease and revision of an earlier era: both may be given out again, the
+// lease to another node. The entry that the store has, if any, is taken over before it is replaced.
 func (a *Announcer) forgetLease() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lease, a.revision, a.restoring = "", 0, true
 }
 
-// renew lengthens the lease of a node that has an entry, and writes the entry anew
-// when the lease has ended. A node without one looks whether there are enough, and
-// meets nodes that it does not know.
+// renew renews the lease of a node that has an entry, and writes the entry again when the lease has
+// ended. A node without an entry checks whether there are enough, and contacts nodes that it does
+// not know.
 func (a *Announcer) renew(ctx context.Context) {
 	lease, _ := a.held()
 	if lease == "" {
@@ -201,16 +201,16 @@
 	}
 }
 
-// confirm makes sure that the entry of this node, if it has one, has outlasted an
-// outage of the store, or its return from a copy.
+// confirm makes sure that the entry of this node, if it has one, has outlasted an outage of the
+// store, or a restore.
 func (a *Announcer) confirm(ctx context.Context) {
 	if lease, _ := a.held(); lease != "" {
 		a.renew(ctx)
 	}
 }
 
-// withdraw takes the entry away, at a planned stop. One that holds promises, or tells of
-// requests that must not be run, stays for the next life, until its lease ends.
+// withdraw removes the entry at a planned stop. An entry with drain commitments, or with
+// quarantined requests, stays for the next incarnation, until its lease ends.
 func (a *Announcer) withdraw(ctx context.Context) {
 	lease, _ := a.held()
 	own := a.table.View().Self()
--- a/internal/hosted/entry_test.go
+++ b/internal/hosted/entry_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestEntriesOfOtherWritersNameNoNode changes one thing of an entry at a time.
+// TestEntriesOfOtherWritersNameNoNode invalidates one field of an entry at a time.
 func TestEntriesOfOtherWritersNameNoNode(t *testing.T) {
 	for name, change := range map[string]func(n *fleet.Node){
 		"another identifier":        func(n *fleet.Node) { n.ID = "b" },
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestWorkersThatCannotBeUsedAreLeftOut changes one of two workers of an entry.
+// TestWorkersThatCannotBeUsedAreLeftOut invalidates one field of one of the two workers of an
+// entry.
 func TestWorkersThatCannotBeUsedAreLeftOut(t *testing.T) {
 	for name, change := range map[string]func(w *workers.Worker){
 		"no instance":               func(w *workers.Worker) { w.Instance = "" },
@@ -69,7 +70,7 @@
 	}
 }
 
-// FuzzEntry reads bytes as the entry of a node.
+// FuzzEntry decodes arbitrary bytes as the entry of a node.
 func FuzzEntry(f *testing.F) {
 	f.Add(encodeEntry(exampleRecord()))
 	f.Fuzz(func(t *testing.T, content []byte) {
--- a/internal/hosted/era.go
+++ b/internal/hosted/era.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// EraTracker follows the eras that answers of the store tell. It is safe for concurrent
-// use; the zero value has seen none.
+// EraTracker tracks the eras in the store's answers. It is safe for concurrent use; the zero value
+// has seen none.
 type EraTracker struct {
 	mu  sync.Mutex
 	era Era
@@ -11,8 +11,8 @@
 	highest uint64
 }
 
-// Observe takes the position that an answer tells. An answer of an earlier era comes late and
-// says nothing; one without an era says nothing of it.
+// Observe records the position in an answer. An answer of an earlier era is late and is ignored,
+// and so is one without an era.
 func (t *EraTracker) Observe(p Position) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/hosted/errors.go
+++ b/internal/hosted/errors.go
@@ -6,14 +6,14 @@
 
 // Types of the errors that a Source and a Directory return.
 var (
-	// ErrRefused: the store did nothing and said so; it may be throttling.
+	// ErrRefused: the store reported that it did nothing; it may be throttling.
 	ErrRefused = newType("refused")
-	// ErrUnanswered: the store said nothing. A write may have been done, or may
-	// be done later.
+	// ErrUnanswered: the store did not answer. A write may have been done, or may be done later.
 	ErrUnanswered = newType("unanswered")
-	// ErrHistoryGone: the store has forgotten what a watch asks for; read whole.
+	// ErrHistoryGone: the store no longer has the history that a watch asks for; read the full
+	// document instead.
 	ErrHistoryGone = newType("history_gone")
-	// ErrLeaseEnded: the lease is no more, and its keys with it.
+	// ErrLeaseEnded: the lease has ended, and its keys are removed.
 	ErrLeaseEnded = newType("lease_ended")
 	// ErrNoDocument: the store holds no document yet.
 	ErrNoDocument = newType("no_document")
--- a/internal/hosted/evidence.go
+++ b/internal/hosted/evidence.go
@@ -13,22 +13,22 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// What nodes find out of requests that crash workers travels in three ways. Evidence goes
-// with the news of the zone's hub, once: each worker that ends is one message at each
-// node. Comparisons find what somebody lacks, as a node does that has just started or was
-// cut off. And a decision, that a request is quarantined, stands in the records of the
-// nodes that have seen it crash a worker, and so in their entries in the store, as what
-// they promise does: the store outlasts the loss of all nodes.
-
-// evidenceBatch is how long a node collects what it finds out before it tells the
-// others: all that a worker had in hand then goes in one message.
+// What nodes learn about requests that crash workers is spread in three ways. Evidence goes with
+// the updates of the zone's hub, once: each worker that ends costs each node one message.
+// Anti-entropy exchanges deliver what a node lacks, such as one that has just started or was cut
+// off. And a decision, that a request is quarantined, is kept in the records of the nodes that have
+// seen it crash a worker, and so in their entries in the store, like their drain commitments: the
+// store outlasts the loss of all nodes.
+
+// evidenceBatch is how long a node collects evidence before it sends it to the others: all requests
+// that a worker was running then go in one message.
 const evidenceBatch = 5 * time.Millisecond
 
-// exchangedEvidence bounds the pieces of evidence that go with one comparison, some 60 bytes
-// each: 2 KB a second at most while nodes hold different evidence.
+// exchangedEvidence bounds the pieces of evidence in one anti-entropy exchange, some 60 bytes each:
+// 2 KB a second at most while nodes hold different evidence.
 const exchangedEvidence = 32
 
-// Sources of what a node knows of a request.
+// Sources of a change in what a node knows of a request, as shown in the log.
 const (
 	sourceOwnWorker           = "own worker"
 	sourceOwnCall             = "own call"
@@ -39,20 +39,19 @@
 	sourceOperator            = "operator"
 	sourceCompleteAnswer      = "whole answer"
 	sourceExpired             = "time is over"
-	// sourceHousekeeping stands for what was found when nobody told: a call that began
-	// here was lost with its worker, or the time of a quarantine is over.
+	// sourceHousekeeping stands for changes that no other source reported: a call that began here
+	// was lost with its worker, or a quarantine has expired.
 	sourceHousekeeping = ""
 )
 
-// evidence brings what this node knows of requests that crash workers to the others, and
-// takes what they tell.
+// evidence exchanges with other nodes what each knows of requests that crash workers.
 type evidence struct {
 	agent *Agent
 	table *quarantine.Table
 
 	mu      sync.Mutex
 	pending []quarantine.Report
-	// logged are the requests that are quarantined as the log has it.
+	// logged are the requests whose quarantine was last logged as in force.
 	logged map[quarantine.Fingerprint]bool
 }
 
@@ -60,7 +59,7 @@
 	return &evidence{agent: agent, table: table, logged: map[quarantine.Fingerprint]bool{}}
 }
 
-// ReportEvidence brings what this node has found out of requests to the others. It does not block.
+// ReportEvidence sends this node's findings on requests to the other nodes. It does not block.
 func (a *Agent) ReportEvidence(reports []quarantine.Report) { a.evidence.report(reports) }
 
 func (e *evidence) report(reports []quarantine.Report) {
@@ -73,7 +72,7 @@
 	}
 }
 
-// send tells the others what was collected.
+// send sends the collected reports to the other nodes.
 func (e *evidence) send(ctx context.Context) {
 	sleep(ctx, evidenceBatch)
 	e.mu.Lock()
@@ -84,7 +83,7 @@
 	e.agent.peers.announce(ctx, update{evidence: evidencewire.Reports(reports)})
 }
 
-// take takes what another node tells.
+// take merges evidence from another node.
 func (e *evidence) take(messages []*exchangepb.Evidence) {
 	if len(messages) == 0 {
 		return
@@ -102,14 +101,14 @@
 	return evidencewire.Reports(e.table.Reports(exchangedEvidence, now)), evidencewire.Verdicts(e.table.Verdicts(now))
 }
 
-// takeDecisions takes what another node holds to be decided.
+// takeDecisions adopts the decisions that another node holds.
 func (e *evidence) takeDecisions(messages []*exchangepb.Quarantine) {
 	if len(e.table.Restore(evidencewire.VerdictsOf(messages), false, time.Now())) > 0 {
 		e.review(sourceExchange)
 	}
 }
 
-// takeRecords takes the decisions that stand in the records of other nodes.
+// takeRecords adopts the decisions in the records of other nodes.
 func (e *evidence) takeRecords(nodes []fleet.Node) {
 	found := false
 	for _, n := range nodes {
@@ -120,7 +119,7 @@
 	}
 }
 
-// takePrevious takes the decisions that a former life of this node has left.
+// takePrevious adopts the decisions that a previous incarnation of this node has left.
 func (e *evidence) takePrevious(previous fleet.Node) {
 	if len(previous.Quarantined) == 0 {
 		return
@@ -129,7 +128,7 @@
 	e.review(sourcePreviousIncarnation)
 }
 
-// Lift has requests run again, on the word of an operator, at all nodes.
+// Lift lets requests run again at all nodes, on an operator's request.
 func (a *Agent) Lift(requests []quarantine.Fingerprint) { a.evidence.lift(requests) }
 
 func (e *evidence) lift(requests []quarantine.Fingerprint) {
@@ -146,7 +145,7 @@
 	e.report(reports)
 }
 
-// expire forgets what is too old.
+// expire drops evidence and decisions that are too old.
 func (e *evidence) expire() {
 	if e.table.Empty() && !e.logsAny() {
 		return
@@ -155,8 +154,8 @@
 	e.review(sourceHousekeeping)
 }
 
-// review brings the log and the own record in line with the table after it was changed
-// by the given source.
+// review updates the log and this node's record from the table after it was changed by the given
+// source.
 func (e *evidence) review(source string) {
 	now := time.Now()
 	e.log(e.table.Verdicts(now), source)
@@ -168,7 +167,8 @@
 	e.agent.config.Table.Update(func(own *fleet.Node) { own.Quarantined = confirmed })
 	e.agent.background(e.agent.spreadRecord)
 	e.agent.background(func(ctx context.Context) {
-		// Without the store the others know: it is tried again later.
+		// If the store cannot be reached, the other nodes still know the decision, and the write is
+		// retried later.
 		_ = e.agent.announcer.PersistEntry(ctx)
 	})
 }
@@ -183,7 +183,7 @@
 	return a.Fingerprint == b.Fingerprint && a.Until.Equal(b.Until)
 }
 
-// log records what has changed since the last time.
+// log logs what has changed since the last call.
 func (e *evidence) log(verdicts []quarantine.Verdict, source string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -202,7 +202,7 @@
 	e.logged = held
 }
 
-// endReason says why a quarantine has ended, by what the change came from.
+// endReason returns why a quarantine has ended, from the source of the change.
 func endReason(source string) string {
 	switch source {
 	case sourceOperator:
--- a/internal/hosted/evidence_test.go
+++ b/internal/hosted/evidence_test.go
@@ -16,18 +16,18 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// contactBound is the time after which all nodes that reach each other must know of a request
-// that crashes workers.
+// contactBound is the time after which all nodes that reach each other must know of a request that
+// crashes workers.
 const contactBound = 3 * time.Second
 
-// slots is how many requests a worker has in hand when it ends.
+// slots is how many requests a worker is running when it ends.
 const slots = 13
 
 func fingerprintOf(target string) quarantine.Fingerprint {
 	return quarantine.Request{Target: target}.Fingerprint()
 }
 
-// crash has the worker beside a node end with a request and others in hand.
+// crash has the worker beside a node end while it runs the crashing request and others.
 func (n *testNode) crash(crashing quarantine.Fingerprint, incarnation int) {
 	instance := fmt.Sprintf("%s-%d", n.table.View().Self().ID, incarnation)
 	var reports []quarantine.Report
@@ -57,7 +57,7 @@
 	return true
 }
 
-// quarantine has three workers end under a request, and waits until all nodes know.
+// quarantine has three workers crash on a request, and waits until all nodes know.
 func (m *simulated) quarantine(t *testing.T, request quarantine.Fingerprint) {
 	t.Helper()
 	for i := range 3 {
@@ -76,8 +76,8 @@
 	return sum, most
 }
 
-// TestAllNodesHearOfACrashingRequest has three workers end one after the other in meshes of
-// several sizes. It counts the messages and the time until all nodes agree.
+// TestAllNodesHearOfACrashingRequest crashes three workers one after the other in meshes of several
+// sizes. It counts the messages and measures the time until all nodes agree.
 func TestAllNodesHearOfACrashingRequest(t *testing.T) {
 	for _, size := range []int{12, 83, 295} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -99,15 +99,15 @@
 				if most := 6 * math.Log2(float64(size)); perNode > most {
 					t.Errorf("%.1f messages a node, over %.1f", perNode, most)
 				}
-				t.Logf("%d nodes: %d messages, %.2f a node, for three crashes with %d requests in hand each; all know %v after a second", size, sum-before, perNode, slots, took)
+				t.Logf("%d nodes: %d messages, %.2f a node, for three crashes with %d running requests each; all know %v after a second", size, sum-before, perNode, slots, took)
 			})
 		})
 	}
 }
 
-// TestDecisionOutlastsAllNodes quarantines a request, kills all nodes at the same moment,
-// and starts them again: what the nodes that saw the crashes have left in the store is
-// known to all.
+// TestDecisionOutlastsAllNodes quarantines a request, kills all nodes at the same moment, and
+// starts them again: all must learn the decision from the entries in the store of the nodes that
+// saw the crashes.
 func TestDecisionOutlastsAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 12
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestDecisionReachesNodesThatWereAway lets the node that saw the last crash be cut off, and
-// die cut off, and starts a node that was never there: both find out by comparison.
+// TestDecisionReachesNodesThatWereAway cuts off a node that sees a crash, restarts a node, and
+// starts one that was never there before: all learn of the quarantine by anti-entropy exchanges.
 func TestDecisionReachesNodesThatWereAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 12
@@ -170,7 +170,7 @@
 		m.quarantine(t, request)
 		report, changed := m.nodes[7].quarantine.Answered(request, time.Now())
 		if !changed {
-			t.Fatal("the answer is no news")
+			t.Fatal("the answer has changed nothing")
 		}
 		m.nodes[7].agent.ReportEvidence([]quarantine.Report{report})
 		m.within(t, contactBound, "no node holds to it", func() bool { return m.noneQuarantines(request) })
@@ -193,7 +193,7 @@
 		if !m.noneQuarantines(request) {
 			t.Error("a node has taken the quarantine up again")
 		}
-		m.within(t, time.Second, "no record tells of it", func() bool { return m.noRecordQuarantines() })
+		m.within(t, time.Second, "no record has it", func() bool { return m.noRecordQuarantines() })
 	})
 }
 
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -21,7 +21,7 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// testNode is one agent with what it was told.
+// testNode is one agent with what its parts have received.
 type testNode struct {
 	agent    *hosted.Agent
 	table    *fleet.Table
@@ -29,9 +29,9 @@
 	workers  *workers.Registry
 	events   *recorder
 	steering steering
-	// quarantine is what the node knows of requests that crash workers.
+	// quarantine holds what the node knows of requests that crash workers.
 	quarantine *quarantine.Table
-	// quotas keeps limits while limited is set.
+	// quotas enforces limits while limited is set.
 	quotas  *hosted.Quotas
 	limited atomic.Bool
 	cancel  context.CancelFunc
@@ -43,7 +43,7 @@
 	updated []workers.Worker
 	open    bool
 
-	// probed is what the worker says when it is probed; nil when it does not answer.
+	// probed is the worker's answer to a probe; nil when it does not answer.
 	probed atomic.Pointer[workers.Heartbeat]
 }
 
@@ -72,11 +72,11 @@
 	return bytes.Equal(n.content, content)
 }
 
-// recorder keeps the promises that were told.
+// recorder records drain commitments and limited tenants.
 type recorder struct {
-	mutex    sync.Mutex
-	promises map[string]int
-	// limits are the tenants that began and ended being limited, in order.
+	mutex       sync.Mutex
+	commitments map[string]int
+	// limits are the tenants that began and stopped being limited, in order.
 	limits []string
 }
 
@@ -114,13 +114,13 @@
 func (r *recorder) DrainCommitmentHeld(instance string, holders int, _ bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.promises[instance] = holders
+	r.commitments[instance] = holders
 }
 
 func (r *recorder) holders(instance string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.promises[instance]
+	return r.commitments[instance]
 }
 
 // startNode starts an agent on loopback; an empty address takes any.
@@ -148,7 +148,7 @@
 		contacts:   fleet.NewContacts(),
 		workers:    workers.NewRegistry(time.Minute),
 		quarantine: quarantine.New(quarantine.Options{}),
-		events:     &recorder{promises: map[string]int{}},
+		events:     &recorder{commitments: map[string]int{}},
 		address:    listener.Addr().String(),
 		ended:      make(chan struct{}),
 	}
@@ -180,7 +180,7 @@
 	return workers.Heartbeat{}, hosted.ErrUnanswered.New("no worker")
 }
 
-// kill ends an agent without a word to the others.
+// kill ends an agent without notice to the others.
 func (n *testNode) kill() {
 	n.cancel()
 	<-n.ended
@@ -302,7 +302,7 @@
 	nodes := startNodes(t, store, "a1", "b1", "c1")
 	nodes[0].kill()
 	store.SetFaults("", hostedstore.Faults{Silent: true})
-	testwait.Eventually(t, "the others miss it", func() bool {
+	testwait.Eventually(t, "the others take it to be lost", func() bool {
 		return !nodes[1].contacts.Reachable("a1") || !nodes[2].contacts.Reachable("a1")
 	})
 	restarted := startNode(t, store, "a1", nodes[0].address)
@@ -323,8 +323,8 @@
 	}
 }
 
-// TestAcknowledgedDrainBindsWhoeverDies kills the node that acknowledged a drain,
-// with the store down, and lets a late heartbeat come to the next life of it.
+// TestAcknowledgedDrainBindsWhoeverDies kills the node that acknowledged a drain, with the store
+// down, and sends a late heartbeat to its next incarnation.
 func TestAcknowledgedDrainBindsWhoeverDies(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1", "d1")
@@ -338,7 +338,7 @@
 	restarted := startNode(t, store, "a1", nodes[0].address)
 	mustHeartbeat(t, restarted, heartbeat("w1", 4, false))
 	if worker, known := restarted.table.View().Self().Serves("ledger"); known {
-		t.Fatalf("%v is offered before the former life is known", worker)
+		t.Fatalf("%v is offered before the previous incarnation is known", worker)
 	}
 	testwait.Eventually(t, "the restarted node is ready", restarted.agent.Ready)
 	if worker, ready := restarted.workers.Ready("ledger"); ready {
@@ -346,8 +346,8 @@
 	}
 }
 
-// TestAcknowledgedDrainOutlastsAllNodes kills every node right after a drain was
-// acknowledged: only the store can tell the next lives.
+// TestAcknowledgedDrainOutlastsAllNodes kills every node right after a drain was acknowledged: the
+// next incarnations can learn of it only from the store.
 func TestAcknowledgedDrainOutlastsAllNodes(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
@@ -367,7 +367,8 @@
 	}
 }
 
-// TestPromiseReachesTheStoreLater lets the store fail while a drain is acknowledged.
+// TestPromiseReachesTheStoreLater has the store fail while a drain is acknowledged: the commitment
+// has to be written once the store answers again.
 func TestPromiseReachesTheStoreLater(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
@@ -377,7 +378,7 @@
 	mustHeartbeat(t, nodes[0], heartbeat("w1", 5, true))
 	testwait.Eventually(t, "the store was asked", func() bool { return store.Calls() > before })
 	store.SetFaults("a1", hostedstore.Faults{})
-	testwait.Eventually(t, "the entry names the promise", func() bool {
+	testwait.Eventually(t, "the entry has the drain commitment", func() bool {
 		return bytes.Contains(store.Entry("a1"), []byte("w1"))
 	})
 }
--- a/internal/hosted/hub.go
+++ b/internal/hosted/hub.go
@@ -10,32 +10,31 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// The records of nodes travel by way of one node of each zone, its hub: a node
-// sends its record there, the hub sends what it got within a short time to the hubs
-// of the other zones and to the nodes of its own. A node then gets a bounded number
-// of messages a second, from few others, however many records change. Whatever a
-// hub takes with it when it dies is found by the next comparisons.
+// The records of nodes are sent through one node of each zone, its hub: a node sends its record to
+// the hub, and the hub sends what it received within a short time to the hubs of the other zones
+// and to the nodes of its own. A node then gets a bounded number of messages a second, from few
+// others, however many records change. What a hub has not sent when it dies is found by the next
+// anti-entropy exchanges.
 
 const (
-	// batchPerNode, times the nodes of the mesh, is the interval between two batches
-	// of a hub, up to longestBatch: a small mesh has few changes at a time, and hears
-	// of them at once.
+	// batchPerNode, times the nodes of the mesh, is the interval between two batches of a hub, up
+	// to longestBatch: a small mesh has few changes at a time, and receives them at once.
 	batchPerNode = time.Millisecond
-	// longestBatch keeps news far below the bound of a second or two that callers
-	// notice; a node then gets at most five messages a second.
+	// longestBatch keeps the delay of updates far below the second or two that callers notice; a
+	// node then gets at most five messages a second.
 	longestBatch = 200 * time.Millisecond
-	// startBatch bounds it at a hub that has started within startBatchTime: after a loss of power
-	// of many machines their calls wait for the news of workers, which cross two hubs.
-	// Each node gets up to 20 messages a second of each hub then.
+	// startBatch replaces longestBatch at a hub that has started within startBatchTime: after a
+	// loss of power of many machines, calls wait for the records of workers, which cross two hubs.
+	// Each node then gets up to 20 messages a second from each hub.
 	startBatch     = 50 * time.Millisecond
 	startBatchTime = 2 * time.Second
 )
 
-// hub hands on what the nodes of the own zone and the hubs of the others send to
-// this node, while they take it to be their hub.
+// hub forwards what the nodes of its zone and the hubs of the others send to this node, while they
+// take it to be their hub.
 type hub struct {
 	background func(work func(ctx context.Context))
-	// mesh hands on to the hubs of the other zones, zone to the own zone.
+	// mesh forwards to the hubs of the other zones, zone to the nodes of the own zone.
 	mesh, zone *relay
 }
 
@@ -46,8 +45,8 @@
 	return h
 }
 
-// batchingRelay returns a relay that sends at intervals. It does not wait for a message to
-// arrive: a node that does not answer must not hold up what the others are to know.
+// batchingRelay returns a relay that sends at intervals. It does not wait for a message to arrive:
+// a node that does not answer must not delay the others.
 func (h *hub) batchingRelay(send func(ctx context.Context, u update), interval func() time.Duration) *relay {
 	return newRelay(func(ctx context.Context, u update, _ partKey) {
 		h.background(func(ctx context.Context) { send(ctx, u) })
@@ -55,7 +54,7 @@
 	})
 }
 
-// accept takes news that reach the own zone or the whole mesh.
+// accept accepts an update for the own zone or the whole mesh.
 func (h *hub) accept(u update, reach exchangepb.Reach) {
 	h.background(func(ctx context.Context) { h.zone.forward(ctx, u, partKey{}) })
 	if reach == exchangepb.Reach_REACH_MESH {
@@ -73,7 +72,7 @@
 	return min(time.Duration(nodes)*batchPerNode, longest)
 }
 
-// Announce tells all other nodes of records, by way of the hub of the own zone.
+// Announce sends records to all other nodes, through the hub of the own zone.
 func (p *Peers) Announce(ctx context.Context, records []*exchangepb.Node) {
 	p.announce(ctx, update{nodes: records})
 }
@@ -92,7 +91,7 @@
 	}
 }
 
-// toOtherZones sends news to the hub of each other zone.
+// toOtherZones sends an update to the hub of each other zone.
 func (p *Peers) toOtherZones(ctx context.Context, u update) {
 	self := p.table.View().Self()
 	var zones sync.WaitGroup
@@ -104,8 +103,8 @@
 	zones.Wait()
 }
 
-// Replicate gives records to as many other nodes as wanted, which keep them. Taken is
-// called for each that does.
+// Replicate sends records to the wanted number of other nodes, which store them. It calls taken for
+// each node that does.
 func (p *Peers) Replicate(ctx context.Context, records []*exchangepb.Node, wanted int, taken func()) {
 	message := p.message(update{nodes: records}, exchangepb.Reach_REACH_RANGE)
 	candidates := p.reachablePeers()
@@ -121,7 +120,7 @@
 	replicas.Wait()
 }
 
-// everyNth returns each n-th of the nodes, from the given place on.
+// everyNth returns every n-th node, starting at the given index.
 func everyNth(nodes []*fleet.Node, first, n int) []*fleet.Node {
 	var chosen []*fleet.Node
 	for i := first; i < len(nodes); i += n {
--- a/internal/hosted/mesh_cost_test.go
+++ b/internal/hosted/mesh_cost_test.go
@@ -48,8 +48,8 @@
 	return true
 }
 
-// TestManyChangesGoTogether changes the records of half of a mesh within a second.
-// A node must not get a message for each of them.
+// TestManyChangesGoTogether changes the records of half of a mesh within a second. The changes must
+// be batched, not sent to each node one by one.
 func TestManyChangesGoTogether(t *testing.T) {
 	for _, size := range []int{80, 160} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -98,7 +98,7 @@
 	})
 }
 
-// TestUnchangedHeartbeatsAreNotBroadcast sends the same heartbeat again.
+// TestUnchangedHeartbeatsAreNotBroadcast sends the same heartbeat repeatedly.
 func TestUnchangedHeartbeatsAreNotBroadcast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 8)
@@ -112,7 +112,7 @@
 		}
 		time.Sleep(time.Second)
 		if now := m.sent(); now.Broadcasts != before.Broadcasts {
-			t.Errorf("%d messages for heartbeats without news", now.Broadcasts-before.Broadcasts)
+			t.Errorf("%d messages for unchanged heartbeats", now.Broadcasts-before.Broadcasts)
 		}
 	})
 }
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// TestStormOfDocumentsLeavesTheMachineToCalls takes a document each 20 ms on a machine
-// that needs 30 ms for each.
+// TestStormOfDocumentsLeavesTheMachineToCalls takes a document every 20 ms on a machine that needs
+// 30 ms for each.
 func TestStormOfDocumentsLeavesTheMachineToCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		consumer := &slowConsumer{takes: 30 * time.Millisecond}
-		documents := hosted.NewDocuments(consumer, &recorder{promises: map[string]int{}})
+		documents := hosted.NewDocuments(consumer, &recorder{commitments: map[string]int{}})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = documents.Serve(ctx) }()
 		const count = 100
--- a/internal/hosted/messages.go
+++ b/internal/hosted/messages.go
@@ -4,10 +4,9 @@
 
 // Messages counts what a node has sent to other nodes since it started.
 type Messages struct {
-	// Exchanges are questions whether another node knows the same, Broadcasts
-	// messages with news, and Records the node records in those. QuotaRequests are messages on
-	// the limits of tenants, Probes those that ask nodes that read the store whether they
-	// are there.
+	// Exchanges are the requests of anti-entropy exchanges, Broadcasts the messages with updates,
+	// and Records the node records in those. QuotaRequests are messages about the limits of
+	// tenants, Probes those that check whether the nodes that read the store answer.
 	Exchanges, Broadcasts, Records, QuotaRequests, Probes uint64
 }
 
--- a/internal/hosted/observed.go
+++ b/internal/hosted/observed.go
@@ -7,8 +7,8 @@
 	"github.com/joomcode/errorx"
 )
 
-// StoreObserver is told of each call to the store: its kind, how it ended and how
-// long it took. It must not block.
+// StoreObserver is called for each call to the store with its kind, its result and its duration. It
+// must not block.
 type StoreObserver func(call, result string, took time.Duration)
 
 // Results of calls to the store.
@@ -20,12 +20,12 @@
 	resultConflict   = "conflict"
 )
 
-// Observe returns a source and a directory whose calls are told to the observer.
+// Observe returns a source and a directory whose calls are reported to the observer.
 func Observe(source Source, directory Directory, observer StoreObserver) (Source, Directory) {
 	return observedSource{source, observer}, observedDirectory{directory, observer}
 }
 
-// resultOf names how a call ended.
+// resultOf returns the result of a call.
 func resultOf(err error) string {
 	switch {
 	case err == nil:
@@ -70,9 +70,9 @@
 }
 
 // Grant implements Directory.
-func (d observedDirectory) Grant(ctx context.Context, life time.Duration) (Lease, error) {
+func (d observedDirectory) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
 	began := time.Now()
-	lease, err := d.Directory.Grant(ctx, life)
+	lease, err := d.Directory.Grant(ctx, ttl)
 	d.observer.report("grant", began, err)
 	return lease, err
 }
--- a/internal/hosted/observed_test.go
+++ b/internal/hosted/observed_test.go
@@ -37,7 +37,7 @@
 		"renew missing", "watch refused", "read unanswered",
 	} {
 		if reported[want] != 1 {
-			t.Errorf("%q was told %d times", want, reported[want])
+			t.Errorf("%q was reported %d times", want, reported[want])
 		}
 	}
 }
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// messageBound bounds one message to another node.
+	// messageBound is the timeout of one message to another node.
 	messageBound = 700 * time.Millisecond
-	// idleMessages is how long an unused connection for messages is kept; the
-	// server keeps it longer.
+	// idleMessages is how long an unused connection for messages is kept open; the server keeps it
+	// longer.
 	idleMessages       = 20 * time.Second
 	idleServerMessages = 60 * time.Second
 	messageDialBound   = 400 * time.Millisecond
 )
 
-// Peers sends messages to other nodes and keeps what they answer.
+// Peers sends messages to other nodes and processes their answers.
 type Peers struct {
-	// started is when the process has started.
+	// started is when the process started.
 	started   time.Time
 	mesh      string
 	table     *fleet.Table
@@ -36,23 +36,23 @@
 	documents *Documents
 	events    Events
 	web       *http.Client
-	// onPrevious is called with what this node promised in onPrevious lives.
+	// onPrevious is called with the drain commitments of this node's previous incarnations.
 	onPrevious func(merged fleet.Merged, promised []*exchangepb.Worker)
-	// previousKnown is set once a node has answered that knows a former life of this one.
+	// previousKnown is set once a node has answered that knows a previous incarnation of this one.
 	previousKnown atomic.Bool
-	// contacted is set once a message went from or to another node.
+	// contacted is set once a message was exchanged with another node.
 	contacted atomic.Bool
-	// relay hands on what other nodes have sent.
+	// relay forwards what other nodes have sent.
 	relay *relay
-	// hub collects the news of the zone while this node is its hub.
+	// hub collects the updates of the zone while this node is its hub.
 	hub  *hub
 	sent messageCounters
-	// directory is read for the nodes of the zone that have just started.
+	// directory is read on behalf of the nodes of the zone that have just started.
 	directory sharedDirectory
-	// evidence takes what others know of requests that crash workers.
+	// evidence receives what other nodes know of requests that crash workers.
 	evidence *evidence
-	// onRolloutRecord is called when a record was taken that tells of a roll-out; nil where
-	// nobody orders any.
+	// onRolloutRecord is called when a record with a roll-out was merged; nil where roll-outs are
+	// not used.
 	onRolloutRecord func()
 
 	mutex   sync.Mutex
@@ -93,9 +93,8 @@
 	return client
 }
 
-// Sync compares what this node knows with another one. It reports whether the
-// other one answered. Where the records differ, only those of the differing
-// buckets travel.
+// Sync runs an anti-entropy exchange with another node. It reports whether that node answered.
+// Where the records differ, only those of the differing buckets are sent.
 func (p *Peers) Sync(ctx context.Context, node fleet.Node) bool {
 	response, answered := p.Handshake(ctx, node)
 	if !answered {
@@ -109,8 +108,8 @@
 	return err == nil
 }
 
-// Handshake is Sync without the records that differ: the other node tells what it knows of
-// former lives of this one, and the document. It reports whether the other one answered.
+// Handshake is Sync without the differing records: the other node reports what it knows of previous
+// incarnations of this one, and the document. It reports whether that node answered.
 func (p *Peers) Handshake(ctx context.Context, node fleet.Node) (*exchangepb.SyncResponse, bool) {
 	view := p.table.View()
 	response, err := p.sync(ctx, node, &exchangepb.SyncRequest{
@@ -123,8 +122,8 @@
 	return response, err == nil
 }
 
-// followUp returns what a node that has answered is to be told and asked; nil when
-// there is nothing.
+// followUp returns the request for what this node and the answering one lack; nil when they hold
+// the same.
 func (p *Peers) followUp(response *exchangepb.SyncResponse) *exchangepb.SyncRequest {
 	view := p.table.View()
 	request := &exchangepb.SyncRequest{
@@ -150,8 +149,8 @@
 	return request
 }
 
-// lackedBy returns the records of buckets that a node lacks which has told all its
-// own of them.
+// lackedBy returns the records of buckets that a node lacks which has reported all its own records
+// of them.
 func lackedBy(view *fleet.View, buckets []uint32, reported []*exchangepb.Node) []*exchangepb.Node {
 	held := make(map[string]fleet.Node, len(reported))
 	for _, n := range nodesOf(reported...) {
@@ -159,7 +158,7 @@
 	}
 	var missing []*exchangepb.Node
 	for _, n := range view.InBuckets(buckets) {
-		if other, known := held[n.ID]; !known || n.NewerThan(other) {
+		if theirs, known := held[n.ID]; !known || n.NewerThan(theirs) {
 			missing = append(missing, nodeMessage(*n))
 		}
 	}
@@ -186,11 +185,12 @@
 	return response, nil
 }
 
-// merge takes records, and hands on what is told of former lives of this node.
+// merge merges records, and passes on what was reported of previous incarnations of this node.
 func (p *Peers) merge(nodes []fleet.Node, promised []*exchangepb.Worker) []fleet.Node {
 	merged := p.table.Merge(nodes)
 	for _, id := range merged.NewIncarnations {
-		// It was lost, and others have heard from it: it need not be tried first.
+		// The node was lost, and others have heard from its new incarnation: it need not be probed
+		// first.
 		p.noteContact(id)
 	}
 	if p.onRolloutRecord != nil && slices.ContainsFunc(merged.Updates, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
--- a/internal/hosted/power_test.go
+++ b/internal/hosted/power_test.go
@@ -13,7 +13,7 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// cutOff cuts nodes off from all others, as a loss of power does, and returns the rest.
+// cutOff disconnects nodes from all others, as a loss of power does, and returns the rest.
 func (m *simulated) cutOff(chosen func(id string) bool) []*testNode {
 	var rest []*testNode
 	for n, node := range m.nodes {
@@ -31,8 +31,8 @@
 }
 
 // TestDocumentIsEverywhereSoonAlthoughMostMachinesAreSilent guards against changes that come in
-// force late: a broadcast waited for each machine that had lost power in turn, on each of its
-// levels, before it went on to one that runs.
+// force late: a broadcast waited in turn for each machine that had lost power, on each of its
+// levels, before it reached one that runs.
 func TestDocumentIsEverywhereSoonAlthoughMostMachinesAreSilent(t *testing.T) {
 	const (
 		size   = 85
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestReadersThatAreGoneTogetherAreReplaced guards against changes that stay out of force while all
-// nodes that read the store are gone: the others did not notice.
+// TestReadersThatAreGoneTogetherAreReplaced guards against changes that do not come in force while
+// all readers are lost: the other nodes did not notice that.
 func TestReadersThatAreGoneTogetherAreReplaced(t *testing.T) {
 	const (
 		size   = 85
@@ -90,8 +90,8 @@
 	})
 }
 
-// TestReadersAndThoseNextAreReplaced guards against changes that stay out of force while the nodes
-// that read the store and those that look after them are killed together.
+// TestReadersAndThoseNextAreReplaced guards against changes that do not come in force while the
+// readers and the nodes that monitor them are killed together.
 func TestReadersAndThoseNextAreReplaced(t *testing.T) {
 	const (
 		size   = 85
--- a/internal/hosted/previous.go
+++ b/internal/hosted/previous.go
@@ -11,28 +11,28 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// A node that starts may have promised, in a former life, to leave a worker alone.
-// It gives work to nobody before it knows: from nodes that have held a record of
-// that life, or from the store.
+// A node that starts may have made drain commitments in a previous incarnation. It gives work to no
+// worker before it knows them: from nodes that have held a record of that incarnation, or from the
+// store.
 
 const (
-	// previousBound is how long a starting node waits for others to tell what its
-	// former life has promised.
+	// previousBound is how long a starting node waits for others to report the drain commitments of
+	// its previous incarnation.
 	previousBound = 800 * time.Millisecond
-	// recallBound is how long a node waits for the store to tell when no node that
-	// it has met knows of a former life: all of them have just started, too, or
-	// the node is new.
+	// recallBound is how long a node waits for the store's answer when none of the nodes that it
+	// has asked knows a previous incarnation: all of them have just started, too, or the node is
+	// new.
 	recallBound = 1500 * time.Millisecond
-	// firstQueries is how many nodes a starting node asks at once, the hub of its zone among
-	// them. It exchanges records with firstTables of them only, the hub before others: when all
-	// nodes of a mesh of 985 start at once, each of those that the store names is asked by
-	// 55 others, five of six in other zones, and the hubs bring all records anyway.
+	// firstQueries is how many nodes a starting node asks at once, the hub of its zone among them.
+	// It exchanges records with firstExchanges of them only, the hub before others: when all nodes
+	// of a mesh of 985 start at once, each of those that the store lists is asked by 55 others,
+	// five of six in other zones, and the hubs deliver all records anyway.
 	firstQueries   = 3
 	firstExchanges = 1
 )
 
-// contactListed takes nodes that the store names and asks some of them. Named tells that it names
-// this node, too.
+// contactListed adds the nodes that the store lists and asks some of them. Named is set when the
+// store lists this node, too.
 func (a *Agent) contactListed(ctx context.Context, nodes []fleet.Node, named bool) {
 	a.listed.Store(true)
 	a.config.Table.Merge(nodes)
@@ -49,20 +49,20 @@
 	a.peersAskedOnce.Do(func() { close(a.peersAsked) })
 }
 
-// isZoneHub reports whether a node that the store names is the hub of its zone among all
-// those: the others of the zone ask it first.
+// isZoneHub reports whether this node, listed by the store, is the hub of its zone among all listed
+// nodes: the others of the zone ask it first.
 func isZoneHub(others []*fleet.Node, self *fleet.Node) bool {
 	return fleet.Hub(append(inZone(others, self.Zone), self)) == self
 }
 
-// inZone returns those of the nodes that are in a zone.
+// inZone returns the nodes that are in a zone.
 func inZone(nodes []*fleet.Node, zone string) []*fleet.Node {
 	return slices.DeleteFunc(slices.Clone(nodes), func(n *fleet.Node) bool { return n.Zone != zone })
 }
 
-// firstToQuery returns the nodes that are asked first: the hub of the own zone and some of
-// those that the store names. All nodes of the zone ask the hub when a whole mesh
-// starts, so that it knows them first, and they each other by it.
+// firstToQuery returns the nodes that are asked first: the hub of the own zone and some of those
+// that the store lists. All nodes of the zone ask the hub when a whole mesh starts, so that the hub
+// knows them first, and they learn of each other from it.
 func (a *Agent) firstToQuery(named []*fleet.Node) []*fleet.Node {
 	asked := pickRandom(named, firstQueries)
 	hub := fleet.Hub(inZone(named, a.config.Table.View().Self().Zone))
@@ -73,9 +73,10 @@
 	return append([]*fleet.Node{hub}, others[:min(len(others), firstQueries-1)]...)
 }
 
-// onContact takes that another node has spoken with this one. A node that has just
-// started, and cannot ask the store, learns from it, and of it who else to ask. One to which
-// the store has named nodes asks those: when all nodes start at once, each hears from some.
+// onContact is called when another node has contacted this one. A node that has just started and
+// cannot read the store learns from that node, including which others to ask. A node to which the
+// store has listed others asks those instead: when all nodes start at once, each is contacted by
+// some.
 func (a *Agent) onContact(id string) {
 	node, known := a.config.Table.View().Node(id)
 	asking := a.listed.Load() && time.Since(a.started) < recallBound
@@ -95,10 +96,9 @@
 	})
 }
 
-// queryPeers asks nodes what they know of this one, and waits for all of them: one
-// alone may have been restarted just now and lack a promise that others hold. With the
-// first of them it exchanges records, too.
-// Those that do not answer in time are lost, or have started just now, too.
+// queryPeers asks nodes what they know of this one, and waits for all of them: a single one may
+// have been restarted just now and lack a drain commitment that others hold. With the first of them
+// it exchanges records, too. Those that do not answer in time are lost, or have just started, too.
 func (a *Agent) queryPeers(ctx context.Context, nodes []*fleet.Node) {
 	bounded, cancel := context.WithTimeout(ctx, previousBound)
 	defer cancel()
@@ -118,7 +118,7 @@
 	}
 }
 
-// learnPrevious takes what former lives of this node have left with others.
+// learnPrevious adopts what previous incarnations of this node have left with other nodes.
 func (a *Agent) learnPrevious(merged fleet.Merged, promised []*exchangepb.Worker) {
 	previous := workersOf(promised)
 	if merged.PreviousSelf != nil {
@@ -132,12 +132,12 @@
 		a.refreshWorkers()
 	}
 	for _, worker := range changed {
-		a.config.Events.WorkerChanged(worker, "promised by a former life")
+		a.config.Events.WorkerChanged(worker, "drain commitment of a previous incarnation")
 	}
 }
 
-// learnFromEntry takes what an entry of the store tells of a former life of this node. It
-// may also be one of this life, whose write arrived late.
+// learnFromEntry adopts the drain commitments in an entry of the store. The entry may also be one
+// of this incarnation whose write arrived late.
 func (a *Agent) learnFromEntry(previous fleet.Node) {
 	if previous.Incarnation == a.config.Table.View().Self().Incarnation {
 		return
@@ -146,8 +146,8 @@
 	a.learnPrevious(fleet.Merged{PreviousSelf: &previous}, workerMessages(promised))
 }
 
-// markCommitmentsKnown lets the workers be given work: what former lives have promised is known
-// as far as it can be.
+// markCommitmentsKnown lets the workers be given work: the drain commitments of previous
+// incarnations are known as far as they can be.
 func (a *Agent) markCommitmentsKnown() {
 	a.commitmentsMu.Lock()
 	defer a.commitmentsMu.Unlock()
--- a/internal/hosted/prober.go
+++ b/internal/hosted/prober.go
@@ -10,36 +10,35 @@
 )
 
 const (
-	// probePause is the pause between two looks whether the worker can be
-	// asked, introductionBound how long one answer is waited for, and
-	// introductionTries how often a worker that does not answer is asked.
+	// probePause is the interval between checks whether the worker can be probed, probeBound the
+	// timeout of one probe, and probeAttempts how often a worker that does not answer is probed.
 	probePause    = 10 * time.Millisecond
 	probeBound    = 300 * time.Millisecond
 	probeAttempts = 5
 )
 
-// WorkerProbe asks the worker beside the node who it is.
+// WorkerProbe asks the worker beside the node to identify itself.
 type WorkerProbe interface {
-	// Identify returns the worker as it describes itself. The error is
-	// ErrUnanswered when no worker that takes requests has answered.
+	// Identify returns the worker's description of itself. The error is ErrUnanswered when no
+	// worker that accepts requests has answered.
 	Identify(ctx context.Context) (workers.Heartbeat, error)
 }
 
-// Prober finds out which worker is beside a node that has just started: its
-// next heartbeat may be seconds away, and until then nobody could call it. It is a
-// suture service, and ends when a worker is known.
+// Prober registers the worker beside a node that has just started: its next heartbeat may be
+// seconds away, and until then the worker could not be called. It is a suture service, and ends
+// when a worker is known.
 type Prober struct {
 	probe     WorkerProbe
 	documents *Documents
 	workers   *workers.Registry
-	// onProbed is told of the worker that has answered.
+	// onProbed is called with the registration of the worker that has answered.
 	onProbed func(ctx context.Context, change workers.Change)
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (p *Prober) String() string { return "introduction" }
 
-// Serve asks until a worker is known, or the tries are used up.
+// Serve probes until a worker is known or all attempts are used up.
 func (p *Prober) Serve(ctx context.Context) error {
 	for tries := 0; tries < probeAttempts && p.workers.Service() == ""; {
 		if p.documents.InForce() {
--- a/internal/hosted/quota.go
+++ b/internal/hosted/quota.go
@@ -17,68 +17,70 @@
 )
 
 const (
-	// quotaIdle is the time between two looks whether there are limits to keep, quotaLook
-	// that between two looks which node is the hub.
+	// quotaIdle is the interval between checks whether there are limits to enforce, quotaLook that
+	// between checks which node is the hub.
 	quotaIdle = 250 * time.Millisecond
 	quotaLook = 100 * time.Millisecond
-	// hubCandidates is how many nodes of a zone are asked whether they hold shares of former
-	// lives.
+	// hubCandidates is how many nodes of a zone are asked whether they hold shares of previous
+	// incarnations.
 	hubCandidates = 3
-	// failuresUntilLost is after how many messages without an answer the hub is taken for lost.
+	// failuresUntilLost is after how many consecutive messages without an answer the hub is taken
+	// to be lost.
 	failuresUntilLost = 3
 )
 
-// QuotaConfig sets up Quotas. All fields must be given.
+// QuotaConfig configures Quotas. All fields must be given.
 type QuotaConfig struct {
 	Table     *fleet.Table
 	Tolerance quota.Tolerance
 	// Limited reports whether any tenant of the version in force has a limit. Without
 	// one, no message is sent.
 	Limited func() bool
-	// Suspended returns for how long the machine was suspended since a moment.
+	// Suspended returns for how long the machine was suspended since the given time.
 	Suspended func(since time.Time) time.Duration
 	Events    QuotaEvents
 }
 
-// QuotaEvents is told when requests of a tenant begin and end being refused at this node.
+// QuotaEvents receives when requests of a tenant begin and stop being refused at this node.
 type QuotaEvents interface {
 	TenantLimited(tenant string, limit quota.Limit)
-	// TenantLimitEnded tells how many requests were admitted and refused meanwhile, and over
-	// what time.
+	// TenantLimitEnded reports how many requests were admitted and refused meanwhile, and over what
+	// time.
 	TenantLimitEnded(tenant string, admitted, refused uint64, took time.Duration)
 }
 
-// Quotas keeps the limits of tenants together with the other nodes. It is a suture service
-// of the Agent that it is given to.
+// Quotas enforces the limits of tenants together with the other nodes. It is a suture service of
+// the Agent that it is given to.
 type Quotas struct {
 	config  QuotaConfig
 	started time.Time
-	// suspended is for how long the machine was suspended since.
+	// suspended is for how long the machine was suspended since started.
 	suspended longestDuration
 	node      *quota.Node
 	usage     usage
-	// peers and known are set by the agent; known reports whether this node can know how
-	// many others there are.
+	// peers and known are set by the agent; known reports whether this node can know how many
+	// others there are.
 	peers *Peers
 	known func() bool
 
-	// wake is given a value when a request lacks a token, so that a message may be due.
+	// wake is signalled when a request lacks a token, so that a message may be due.
 	wake chan struct{}
-	// owners are the nodes that own a share.
+	// owners counts the nodes that own a share.
 	owners owners
-	// askGroup joins those that want to ask other hubs.
+	// askGroup merges concurrent requests to ask other hubs.
 	askGroup singleflight.Group
-	// lookedAt is when look last told q.node of the mesh.
+	// lookedAt is when look last updated node with the state of the mesh.
 	lookedAt time.Time
-	// failures counts the messages to the hub that were not answered, one after the other.
+	// failures counts the consecutive messages to the hub that were not answered.
 	failures int
 
 	mu sync.Mutex
-	// next is closed when the message that is not made yet has been answered or has failed.
+	// next is closed when the next message, which is not built yet, has been answered or has
+	// failed.
 	next chan struct{}
 }
 
-// NewQuotas returns limits that are kept once an Agent runs them.
+// NewQuotas returns limits that are enforced once an Agent runs them.
 func NewQuotas(config QuotaConfig) *Quotas {
 	q := &Quotas{config: config, started: time.Now(), wake: make(chan struct{}, 1), next: make(chan struct{})}
 	self := config.Table.View().Self()
@@ -87,13 +89,14 @@
 	return q
 }
 
-// now is the time since the process started, with that for which the machine was suspended.
+// now is the time since the process started, including the time for which the machine was
+// suspended.
 func (q *Quotas) now() time.Duration {
 	return time.Since(q.started) + q.suspended.add(q.config.Suspended(q.started))
 }
 
-// longestDuration is the longestDuration of the durations that were added. How long a machine was suspended is
-// told by the time of day as well, and tells less once that is set back; a clock that went
+// longestDuration is the longest of the durations that were added. How long a machine was suspended
+// is derived from the time of day as well, and decreases when that is set back; a clock that went
 // back with it would have two nodes use one share.
 type longestDuration struct{ nanoseconds atomic.Int64 }
 
@@ -148,7 +151,7 @@
 	}
 }
 
-// Return gives back what a request took that no worker has run; see forwarding.Quota.
+// Return gives back the token of a request that no worker has run; see forwarding.Quota.
 func (q *Quotas) Return(tenant string) { q.node.Return(q.now(), tenant) }
 
 func (q *Quotas) signal() {
@@ -158,10 +161,10 @@
 	}
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (q *Quotas) String() string { return "quotas" }
 
-// Serve speaks with the hub of the zone until the context ends, while there are limits.
+// Serve exchanges messages with the hub of the zone until the context ends, while there are limits.
 func (q *Quotas) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		q.usage.review(time.Now())
@@ -189,8 +192,8 @@
 	return min(at-now, quotaLook), at <= now
 }
 
-// look tells q.node how many nodes there are, which may have been the hub of the zone lately,
-// and which one is.
+// look updates q.node with how many nodes there are, which ones may have been the hub of the zone
+// recently, and which one is now.
 func (q *Quotas) look() {
 	if time.Since(q.lookedAt) < quotaLook {
 		return
@@ -208,10 +211,10 @@
 	q.node.SetMesh(q.now(), nodes, recent, hub.ID)
 }
 
-// recentHubs returns which of the other nodes of a zone that are reached may have been its
-// hub just now: all nodes choose the hub in the same order. A former hub that is cut off from
-// here hands out the shares of lives that have ended for as long as their leases last; a new
-// life that waited for its word would refuse whole zones after each loss of power.
+// recentHubs returns which of the other nodes of a zone that are reached may have been its hub just
+// now: all nodes choose the hub in the same order. A previous hub that is cut off from here hands
+// out the shares of ended incarnations for as long as their leases last; a new incarnation that
+// waited for its answer would refuse the requests of whole zones after each loss of power.
 func recentHubs(reached []*fleet.Node) []string {
 	var ids []string
 	for _, n := range fleet.Hubs(reached) {
@@ -222,7 +225,7 @@
 	return ids
 }
 
-// exchange sends the next message to the hub, and takes its answer.
+// exchange sends the next message to the hub, and processes its answer.
 func (q *Quotas) exchange(ctx context.Context) {
 	q.mu.Lock()
 	to, request := q.node.Request(q.now())
@@ -244,15 +247,15 @@
 	q.node.Answered(q.now(), answerOf(response))
 }
 
-// message returns a request as it is sent. It may go to several nodes at the same time.
+// message returns a request as a message. It may be sent to several nodes at the same time.
 func (q *Quotas) message(request quota.Request) *exchangepb.BorrowRequest {
 	message := borrowMessage(request)
 	message.Mesh = q.peers.mesh
 	return message
 }
 
-// failed notes that the hub has not answered. Once is not enough to take it for lost: these
-// messages wait for a shorter time than others, and a hub may be busy.
+// failed records that the hub has not answered. One failure is not enough to take it to be lost:
+// these messages have a shorter timeout than others, and a hub may be busy.
 func (q *Quotas) failed(hub string, err error) {
 	q.failures++
 	if refused(err) || q.failures >= failuresUntilLost {
@@ -262,7 +265,8 @@
 	q.lookedAt = time.Time{}
 }
 
-// askOthers asks hubs of other zones for what this one lacks, and waits for a bounded time.
+// askOthers asks hubs of other zones for the tokens that this one lacks, and waits for a bounded
+// time.
 func (q *Quotas) askOthers(ctx context.Context) {
 	done := q.askGroup.DoChan("", func() (any, error) {
 		q.askRounds()
@@ -271,8 +275,8 @@
 	wait(ctx, done, quota.AskWait)
 }
 
-// askRounds asks some hubs, and others where these had too little. What comes after those
-// that wait have gone serves the next ones.
+// askRounds asks some hubs, and then others if these had too little. Tokens that arrive after the
+// waiting requests have given up serve the next ones.
 func (q *Quotas) askRounds() {
 	for round := range quota.AskRounds {
 		hubs := q.otherHubs()
@@ -302,7 +306,7 @@
 	return pickRandom(hubs, quota.HubsPerRound)
 }
 
-// ask asks each of the hubs for its part.
+// ask asks each of the hubs for an equal part.
 func (q *Quotas) ask(hubs []*fleet.Node, demands []quota.Demand) {
 	for i := range demands {
 		demands[i].Requested /= float64(len(hubs))
@@ -324,7 +328,7 @@
 	asked.Wait()
 }
 
-// serve answers another node.
+// serve answers a request of another node.
 func (q *Quotas) serve(ctx context.Context, message *exchangepb.BorrowRequest) *exchangepb.BorrowResponse {
 	request := requestOf(message)
 	if message.GetMove() {
@@ -338,7 +342,7 @@
 	return answerMessage(answer)
 }
 
-// borrow sends a message of quotas to another node, and waits for the answer as long as bound.
+// borrow sends a message about quotas to another node, and waits for the answer for at most bound.
 func (p *Peers) borrow(ctx context.Context, node fleet.Node, request *exchangepb.BorrowRequest, bound time.Duration) (*exchangepb.BorrowResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
@@ -351,8 +355,8 @@
 	return response, nil
 }
 
-// refused reports whether an error says that the connection was refused: the process there
-// has ended, or a link is cut that says so.
+// refused reports whether an error says that the connection was refused: the process there has
+// ended, or a link is cut in such a way.
 func refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Borrow implements exchangepb.Exchange.
--- a/internal/hosted/quota_bench_test.go
+++ b/internal/hosted/quota_bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/levertide/levertide/internal/exchangepb"
 )
 
-// BenchmarkBorrow is one message of a node to its hub and the answer, over loopback, both ends
-// counted. Bytes are those of the message and the answer without the heads of HTTP.
+// BenchmarkBorrow measures one message of a node to its hub and the answer, over loopback, with the
+// cost of both ends. Bytes are those of the message and the answer without the HTTP headers.
 func BenchmarkBorrow(b *testing.B) {
 	for _, wants := range []int{0, 3, 20} {
 		b.Run(fmt.Sprint(wants), func(b *testing.B) {
--- a/internal/hosted/quota_clock_test.go
+++ b/internal/hosted/quota_clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestQuotaClockNeverGoesBack has the time of day be set back after the machine was suspended:
-// the suspension is then no longer told.
+// TestQuotaClockNeverGoesBack sets the time of day back after the machine was suspended: the
+// suspension is then no longer reported.
 func TestQuotaClockNeverGoesBack(t *testing.T) {
 	suspended := 3 * time.Second
 	q := &Quotas{started: time.Now(), config: QuotaConfig{Suspended: func(time.Time) time.Duration { return suspended }}}
--- a/internal/hosted/quota_messages.go
+++ b/internal/hosted/quota_messages.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// errNoQuotas answers a node that asks for tokens where no limits are kept.
+// errNoQuotas answers a node that asks for tokens where no limits are enforced.
 var errNoQuotas = twirp.NewError(twirp.Unimplemented, "this node keeps no limits")
 
 func borrowMessage(r quota.Request) *exchangepb.BorrowRequest {
@@ -24,7 +24,7 @@
 	return message
 }
 
-// requestOf leaves out wants that no node makes.
+// requestOf leaves out demands without a limit, which no node makes.
 func requestOf(message *exchangepb.BorrowRequest) quota.Request {
 	r := quota.Request{Node: message.GetSender(), Incarnation: message.GetLife(), Number: message.GetNumber(), Stamp: stampOf(message.GetStamp()), Share: amount(message.GetShare()), HoldsLeasedShares: message.GetPooled()}
 	for _, w := range message.GetWants() {
@@ -70,13 +70,13 @@
 	return quota.Stamp{Incarnation: message.GetLife(), At: time.Duration(message.GetAtNs())}
 }
 
-// microseconds rounds up, so that no wait becomes none.
+// microseconds rounds up, so that no positive wait becomes zero.
 func microseconds(d time.Duration) uint32 {
 	us := (d + time.Microsecond - 1) / time.Microsecond
 	return uint32(min(max(us, 0), math.MaxUint32))
 }
 
-// amount returns a number of tokens: zero for what is negative, infinite or no number.
+// amount returns a number of tokens: zero for a negative or infinite number or NaN.
 func amount(x float64) float64 {
 	if math.IsNaN(x) || math.IsInf(x, 0) {
 		return 0
--- a/internal/hosted/quota_owners.go
+++ b/internal/hosted/quota_owners.go
@@ -7,11 +7,11 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// owners tells how many nodes own a share of the limits. Nodes that are lost count, also those
+// owners counts how many nodes own a share of the limits. Nodes that are lost count, also those
 // that refuse connections: they may be cut off and spend their share. Nodes that have left as
-// planned do not, once the lease of their share is over.
+// planned do not, once the lease of their share has ended.
 type owners struct {
-	// left are those that have left, by since when this node knows it.
+	// left are the nodes that have left, with when this node learned of it.
 	left map[string]time.Time
 }
 
--- a/internal/hosted/quota_parallel_test.go
+++ b/internal/hosted/quota_parallel_test.go
@@ -10,8 +10,8 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// TestLimitIsTakenByManyAtOnce has many callers at three nodes of two zones at the same time,
-// over a real network.
+// TestLimitIsTakenByManyAtOnce has many concurrent callers at three nodes of two zones, over a real
+// network.
 func TestLimitIsTakenByManyAtOnce(t *testing.T) {
 	nodes := startNodes(t, newStore(), "a1", "a2", "b1")
 	for _, n := range nodes {
@@ -33,7 +33,7 @@
 				for range 5 {
 					switch wait, ok := n.quotas.Take(t.Context(), "acme", limit); {
 					case !ok && wait <= 0:
-						t.Errorf("refused without a time to come back")
+						t.Errorf("refused without a time to retry after")
 					case !ok:
 						refused.Add(1)
 					case i%2 == 0:
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestHubAsksSeveralZonesAtOnce has a node that lacks tokens ask the hubs of two other zones
-// at the same time. The burst of each zone is a third of that of the limit.
+// TestHubAsksSeveralZonesAtOnce has a node that lacks tokens ask the hubs of two other zones at the
+// same time. Each zone has a third of the burst of the limit.
 func TestHubAsksSeveralZonesAtOnce(t *testing.T) {
 	nodes := startNodes(t, newStore(), "a1", "b1", "c1")
 	for _, n := range nodes {
--- a/internal/hosted/quota_test.go
+++ b/internal/hosted/quota_test.go
@@ -14,7 +14,7 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// limit has all nodes keep limits.
+// limit has all nodes enforce limits.
 func (m *simulated) limit() {
 	for _, n := range m.nodes {
 		n.limited.Store(true)
@@ -22,7 +22,7 @@
 }
 
 // requests sends requests of a tenant for a time at a steady rate, each to the node that pick
-// names by its number, and returns when those were admitted that were.
+// returns for its index, and returns when the admitted ones were admitted.
 func (m *simulated) requests(t *testing.T, limit quota.Limit, rate float64, length time.Duration, pick func(i int) *testNode) (admitted []time.Time, sent int) {
 	var mu sync.Mutex
 	var open sync.WaitGroup
@@ -45,7 +45,8 @@
 
 func (m *simulated) any(i int) *testNode { return m.nodes[i*7%len(m.nodes)] }
 
-// withinLimit fails the test when a window exceeds the limit by more than a tenth and twenty.
+// withinLimit fails the test when any time window exceeds the limit by more than a tenth plus
+// twenty.
 func withinLimit(t *testing.T, limit quota.Limit, admitted []time.Time) {
 	t.Helper()
 	for i, from := range admitted {
@@ -58,7 +59,7 @@
 	}
 }
 
-// TestLimitOfAllNodes keeps a limit in a mesh of twelve nodes in four zones.
+// TestLimitOfAllNodes enforces a limit in a mesh of twelve nodes in four zones.
 func TestLimitOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 12)
@@ -86,12 +87,13 @@
 			time.Sleep(6 * time.Second)
 		}
 		if events := m.nodes[5].events; !slices.Contains(events.limits, "acme limited") || events.limits[len(events.limits)-1] != "acme ended" {
-			t.Errorf("told: %v", events.limits)
+			t.Errorf("limit events: %v", events.limits)
 		}
 	})
 }
 
-// TestLimitThatIsTakenAwayEnds has a version without limits come while a tenant is refused.
+// TestLimitThatIsTakenAwayEnds puts a version without limits in force while requests of a tenant
+// are refused.
 func TestLimitThatIsTakenAwayEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 2)
@@ -104,7 +106,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		if limits := n.events.limits; !slices.Equal(limits, []string{"acme limited", "acme ended"}) {
-			t.Errorf("told: %v", limits)
+			t.Errorf("limit events: %v", limits)
 		}
 		if read := n.quotas.Reading().Tenants; len(read) != 1 || read[0].Limited {
 			t.Errorf("metrics show %+v", read)
@@ -112,7 +114,8 @@
 	})
 }
 
-// TestLimitHoldsWhileNodesEnd ends a hub, then all nodes, under ten times the limit.
+// TestLimitHoldsWhileNodesEnd restarts the nodes one by one, hubs included, then all at once, under
+// ten times the limit.
 func TestLimitHoldsWhileNodesEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 12)
@@ -144,8 +147,8 @@
 	})
 }
 
-// TestMeshWithoutLimitsSendsNothing counts messages of a mesh with no limit, and of one whose
-// tenants with limits do not call.
+// TestMeshWithoutLimitsSendsNothing counts the messages of a mesh without limits, and of one whose
+// tenants with limits send no requests.
 func TestMeshWithoutLimitsSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 12)
@@ -165,8 +168,8 @@
 	})
 }
 
-// TestNodeWithoutContactToOthersAdmitsNothing has a node that knows of others and has heard of
-// none: it cannot know how many share the limits.
+// TestNodeWithoutContactToOthersAdmitsNothing has a node restart without contact to other nodes or
+// the store: it cannot know how many nodes share the limits.
 func TestNodeWithoutContactToOthersAdmitsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(time.Minute) })
--- a/internal/hosted/quota_usage.go
+++ b/internal/hosted/quota_usage.go
@@ -8,38 +8,37 @@
 )
 
 const (
-	// limitEndDelay is how long no request of a tenant must be refused until it counts as
-	// not limited any more.
+	// limitEndDelay is how long no request of a tenant must have been refused until the tenant
+	// counts as no longer limited.
 	limitEndDelay = 5 * time.Second
-	// namedTenants bounds the tenants that metrics tell apart; OtherTenants stands for the
-	// rest.
+	// namedTenants bounds the tenants that metrics list by name; OtherTenants stands for the rest.
 	namedTenants = 100
-	// OtherTenants is the name under which the further ones are summed up.
+	// OtherTenants is the name under which the rest are summed up.
 	OtherTenants = "(others)"
 )
 
-// TenantUsage is what became of the requests of a tenant at this node since it started.
+// TenantUsage counts the requests of a tenant at this node since it started.
 type TenantUsage struct {
 	Tenant            string
 	Admitted, Refused uint64
-	// Limited tells that requests are refused at present.
+	// Limited is set while requests are being refused.
 	Limited bool
 }
 
-// usage counts what became of requests, by tenant. It is safe for concurrent use.
+// usage counts admitted and refused requests by tenant. It is safe for concurrent use.
 type usage struct {
 	events QuotaEvents
 
 	mu      sync.Mutex
 	tenants map[string]*tenantCounts
-	// order are the tenants in the order in which they came.
+	// order are the tenants in the order of their first requests.
 	order []string
 }
 
 type tenantCounts struct {
 	admitted, refused uint64
-	// since is when requests began to be refused, zero while none is; last is when one was
-	// refused last.
+	// since is when requests began to be refused, zero while none is; last is when the last one was
+	// refused.
 	since, last time.Time
 	// admittedBefore and refusedBefore are the counts at since, admittedAtLast that at last.
 	admittedBefore, refusedBefore uint64
@@ -72,7 +71,7 @@
 	c.last, c.admittedAtLast = now, c.admitted
 }
 
-// review notes which tenants are not limited any more.
+// review ends the limited state of tenants that have had no refusal for limitEndDelay.
 func (u *usage) review(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -84,7 +83,7 @@
 	}
 }
 
-// read returns the first tenants by name, and all others together.
+// read returns the first namedTenants by name, and the sum of all others.
 func (u *usage) read() []TenantUsage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -107,15 +106,15 @@
 	return read
 }
 
-// QuotaReading is what a node has and has decided of limits.
+// QuotaReading is a node's state of limits, for metrics.
 type QuotaReading struct {
 	Tenants  []TenantUsage
 	Holdings quota.Holdings
-	// SinceHubAnswered is how long ago the hub of the zone has last answered; zero at the hub.
+	// SinceHubAnswered is how long ago the hub of the zone last answered; zero at the hub.
 	SinceHubAnswered time.Duration
 }
 
-// Reading returns what metrics show.
+// Reading returns the state that metrics show.
 func (q *Quotas) Reading() QuotaReading {
 	now := q.now()
 	return QuotaReading{Tenants: q.usage.read(), Holdings: q.node.Holdings(now), SinceHubAnswered: q.node.SinceHubAnswered(now)}
--- a/internal/hosted/reader.go
+++ b/internal/hosted/reader.go
@@ -14,85 +14,83 @@
 const (
 	// readerCount is how many nodes watch the store.
 	readerCount = 3
-	// watchWait is how long one watch is held. It bounds how long a store that
-	// went silent, and came back, goes unnoticed: when all readers are cut off at
-	// once, a document is everywhere 2.25 s later at most (simulated time, 60 nodes,
-	// 120 cuts), and not within 2.5 s when watches are held for as long as that.
+	// watchWait is how long one watch is held. It bounds how long it goes unnoticed that a store
+	// became unresponsive and recovered: when all readers are cut off at once, a document is
+	// everywhere 2.25 s later at most (simulated time, 60 nodes, 120 cuts), and not within 2.5 s
+	// when watches are held for as long as that.
 	watchWait = 800 * time.Millisecond
-	// secondaryWatchWait is how long the readers hold their watches that are not the first.
-	// News come through a watch at once, however long it is held. That all readers
-	// are cut off has to be noticed by one of them only: the others need not ask the
-	// store as often (1.65 calls a second of three readers in place of 3).
+	// secondaryWatchWait is how long the readers other than the first hold their watches. Updates
+	// arrive through a watch at once, however long it is held. That all readers are cut off has to
+	// be noticed by one of them only: the others need not ask the store as often (1.65 calls a
+	// second of three readers instead of 3).
 	secondaryWatchWait = 5 * time.Second
-	// answerBound is how long the store may take beyond that.
+	// answerBound is how long the store may take beyond the wait of a watch, or to answer a read.
 	answerBound = time.Second
-	// roleInterval is how often a node looks whether it is its turn to read.
+	// roleInterval is how often a node checks whether it is one of the readers.
 	roleInterval = 250 * time.Millisecond
-	// retryPause is the mean pause before a store that failed is tried again, in
-	// a mesh of up to pauseNodes; in larger ones it grows with the nodes, so that
-	// all together try no more often.
+	// retryPause is the mean pause before a store that failed is tried again, in a mesh of up to
+	// pauseNodes; in larger ones it grows with the nodes, so that all together try no more often.
 	retryPause = 400 * time.Millisecond
 	pauseNodes = 12
-	// peersBound is how long a node that starts waits at most for the nodes that it
-	// meets before it reads the store itself: they answer within some milliseconds,
-	// and those that start, too, say at once that they have no document.
+	// peersBound is how long a node that starts waits at most for the nodes that it asks before it
+	// reads the store itself: they answer within some milliseconds, and those that are starting,
+	// too, answer at once that they have no document.
 	peersBound = 300 * time.Millisecond
-	// firstReadPerNode, times the nodes known, is the time over which the nodes of a
-	// mesh that starts for the first time come to read, up to longestFirstRead: one
-	// of them reads every few milliseconds and hands the document to all others.
+	// firstReadPerNode, times the nodes known, is the time over which the nodes of a mesh that
+	// starts for the first time read the store, up to longestFirstRead: one of them reads every few
+	// milliseconds and sends the document to all others.
 	firstReadPerNode = 25 * time.Millisecond
 	longestFirstRead = 5 * time.Second
-	// hubWaitLimit is how long the hub of a zone waits for others to hand it the document
-	// before it reads: those that run answer within some milliseconds, and when all
-	// start, the zone waits for its hub.
+	// hubWaitLimit is how long the hub of a zone waits to be sent the document before it reads the
+	// store: running nodes answer within some milliseconds, and when all start, the zone waits for
+	// its hub.
 	hubWaitLimit = 50 * time.Millisecond
-	// hubHeadStart is how long nodes that start leave it to the hub of their zone to read
-	// the document: it takes a read of the store and one or two hops until they have
-	// it. When all nodes start at once, those that do not know each other yet would read
-	// side by side: 91 of 985 nodes with a spread alone (simulated time).
+	// hubHeadStart is how long nodes that start leave it to the hub of their zone to read the
+	// document: it takes a read of the store and one or two hops until they have it. When all nodes
+	// start at once, those that do not know each other yet would all read the store: 91 of 985
+	// nodes did with a random spread alone (simulated time).
 	hubHeadStart = 150 * time.Millisecond
 	// restartReadPerNode, times the nodes known, is the time over which nodes that start
-	// at the same moment come to read, up to longestHerdRead: a few milliseconds after
-	// the first has read, it has told the others.
+	// simultaneously read the store, up to longestRestartRead: a few milliseconds after the first
+	// has read, it has sent the document to the others.
 	restartReadPerNode = time.Millisecond
 	longestRestartRead = 100 * time.Millisecond
-	// longestRetryPause bounds that pause.
+	// longestRetryPause bounds the pause that starts from retryPause.
 	longestRetryPause = 20 * time.Second
 )
 
-// Reader watches the store while it is this node's turn. It is a suture service.
+// Reader watches the store while this node is one of its readers. It is a suture service.
 type Reader struct {
 	source    Source
 	documents *Documents
 	table     *fleet.Table
 	contacts  *fleet.Contacts
 	events    Events
-	// peersAsked is closed when the first nodes that were met have answered, and
-	// firstStart tells that the whole mesh starts.
+	// peersAsked is closed when the first nodes that were asked have answered or timed out, and
+	// firstStart is set when the whole mesh starts for the first time.
 	peersAsked <-chan struct{}
 	// isZoneHub reports whether the others of the zone ask this node first.
 	isZoneHub  func() bool
 	firstStart bool
-	// spread hands a new document to all nodes, and announce this node's record.
+	// spread sends a new document to all nodes, and announce this node's record.
 	spread, announce func(ctx context.Context)
 
-	// orders reads the orders on roll-outs, which rollouts takes; nil where nobody
-	// orders any.
+	// orders reads the roll-out orders, which rollouts receives; nil where roll-outs are not used.
 	orders   func(ctx context.Context) ([]Order, error)
 	rollouts *Rollouts
 
-	// after is the position to watch from; the zero one reads whole. ordersDue tells that
-	// the orders are to be read before that watch.
+	// after is the position to watch from; at the zero position the document is read in full.
+	// ordersDue is set when the orders are to be read before that watch.
 	after     Position
 	ordersDue bool
 	reads     bool
-	// first tells that this node is the first of the readers.
+	// first is set when this node is the first of the readers.
 	first bool
-	// waited is set once the node has waited for others before it watches.
+	// waited is set once the node has waited for others before its first watch.
 	waited bool
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (r *Reader) String() string { return "reader" }
 
 // Serve reads the store until the context ends.
@@ -106,8 +104,8 @@
 			r.after = Position{}
 			sleep(ctx, roleInterval)
 		case r.after != Position{} && !r.waited:
-			// A node that has just started knows nobody, and would watch although
-			// others read for all.
+			// A node that has just started knows nobody, and would watch although others read on
+			// behalf of all.
 			r.waited = true
 			sleep(ctx, roleInterval)
 		default:
@@ -117,12 +115,12 @@
 	return ctx.Err()
 }
 
-// awaitPeers gives other nodes the time to hand the document over, so that a herd
-// that starts does not read the store node by node.
+// awaitPeers gives other nodes the time to send the document, so that nodes that start
+// simultaneously do not all read the store.
 func (r *Reader) awaitPeers(ctx context.Context) {
 	bound, headStart := peersBound, hubHeadStart
 	if r.firstStart {
-		// Nodes come over startSpread, and the first know few others.
+		// Nodes start calling over startSpread, and the first know few others.
 		bound, headStart = bound+startSpread, startSpread
 	}
 	if r.firstStart {
@@ -142,8 +140,7 @@
 	r.awaitDocument(ctx, nil, rand.N(spread))
 }
 
-// awaitDocument waits for a document, until the channel is closed or for at most the
-// given time.
+// awaitDocument waits for a document, until the channel is closed, for at most the given time.
 func (r *Reader) awaitDocument(ctx context.Context, done <-chan struct{}, bound time.Duration) {
 	t := time.NewTimer(bound)
 	defer t.Stop()
@@ -155,7 +152,7 @@
 	}
 }
 
-// isReader reports whether this node is one of those that read for all.
+// isReader reports whether this node is one of those that read on behalf of all.
 func (r *Reader) isReader() bool {
 	view := r.table.View()
 	own := view.Self().ID
@@ -201,8 +198,8 @@
 			r.rollouts.TakeOrders(watched.Orders)
 		}
 		if watched.Superseded > 0 {
-			// Documents come faster than the link carries them: a watch from here
-			// would bring each of them, a read brings only the newest.
+			// Documents arrive faster than the link carries them: a watch from here would return
+			// each of them, a read only the newest.
 			r.after = Position{}
 		}
 		if watched.Document != nil {
@@ -211,14 +208,14 @@
 	}
 }
 
-// read reads the document whole. It reports whether the store answered.
+// read reads the full document. It reports whether the store answered.
 func (r *Reader) read(ctx context.Context) bool {
 	bounded, cancel := context.WithTimeout(ctx, answerBound)
 	defer cancel()
 	document, next, err := r.source.Read(bounded)
 	switch {
 	case errorx.IsOfType(err, ErrNoDocument):
-		// Whoever finds the first document tells the others.
+		// The node that finds the first document sends it to the others.
 		r.awaitDocument(ctx, nil, jittered(r.scaledToMesh(roleInterval)))
 		return true
 	case err != nil:
@@ -231,9 +228,9 @@
 	return true
 }
 
-// readOrders reads the orders that a watch from here would not bring: only nodes that
-// watch need them, and most that read the document once do not. It reports whether the
-// store answered.
+// readOrders reads the orders that a watch from here would not return: only nodes that watch need
+// them, and most nodes that read the document once never watch. It reports whether the store
+// answered.
 func (r *Reader) readOrders(ctx context.Context) bool {
 	bounded, cancel := context.WithTimeout(ctx, answerBound)
 	defer cancel()
@@ -253,8 +250,8 @@
 	}
 }
 
-// storeLost tells the other nodes that this one does not reach the store, so that
-// another takes its part.
+// storeLost announces that this node does not reach the store, so that another becomes a reader in
+// its place.
 func (r *Reader) storeLost(ctx context.Context, err error) {
 	if ctx.Err() != nil || !r.table.View().Self().ReadsStore {
 		return
@@ -280,8 +277,8 @@
 	return jittered(min(r.scaledToMesh(retryPause), longestRetryPause))
 }
 
-// scaledToMesh returns a pause that all nodes make in place of the given one, which suits a
-// mesh of up to pauseNodes: all together then call no more often than those.
+// scaledToMesh scales a pause that suits a mesh of up to pauseNodes to the size of this one, so
+// that all nodes together call no more often than those would.
 func (r *Reader) scaledToMesh(pause time.Duration) time.Duration {
 	nodes := len(r.table.View().Nodes())
 	return pause * time.Duration(max(nodes, pauseNodes)) / pauseNodes
@@ -292,7 +289,7 @@
 	return mean/2 + time.Duration(rand.Int64N(int64(mean)+1))
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for the given time, or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/hosted/reader_test.go
+++ b/internal/hosted/reader_test.go
@@ -8,8 +8,7 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// burstSource answers its first watch with the last of several documents, and
-// counts the calls.
+// burstSource answers its watches with the last of several documents, and counts the calls.
 type burstSource struct {
 	reads, watches int
 }
@@ -28,8 +27,8 @@
 
 func (s *burstSource) Era() Era { return Era{} }
 
-// TestReaderThatFallsBehindReadsTheNewest expects a read, not a further watch,
-// after a watch that brought several documents.
+// TestReaderThatFallsBehindReadsTheNewest expects a read instead of a further watch after a watch
+// that returned several documents.
 func TestReaderThatFallsBehindReadsTheNewest(t *testing.T) {
 	source := &burstSource{}
 	documents := NewDocuments(&recordingConsumer{}, discardEvents{})
--- a/internal/hosted/recall.go
+++ b/internal/hosted/recall.go
@@ -11,30 +11,31 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// After a loss of power of many machines no node knows what former lives of the others
-// have promised: only the store does. One read of the directory tells that of all nodes,
-// so that those of a zone ask one of its hubs, which reads for all who ask at the same time.
+// After a loss of power of many machines no node knows the drain commitments of the others'
+// previous incarnations: only the store does. One read of the directory returns those of all nodes,
+// so the nodes of a zone ask one of its hubs, which reads on behalf of all that ask at the same
+// time.
 
 const (
-	// recallGather is how long the hub waits for further nodes that ask before it
-	// reads. It reads 40 times a second at most, however many nodes start: after a loss of
-	// power of 985 nodes 8 reads in place of 961 (simulated time).
+	// recallGather is how long the hub waits for further requests before it reads. It reads 40
+	// times a second at most, however many nodes start: 8 reads instead of 961 after a loss of
+	// power of 985 nodes (simulated time).
 	recallGather = 20 * time.Millisecond
-	// recallAnswerBound is how long a node waits for the hub before it asks the
-	// store itself: what the hub gathers, a read of the store, and the way.
+	// recallAnswerBound is how long a node waits for the hub before it asks the store itself: the
+	// hub's recallGather, a read of the store, and the round trip.
 	recallAnswerBound = 250 * time.Millisecond
 )
 
-// sharedDirectory reads the whole directory for all that ask at the same time. A read
-// answers those that asked before it began: an earlier one might lack what a former life
-// has written just before its end.
+// sharedDirectory reads the whole directory on behalf of all callers at the same time. A read
+// answers the calls that were made before it began: an earlier read might lack what a previous
+// incarnation has written just before its end.
 type sharedDirectory struct {
 	list func(ctx context.Context) ([]Entry, error)
 
 	mu sync.Mutex
-	// next is the read that begins next; nil when nobody waits for one.
+	// next is the read that begins next; nil when no call waits for one.
 	next *directoryRead
-	// busy tells that run is at work.
+	// busy is set while run is running.
 	busy bool
 }
 
@@ -45,14 +46,14 @@
 	err     error
 }
 
-// entry returns the entry of a node, as read after the call began; one of revision zero
-// when there is none.
+// entry returns the entry of a node, as read after the call began; one of revision zero when there
+// is none.
 func (s *sharedDirectory) entry(ctx context.Context, id string) (Entry, error) {
 	read := s.join()
 	select {
 	case <-read.done:
 	case <-ctx.Done():
-		return Entry{}, ErrUnanswered.Wrap(ctx.Err(), "a read for all that ask")
+		return Entry{}, ErrUnanswered.Wrap(ctx.Err(), "waiting for a shared read of the directory")
 	}
 	if read.err != nil {
 		return Entry{}, read.err
@@ -76,7 +77,7 @@
 	return s.next
 }
 
-// run reads until nobody waits any more.
+// run reads the directory until no call waits any more.
 func (s *sharedDirectory) run() {
 	for {
 		time.Sleep(recallGather)
@@ -96,7 +97,7 @@
 	}
 }
 
-// take returns the read that begins now; nil when nobody waits for one.
+// take returns the read that begins now; nil when no call waits for one.
 func (s *sharedDirectory) take() *directoryRead {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,9 +119,9 @@
 	return &exchangepb.RecallResponse{Content: e.Content, Revision: e.Revision}, nil
 }
 
-// recall returns the entry of this node, as the second hub of its zone has read it, or the
-// first where there is no other; false when that has not answered. The first hub is busy with
-// the records of all.
+// recall returns the entry of this node, as read by the second hub of its zone, or by the first
+// where there is no other; false when that hub has not answered. The first hub is busy with the
+// records of all nodes.
 func (p *Peers) recall(ctx context.Context) (Entry, bool) {
 	ctx, cancel := context.WithTimeout(ctx, recallAnswerBound)
 	defer cancel()
@@ -133,7 +134,7 @@
 	}
 	response, err := p.client(hub.ControlAddress).Recall(ctx, &exchangepb.RecallRequest{Mesh: p.mesh, Sender: self.ID})
 	if err != nil {
-		// The store may not have answered the hub: that says nothing of the hub itself.
+		// The store may not have answered the hub: that does not mean that the hub is lost.
 		p.events.RecallFailed(hub.ID, err)
 		return Entry{}, false
 	}
--- a/internal/hosted/recall_test.go
+++ b/internal/hosted/recall_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// TestReadAnswersOnlyThoseThatAskedBeforeIt has a node ask while a read is under way that
-// began before.
+// TestReadAnswersOnlyThoseThatAskedBeforeIt has a node ask while an earlier read is under way.
 func TestReadAnswersOnlyThoseThatAskedBeforeIt(t *testing.T) {
 	begun, answer := make(chan struct{}), make(chan []Entry)
 	shared := sharedDirectory{list: func(context.Context) ([]Entry, error) {
@@ -25,7 +24,7 @@
 	}
 	ask("a")
 	<-begun
-	ask("b") // the read under way is older than this question
+	ask("b") // the read under way began before this call
 	shared.awaitNext(t)
 	answer <- []Entry{{ID: "a", Revision: 1}, {ID: "b", Revision: 2}}
 	if e := <-results; e.ID != "a" || e.Revision != 1 {
@@ -38,7 +37,7 @@
 	}
 }
 
-// awaitNext waits until somebody waits for the next read.
+// awaitNext waits until a call waits for the next read.
 func (s *sharedDirectory) awaitNext(t *testing.T) {
 	t.Helper()
 	for t.Context().Err() == nil {
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -8,19 +8,18 @@
 	"github.com/levertide/levertide/internal/exchangepb"
 )
 
-// partKey names the part of the own zone that news are handed on to.
+// partKey identifies the part of the own zone that an update is forwarded to.
 type partKey struct{ after, until string }
 
-// relay hands news on, to parts of the own zone or, at a hub, to all its receivers.
-// While news are on their way to a part, further ones for it are collected and go
-// together: when many nodes have news at the same time, as after a loss of power,
-// messages stay few.
+// relay forwards updates, to parts of the own zone or, at a hub, to all its receivers. While an
+// update is on its way to a part, further ones for that part are collected and sent together: when
+// many nodes have updates at the same time, as after a loss of power, messages stay few.
 type relay struct {
-	// send returns when the next news for the part may follow.
+	// send returns when the next update for the part may follow.
 	send func(ctx context.Context, u update, part partKey)
 
 	mu sync.Mutex
-	// waiting holds what is to follow, for each part with news on their way.
+	// waiting holds the update that is to follow, for each part with an update on its way.
 	waiting map[partKey]*update
 }
 
@@ -28,7 +27,7 @@
 	return &relay{send: send, waiting: map[partKey]*update{}}
 }
 
-// forward sends news to a part, or leaves them to whoever is sending there now.
+// forward sends an update to a part, or leaves it to the goroutine that is sending there now.
 func (r *relay) forward(ctx context.Context, u update, part partKey) {
 	if r.enqueue(u, part) {
 		return
@@ -38,7 +37,7 @@
 	}
 }
 
-// enqueue adds news to those that wait, if others are on their way.
+// enqueue adds an update to the waiting one if another is on its way, and reports whether one is.
 func (r *relay) enqueue(u update, part partKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +53,7 @@
 	return busy
 }
 
-// next takes what waits for a part; nil when there is nothing, and the part is free.
+// next takes the update that waits for a part; nil when there is none, and the part is then free.
 func (r *relay) next(part partKey) *update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,7 +66,7 @@
 	return waiting
 }
 
-// add joins later news: the newest record of each node and the newest document.
+// add merges a later update: the newest record of each node and the newest document are kept.
 func (u *update) add(later update) {
 	nodes := make([]*exchangepb.Node, 0, len(u.nodes)+len(later.nodes))
 	place := map[string]int{}
@@ -82,7 +81,7 @@
 		}
 	}
 	u.nodes = nodes
-	// Messages on their way share what they carry: nothing is appended in place.
+	// Messages being sent share these slices: nothing is appended in place.
 	u.evidence = slices.Concat(u.evidence, later.evidence)
 	if later.document.GetVersion() > u.document.GetVersion() {
 		u.document = later.document
--- a/internal/hosted/relay_test.go
+++ b/internal/hosted/relay_test.go
@@ -8,7 +8,8 @@
 	"github.com/levertide/levertide/internal/testwait"
 )
 
-// TestUpdatesForABusyPartAreBatched holds the first message up and hands on more.
+// TestUpdatesForABusyPartAreBatched delays the first message and forwards further updates
+// meanwhile.
 func TestUpdatesForABusyPartAreBatched(t *testing.T) {
 	part := partKey{until: "z"}
 	sent, release := make(chan update, 8), make(chan struct{})
--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -5,23 +5,23 @@
 
 package hosted_test
 
-// The platform's store was away for two seconds and came back from a copy. Its revisions
-// began again below those that it had given out before, and two documents that operators
-// wrote then were acknowledged under such revisions. All nodes held a document with a
-// higher one, took the new documents to be older than theirs, and passed them over without
-// a word, until a third document crossed the number that they held. For 2.8 s calls were
-// handled by a version that operators had replaced twice.
+// The platform's store was unavailable for two seconds and was restored from a copy. Its revisions
+// began again below those that it had given out before, and two documents that operators wrote then
+// were acknowledged under such revisions. All nodes held a document with a higher revision, took
+// the new documents to be older than theirs, and passed them over without logging it, until a third
+// document exceeded the revision that they held. For 2.8 s calls were handled by a version that
+// operators had replaced twice.
 //
-// The readers were awake all the time: they lost the store while they watched from
-// revision 20, and each ended a watch at the moment of each write.
+// The readers were running all the time: they lost the store while they watched from revision 20,
+// and each ended a watch at the moment of each write.
 //
 //	16.0129 "store unreachable","error":"hosted.unanswered: /api/kv-watch?after=20&..."
 //	18.5512 "store reachable"
 //	24.5589 "document in force","version":34
 //
-// Nothing was logged between the last two, though versions 28 and 31 were written at 21.8
-// and 23.0 s. Nodes that tell of documents they pass over show the cause: in the mesh of 12 nodes
-// below, each of the three readers passes over the first document after the store's return.
+// Nothing was logged between the last two, though versions 28 and 31 were written at 21.8 and 23.0
+// s. With nodes that log the documents they pass over, the cause shows: in the mesh of 12 nodes
+// below, each of the three readers passes over the first document after the restore.
 //
 //	"document passed over","revision":14,"held_revision":17
 
@@ -41,8 +41,8 @@
 // documentBound is how long an acknowledged document may take to be in force everywhere.
 const documentBound = 2 * time.Second
 
-// TestDocumentsComeIntoForceAfterTheStoreCameBackFromACopy has the store away for two seconds
-// and come back without what was written in the last seconds before.
+// TestDocumentsComeIntoForceAfterTheStoreCameBackFromACopy makes the store unavailable for two
+// seconds and restores it without what was written in the last seconds before.
 func TestDocumentsComeIntoForceAfterTheStoreCameBackFromACopy(t *testing.T) {
 	for _, size := range []int{3, 12, 60} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// meshWithEntries starts a mesh and waits until the nodes that keep one have an entry.
+// meshWithEntries starts a mesh and waits until the nodes that maintain an entry have written it.
 func meshWithEntries(t *testing.T, size int) *simulated {
 	t.Helper()
 	m := startSimulated(t, size)
@@ -78,7 +78,7 @@
 	return m
 }
 
-// restoreAfterOutage has the store away for a second and come back from a copy.
+// restoreAfterOutage makes the store unavailable for a second and restores it from a copy.
 func (m *simulated) restoreAfterOutage(saved *hostedstore.Copy) {
 	m.store.SetFaults("", hostedstore.Faults{Silent: true})
 	time.Sleep(time.Second)
@@ -86,9 +86,9 @@
 	m.store.SetFaults("", hostedstore.Faults{})
 }
 
-// TestEntriesAreWrittenAgainAfterTheStoreCameBackFromACopy counts the writes and the time by
-// which what nodes keep in the store is there again: the promise of a worker's leave that the
-// copy lacks among it.
+// TestEntriesAreWrittenAgainAfterTheStoreCameBackFromACopy measures the writes and the time until
+// the nodes' entries are in the restored store again, among them a worker's drain commitment that
+// the copy lacks.
 func TestEntriesAreWrittenAgainAfterTheStoreCameBackFromACopy(t *testing.T) {
 	for _, size := range []int{12, 83, 295} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -101,11 +101,11 @@
 				promised := m.store.Entry(m.nodes[1].table.View().Self().ID)
 				entries, written := m.store.Entries(), m.store.Written()
 				m.restoreAfterOutage(saved)
-				took := m.within(t, 5*time.Second, "the entry tells the promise again", func() bool {
+				took := m.within(t, 5*time.Second, "the entry has the drain commitment again", func() bool {
 					return bytes.Contains(m.store.Entry(m.nodes[1].table.View().Self().ID), []byte("w1")) && m.store.Entries() >= entries
 				})
 				time.Sleep(10 * time.Second)
-				t.Logf("%d entries (%d bytes of the one with the promise), back after %v with %d writes", entries, len(promised), took, m.store.Written()-written)
+				t.Logf("%d entries (%d bytes of the one with the drain commitment), back after %v with %d writes", entries, len(promised), took, m.store.Written()-written)
 				if most := 3*entries + 10; m.store.Written()-written > most {
 					t.Errorf("%d writes, at most %d expected", m.store.Written()-written, most)
 				}
@@ -114,7 +114,7 @@
 	}
 }
 
-// crashAll kills all nodes at the same moment and starts their next lives.
+// crashAll kills all nodes at the same moment and starts their next incarnations.
 func (m *simulated) crashAll(t *testing.T) {
 	t.Helper()
 	for _, n := range m.nodes {
@@ -126,17 +126,18 @@
 	m.within(t, 5*time.Second, "all are ready", func() bool { return m.allKnow(len(m.nodes)) })
 }
 
-// expectNoWork sends an old heartbeat of a worker that was promised to be left alone.
+// expectNoWork sends an old heartbeat of a worker with a drain commitment, and fails the test if
+// the worker is given work.
 func (n *testNode) expectNoWork(t *testing.T) {
 	t.Helper()
 	mustHeartbeat(t, n, heartbeat("w1", 1, false))
 	if worker, ready := n.workers.Ready(""); ready {
-		t.Errorf("%+v is given work", worker)
+		t.Errorf("%+v is given work after its drain commitment", worker)
 	}
 }
 
-// TestPromiseOutlastsAReturnOfTheStoreAndThenAllNodes loses a promise with the store's return
-// from a copy, and seconds later all nodes.
+// TestPromiseOutlastsAReturnOfTheStoreAndThenAllNodes loses a drain commitment in the store by
+// restoring it from a copy, and seconds later kills all nodes.
 func TestPromiseOutlastsAReturnOfTheStoreAndThenAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := meshWithEntries(t, 12)
@@ -151,8 +152,8 @@
 	})
 }
 
-// TestLeaseOfAnEarlierEraIsNotUsed has the store give out the names of leases again: a node
-// that stops must not end the lease of another.
+// TestLeaseOfAnEarlierEraIsNotUsed has the store give out the names of leases again: a node that
+// stops must not end another node's lease.
 func TestLeaseOfAnEarlierEraIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 4)
@@ -163,7 +164,8 @@
 		m.within(t, 5*time.Second, "all have an entry again", func() bool { return m.store.Entries() == 4 })
 		time.Sleep(time.Minute)
 		m.nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
-		// Its process ends now: a node that ran on would renew its lease, and write again.
+		// Its process ends now: if it kept running it would renew its lease, and write its entry
+		// again.
 		m.nodes[0].kill()
 		time.Sleep(time.Second)
 		if entries := m.store.Entries(); entries != 3 {
@@ -172,12 +174,12 @@
 	})
 }
 
-// historyChecker checks that no node is offered an older document than before in one life.
+// historyChecker checks that no incarnation of a node is offered an older document than before.
 type historyChecker struct {
 	highest map[*testNode]int
 }
 
-// look notes what all nodes hold.
+// look records the document that each node holds.
 func (h *historyChecker) look(t *testing.T, m *simulated) {
 	t.Helper()
 	for i, n := range m.nodes {
@@ -189,7 +191,7 @@
 	}
 }
 
-// documentNumber returns the number of the document that the node holds; -1 when it is none.
+// documentNumber returns the number of the document that the node holds; -1 when it holds none.
 func (n *testNode) documentNumber() int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -200,12 +202,12 @@
 	return number
 }
 
-// TestNeverBackAndNeverStuckAcrossReturnsOfTheStore draws returns of the store from copies,
-// two of them within seconds at times, together with what else may happen: changes at a storm's
-// pace, nodes that the store turns away, answers that come late, answers that do not tell the
-// era, crashes of nodes and of all. After each return the operator writes its newest document
-// again in its own time. No node may go back, and each document that is written while the
-// store can be reached is soon everywhere.
+// TestNeverBackAndNeverStuckAcrossReturnsOfTheStore draws restores of the store from copies, two of
+// them within seconds at times, together with other disturbances: many changes in a short time,
+// nodes that the store refuses, answers that are late, answers without the era, crashes of nodes
+// and of all. After each restore the operator writes its newest document again at some later time.
+// No node may go back to an older document, and each document that is written while the store can
+// be reached must soon be everywhere.
 func TestNeverBackAndNeverStuckAcrossReturnsOfTheStore(t *testing.T) {
 	const (
 		seeds = 12
@@ -240,7 +242,7 @@
 	}
 }
 
-// disturb has one thing happen and returns the number of the newest document.
+// disturb causes one disturbance and returns the number of the newest document.
 func (m *simulated) disturb(t *testing.T, random *rand.Rand, saved **hostedstore.Copy, number int) int {
 	t.Helper()
 	target := random.IntN(len(m.nodes))
@@ -269,8 +271,8 @@
 	return number
 }
 
-// TestEntriesOfOtherWritersLeaveTheMeshAsItIs has another program write where nodes keep their
-// entries, under the keys of nodes among others, and restarts the nodes.
+// TestEntriesOfOtherWritersLeaveTheMeshAsItIs has another program write where nodes put their
+// entries, also under the keys of nodes, and restarts the nodes.
 func TestEntriesOfOtherWritersLeaveTheMeshAsItIs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 6
@@ -300,9 +302,9 @@
 	})
 }
 
-// TestPromiseKeptBeforeTheListCameOutlastsAReturnOfTheStore starts a node while the store is
-// silent to it, so that its first list comes only after it has kept a promise, and has the store
-// come back in between from a copy with the entry of its former life.
+// TestPromiseKeptBeforeTheListCameOutlastsAReturnOfTheStore starts a node while the store does not
+// answer it, so that its first list arrives only after it has written a drain commitment. In
+// between, the store is restored from a copy with the entry of the previous incarnation.
 func TestPromiseKeptBeforeTheListCameOutlastsAReturnOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := meshWithEntries(t, 6)
@@ -317,7 +319,7 @@
 		saved := m.store.Copy()
 		mustHeartbeat(t, m.nodes[0], heartbeat("w1", 2, true))
 		if !bytes.Contains(m.store.Entry(id), []byte("w1")) {
-			t.Fatal("the promise is not kept in the store")
+			t.Fatal("the drain commitment is not in the store")
 		}
 		m.store.Restore(saved)
 		time.Sleep(5 * time.Second)
@@ -326,8 +328,8 @@
 	})
 }
 
-// TestNodesWithoutTheEraRewriteTheirEntriesOnce has the store leave its era out of the answers to
-// all nodes but the readers, which tell the others.
+// TestNodesWithoutTheEraRewriteTheirEntriesOnce has the store omit its era from the answers to all
+// nodes but the readers, which report it to the others.
 func TestNodesWithoutTheEraRewriteTheirEntriesOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 12
@@ -347,8 +349,8 @@
 	})
 }
 
-// TestReturnThatOnlyStartingNodesHaveSeen has all nodes but one, which does not read the store,
-// crash while that comes back from a copy. The one has to hear of it from the others.
+// TestReturnThatOnlyStartingNodesHaveSeen crashes all nodes but one, which does not read the store,
+// while the store is restored from a copy. That one has to learn of the restore from the others.
 func TestReturnThatOnlyStartingNodesHaveSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 9
@@ -372,7 +374,7 @@
 				m.nodes[n] = m.start(t, n, false)
 			}
 		}
-		took := m.within(t, 3*time.Second, "the promise is in the store again", func() bool { return !bytes.Equal(m.store.Entry(id), lacking) })
+		took := m.within(t, 3*time.Second, "the drain commitment is in the store again", func() bool { return !bytes.Equal(m.store.Entry(id), lacking) })
 		t.Logf("after %v", took)
 	})
 }
--- a/internal/hosted/restores.go
+++ b/internal/hosted/restores.go
@@ -7,16 +7,16 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// StoreRestores counts what this node has had to do with a store that came back from copies,
-// and with other writers.
+// StoreRestores counts the effects on this node of restores of the store from a copy, and of other
+// writers.
 type StoreRestores struct {
-	// Era is the highest era of the store that the node has heard of; zero for none.
+	// Era is the highest era of the store that the node knows of; zero for none.
 	Era uint64
-	// Restores are the returns that it has heard of since it started.
+	// Restores are the restores that it has learned of since it started.
 	Restores uint64
-	// PassedOver are the documents of the store that were older than the one held.
+	// PassedOver are the store's documents that were older than the one held.
 	PassedOver uint64
-	// Rejected are the calls for workers, and the entries, that could not be used.
+	// Rejected are the calls for workers, and the entries, that were invalid.
 	Rejected uint64
 }
 
@@ -27,13 +27,13 @@
 	return StoreRestores{Era: c.era.Load(), Restores: c.restores.Load(), PassedOver: c.passedOver.Load(), Rejected: c.rejected.Load()}
 }
 
-// StoreRestores returns what has been counted since the node started.
+// StoreRestores returns the counts since the node started.
 func (a *Agent) StoreRestores() StoreRestores { return a.documents.restores.read() }
 
-// followEras finds out that the store came back from a copy, by the answers to this node or
-// the records of others, and has what this node keeps there written again. Few nodes call the
-// store, and whoever sees a new era first tells the others: that may be one that has just
-// started, and has seen no other era.
+// followEras detects that the store was restored from a copy, from the answers to this node or from
+// the records of others, and has this node's entry written again. Few nodes call the store, so
+// whichever node sees a new era first reports it to the others: that may be one that has just
+// started and has seen no other era.
 func (a *Agent) followEras() {
 	seen := a.config.Source.Era()
 	newest := seen.Number
@@ -55,8 +55,8 @@
 	a.announcer.StoreRestored(newest)
 }
 
-// recordEra takes an era into the own record, unless another node's tells it. It reports whether
-// that is news.
+// recordEra puts an era into this node's record, unless the record of some node has it already. It
+// reports whether the era was unknown.
 func (a *Agent) recordEra(era uint64) bool {
 	known := slices.ContainsFunc(a.config.Table.View().Nodes(), func(n *fleet.Node) bool { return n.StoreEra >= era })
 	if !known {
--- a/internal/hosted/rollout_lead.go
+++ b/internal/hosted/rollout_lead.go
@@ -9,19 +9,18 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// statusBound bounds one call to the store about a status.
+// statusBound is the timeout of one call to the store about a status.
 const statusBound = 500 * time.Millisecond
 
-// coordinator is one node's part as coordinator of one roll-out.
+// coordinator is the state of a node that coordinates one roll-out.
 type coordinator struct {
 	store RolloutStore
 	// era and order are the era and the revision of the order.
 	era, order uint64
 	machine    *canary.Rollout
-	// counted is what each node has told that its worker did, by node and route.
+	// counted is what each node's worker had done when it was last observed, by node and route.
 	counted map[runsKey]canary.Tally
-	// ran and failed count the requests of the new version, and reason says why it was
-	// rolled back.
+	// ran and failed count the requests of the new version, and reason is why it was rolled back.
 	ran, failed float64
 	reason      string
 	// status is the one held by the store, once known is set.
@@ -29,7 +28,7 @@
 	known  bool
 }
 
-// runsKey names one row of what a node has told.
+// runsKey identifies a reported tally: a route at one incarnation of a node.
 type runsKey struct {
 	node        string
 	incarnation uint64
@@ -45,9 +44,9 @@
 	return c
 }
 
-// decide returns the decision from now on. What is final is first of all so in the
-// store: a version that is completed there has its former workers stopped at once. A
-// roll-back is applied before, since leaving a bad version harms nobody.
+// decide returns the decision from now on. A final state is written to the store first: when the
+// store has a version as completed, its previous workers are stopped at once. A roll-back is
+// applied before it is written, since leaving a bad version harms nobody.
 func (c *coordinator) decide(ctx context.Context, view *fleet.View, held fleet.Rollout, drain time.Duration, now time.Time) fleet.Rollout {
 	if !c.known && !c.readStatus(ctx, held) {
 		return held
@@ -104,8 +103,9 @@
 	return true
 }
 
-// writeStatus has the store hold the state, unless it does. It reports whether it does
-// afterwards. A write whose answer was lost is found by its condition with the next look.
+// writeStatus has the store hold the state, unless it does already. It reports whether the store
+// holds it afterwards. A write whose answer was lost is detected by its condition with the next
+// look.
 func (c *coordinator) writeStatus(ctx context.Context, held fleet.Rollout, state canary.State) bool {
 	if c.status.State == state && c.status.Target == held.Target && c.status.Revision > held.Revision {
 		return true
@@ -121,7 +121,7 @@
 	return written
 }
 
-// observe hands the judge what workers did since the last look.
+// observe passes what workers did since the last look to the judge.
 func (c *coordinator) observe(view *fleet.View, held fleet.Rollout) canary.Progress {
 	previous, next := map[string]canary.Tally{}, map[string]canary.Tally{}
 	progress := canary.Progress{Applied: true}
@@ -163,7 +163,7 @@
 	key := runsKey{node: n.ID, incarnation: n.Incarnation, route: runs.Route}
 	did := runs.Tally.Minus(c.counted[key])
 	if did.Runs < 0 {
-		// Another worker of the same life of the node counts from its own beginning.
+		// Another worker of the same incarnation of the node starts its counts from zero.
 		did = runs.Tally
 	}
 	c.counted[key] = runs.Tally
@@ -182,7 +182,7 @@
 	return found, has
 }
 
-// rolloutOf returns what a node tells of an order.
+// rolloutOf returns the state of an order in a node's record.
 func rolloutOf(n *fleet.Node, order fleet.Rollout) (fleet.Rollout, bool) {
 	for _, reported := range n.Rollouts {
 		if reported.Service == order.Service && reported.Era == order.Era && reported.Revision == order.Revision {
--- a/internal/hosted/rollout_store.go
+++ b/internal/hosted/rollout_store.go
@@ -7,20 +7,20 @@
 	"github.com/levertide/levertide/pkg/canary"
 )
 
-// Order is the operators' wish that a service moves to another version of its workers.
+// Order is a request of the operators to move a service to another version of its workers.
 type Order struct {
 	Service, Target string
 	// Era and Revision are those of the order in the store; a later order has a higher era,
 	// or a higher revision of the same.
 	Era, Revision uint64
-	// FromCopy tells that the order may have been in the copy from which the store came back
-	// into its era: it may be older than one of an earlier era.
+	// FromCopy is set when the order may have been in the copy from which the store was restored
+	// into its era: it may be older than an order of an earlier era.
 	FromCopy bool
 	// Duration is how long the move may take.
 	Duration time.Duration
 }
 
-// RolloutStatus is what the operators read of a move.
+// RolloutStatus is the status of a move, for the operators.
 type RolloutStatus struct {
 	Service, Target string
 	State           canary.State
@@ -28,14 +28,14 @@
 	Revision uint64
 }
 
-// RolloutStore is where operators leave their orders and read what became of them.
-// Errors are ErrRefused and ErrUnanswered.
+// RolloutStore is where operators put their orders and read their status. Errors are ErrRefused and
+// ErrUnanswered.
 type RolloutStore interface {
 	// Orders returns the newest order of each service.
 	Orders(ctx context.Context) ([]Order, error)
 	// Status returns the status of a service; one of revision zero when there is none.
 	Status(ctx context.Context, service string) (RolloutStatus, error)
-	// WriteStatus writes a status, if the one held is still of the given revision, and
-	// returns the one held afterwards. When written is false, nothing was written.
+	// WriteStatus writes a status if the held one still has the given revision, and returns the one
+	// held afterwards. When written is false, nothing was written.
 	WriteStatus(ctx context.Context, s RolloutStatus) (held RolloutStatus, written bool, err error)
 }
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -11,39 +11,38 @@
 )
 
 const (
-	// rolloutTick is how often a node looks at the roll-outs that run: a bad version is
-	// to be left within seconds. While none runs a node only waits for news.
+	// rolloutTick is how often a node checks the running roll-outs: a bad version is to be left
+	// within seconds. While none runs a node only waits for updates.
 	rolloutTick = 200 * time.Millisecond
-	// runsInterval is how often a node tells what its worker did.
+	// runsInterval is how often a node publishes what its worker did.
 	runsInterval = time.Second
-	// forgetRollout is how long after its deadline a roll-out is remembered: the workers
-	// that it leaves have ended by then.
+	// forgetRollout is how long after its deadline a roll-out is remembered: the workers of the
+	// version that it leaves have ended by then.
 	forgetRollout = time.Minute
 )
 
-// Steering is the part of the node that shares requests among versions.
+// Steering is the part of the node that divides requests among versions.
 type Steering interface {
-	// Steer has the node share the requests of services by the given decisions, and of
-	// no others.
+	// Steer has the node divide the requests of services by the given decisions, and those of no
+	// other services.
 	Steer(decisions []fleet.Rollout)
-	// Runs returns what the worker beside the node did for a service since Steer named
-	// it first, by route.
+	// Runs returns what the worker beside the node did for a service since Steer first named it, by
+	// route.
 	Runs(service string) []fleet.RouteRuns
 	// LongestCall returns how long a call to the service may last.
 	LongestCall(service string) time.Duration
 }
 
-// Rollouts has a node know, apply and tell the decisions on moves of services to other
-// versions, and decide them while it is the coordinator: the node that reads the store
-// first. Decisions and what workers did travel in the nodes' records. It is a suture
-// service.
+// Rollouts has a node learn, apply and publish the decisions on moves of services to other
+// versions, and make them while it is the coordinator: the first node in the order of readers.
+// Decisions and what workers did are sent in the nodes' records. It is a suture service.
 type Rollouts struct {
 	store    RolloutStore
 	steering Steering
 	table    *fleet.Table
 	contacts *fleet.Contacts
 	events   Events
-	// announce tells the other nodes the own record.
+	// announce sends this node's record to the other nodes.
 	announce func(ctx context.Context)
 	// wake is signalled when there is something to look at.
 	wake chan struct{}
@@ -51,11 +50,11 @@
 	mu     sync.Mutex
 	orders []Order
 
-	// What follows belongs to the goroutine of Serve.
+	// The following fields are used only by the goroutine of Serve.
 
 	known        map[string]fleet.Rollout
 	coordinators map[string]*coordinator
-	// publishedAt is when the own record last told what the worker did.
+	// publishedAt is when this node's record was last updated with what the worker did.
 	publishedAt time.Time
 }
 
@@ -67,10 +66,10 @@
 	}
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (r *Rollouts) String() string { return "rollouts" }
 
-// Serve looks after roll-outs until the context ends.
+// Serve runs roll-outs until the context ends.
 func (r *Rollouts) Serve(ctx context.Context) error {
 	for {
 		r.look(ctx, time.Now())
@@ -96,7 +95,7 @@
 	}
 }
 
-// TakeOrders takes orders that the store has told.
+// TakeOrders accepts orders that the store has returned.
 func (r *Rollouts) TakeOrders(orders []Order) {
 	if len(orders) == 0 {
 		return
@@ -107,7 +106,7 @@
 	r.Signal()
 }
 
-// look brings this node up to date, and decides what is its to decide.
+// look updates this node's decisions from orders and records, and makes those that are its to make.
 func (r *Rollouts) look(ctx context.Context, now time.Time) {
 	changed := r.adoptOrders(now)
 	view := r.table.View()
@@ -145,10 +144,10 @@
 	return changed
 }
 
-// adoptAcross takes an order that the store tells after it came back from a copy. The order
-// that is held goes on when the store still has it or operators have written it again: what
-// was decided on it stays. One of another target that may be from the copy is the older of the
-// two; to follow it would move the service back. It reports whether something changed.
+// adoptAcross adopts an order that the store returns after it was restored from a copy. The held
+// order goes on when the store still has it or operators have written it again: what was decided on
+// it stays. An order with another target that may come from the copy is the older of the two;
+// following it would move the service back. It reports whether something changed.
 func (r *Rollouts) adoptAcross(held fleet.Rollout, o Order, now time.Time) bool {
 	switch {
 	case o.Target == held.Target:
@@ -160,7 +159,7 @@
 	return r.adoptOrder(o, now)
 }
 
-// adoptOrder takes an order, if it is newer than what is known. It reports whether it was.
+// adoptOrder adopts an order if it is newer than what is known. It reports whether it was.
 func (r *Rollouts) adoptOrder(o Order, now time.Time) bool {
 	adopted := r.adopt(fleet.Rollout{
 		Service: o.Service, Target: o.Target, Era: o.Era, Revision: o.Revision, Ordered: now, Deadline: now.Add(o.Duration),
@@ -171,7 +170,7 @@
 	return adopted
 }
 
-// adopt takes a decision that is newer than the one known. It reports whether it was.
+// adopt adopts a decision that is newer than the one known. It reports whether it was.
 func (r *Rollouts) adopt(reported fleet.Rollout, now time.Time) bool {
 	held, known := r.known[reported.Service]
 	if known && !reported.Supersedes(held) || now.After(reported.Deadline.Add(forgetRollout)) {
@@ -182,7 +181,7 @@
 	return true
 }
 
-// forget drops what is long over. It reports whether there was any.
+// forget drops roll-outs that ended long ago. It reports whether there were any.
 func (r *Rollouts) forget(now time.Time) bool {
 	before := len(r.known)
 	for service, held := range r.known {
@@ -194,8 +193,8 @@
 	return len(r.known) < before
 }
 
-// coordinate decides on a roll-out if this node is the coordinator. It reports whether the
-// decision has changed.
+// coordinate decides on a roll-out if this node is the coordinator. It reports whether the decision
+// has changed.
 func (r *Rollouts) coordinate(ctx context.Context, view *fleet.View, service string, now time.Time) bool {
 	held := r.known[service]
 	c, leading := r.coordinators[service]
@@ -219,14 +218,14 @@
 	return true
 }
 
-// isCoordinator reports whether this node decides. Two nodes with different views may both
-// do so for a while: what is final is decided by the store.
+// isCoordinator reports whether this node decides. Two nodes with different views may both do so
+// for a while: final states are decided by the store.
 func (r *Rollouts) isCoordinator(view *fleet.View) bool {
 	first := fleet.Readers(view, r.contacts.Reachable, 1)
 	return len(first) == 1 && first[0] == view.Self().ID
 }
 
-// decisions returns what is known, by service.
+// decisions returns the known decisions, ordered by service.
 func (r *Rollouts) decisions() []fleet.Rollout {
 	list := make([]fleet.Rollout, 0, len(r.known))
 	for _, held := range r.known {
@@ -236,7 +235,7 @@
 	return list
 }
 
-// publish writes the own record, and announces it when it says something new.
+// publish updates this node's record, and announces it when something has changed.
 func (r *Rollouts) publish(ctx context.Context, decided bool, now time.Time) {
 	r.publishedAt = now
 	list := r.decisions()
--- a/internal/hosted/rollouts_restored_test.go
+++ b/internal/hosted/rollouts_restored_test.go
@@ -9,7 +9,7 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// idleSteering shares no requests.
+// idleSteering does nothing.
 type idleSteering struct{}
 
 func (idleSteering) Steer([]fleet.Rollout)            {}
@@ -29,8 +29,8 @@
 	return wanted, true, nil
 }
 
-// TestOrdersAcrossAReturnOfTheStore tells a node, which has completed a move, what the store shows
-// after it came back from a copy.
+// TestOrdersAcrossAReturnOfTheStore has a node that has completed a move receive the orders of a
+// store that was restored from a copy.
 func TestOrdersAcrossAReturnOfTheStore(t *testing.T) {
 	now := time.Now()
 	for name, row := range map[string]struct {
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %+v", name, got)
 		}
 		if got.Era == 2 && !got.Supersedes(held) {
-			t.Errorf("%s: other nodes keep what was before", name)
+			t.Errorf("%s: other nodes would not adopt the decision", name)
 		}
 		if got.Era == 2 && got.State == canary.Completed {
 			r.look(t.Context(), now)
--- a/internal/hosted/rollouts_test.go
+++ b/internal/hosted/rollouts_test.go
@@ -20,15 +20,15 @@
 
 const (
 	previousVersion, nextVersion = "v1", "v2"
-	// rolloutTime is how long the operators give a roll-out in these tests.
+	// rolloutTime is the duration that orders allow a roll-out in these tests.
 	rolloutTime = 15 * time.Second
 )
 
-// traffic is a mesh whose service moves to another version, under requests.
+// traffic is a mesh with requests for a service that moves to another version.
 type traffic struct {
 	*simulated
 	random *rand.Rand
-	// failing is the share of requests that the next version fails, from the moment on.
+	// failing is the share of requests that the next version fails from the given time on.
 	failing float64
 	from    time.Time
 
@@ -37,7 +37,7 @@
 	dead                map[int]bool
 }
 
-// startTraffic starts a mesh of which every second node has a worker of the next version.
+// startTraffic starts a mesh in which every second node has a worker of the next version.
 func startTraffic(t *testing.T, size int, seed uint64) *traffic {
 	t.Helper()
 	tr := &traffic{simulated: startSimulated(t, size), random: rand.New(rand.NewPCG(seed, 9)), dead: map[int]bool{}}
@@ -54,7 +54,7 @@
 	return tr
 }
 
-// step has each living node send some requests by its own decision.
+// step has each living node send some requests to versions as its own decision divides them.
 func (tr *traffic) step() {
 	const each = 3
 	now := time.Now()
@@ -84,7 +84,7 @@
 	}
 }
 
-// worker draws a living node with a worker of a version.
+// worker draws a living node with a worker of the given version.
 func (tr *traffic) worker(next bool) *testNode {
 	for {
 		i := tr.random.IntN(len(tr.nodes))
@@ -94,8 +94,8 @@
 	}
 }
 
-// play sends requests until the store has a final state or the time is over, and calls
-// at with each moment. It returns the state.
+// play sends requests until the store has a final state or the time is over, and calls at in each
+// step with the time since the start. It returns the state.
 func (tr *traffic) play(at func(since time.Duration)) canary.State {
 	began := time.Now()
 	for time.Since(began) < rolloutTime+5*time.Second {
@@ -111,7 +111,8 @@
 	return tr.store.Status("ledger").State
 }
 
-// expectBounds checks what a bad version may get.
+// expectBounds checks that a bad version gets few requests, and none long after its fiftieth bad
+// answer.
 func (tr *traffic) expectBounds(t *testing.T) {
 	t.Helper()
 	const share, slack, rollBack = 0.1, 50, 5 * time.Second
@@ -168,8 +169,8 @@
 	}
 }
 
-// TestRolloutOutlivesItsCoordinators kills the node that decides, twice, and then the one
-// that has come after it, while a version is bad.
+// TestRolloutOutlivesItsCoordinators kills the coordinator twice, each time the current one, around
+// the time when the version becomes bad.
 func TestRolloutOutlivesItsCoordinators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr := startTraffic(t, 24, 3)
@@ -189,7 +190,7 @@
 	})
 }
 
-// killCoordinator ends the node that decides.
+// killCoordinator kills the coordinator.
 func (tr *traffic) killCoordinator() {
 	for i, n := range tr.nodes {
 		if tr.dead[i] {
@@ -206,7 +207,7 @@
 	}
 }
 
-// TestRolloutWhileTheStoreIsAway has the store say nothing for 5 s while a version is bad.
+// TestRolloutWhileTheStoreIsAway has the store not answer for 5 s while a version is bad.
 func TestRolloutWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr := startTraffic(t, 24, 4)
@@ -222,7 +223,7 @@
 	})
 }
 
-// TestVersionWithoutWorkersIsGivenUp orders a version that never comes.
+// TestVersionWithoutWorkersIsGivenUp orders a version that no worker runs.
 func TestVersionWithoutWorkersIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr := startTraffic(t, 12, 5)
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -9,17 +9,17 @@
 	"github.com/levertide/levertide/internal/exchangepb"
 )
 
-// maximumMessage bounds a message of another node, in bytes.
+// maximumMessage bounds the size of a message from another node, in bytes.
 const maximumMessage = 16 << 20
 
-// Server answers the messages of other nodes.
+// Server answers messages from other nodes.
 type Server struct {
 	peers *Peers
-	// background runs what goes on after an answer.
+	// background runs work that continues after an answer.
 	background func(func(ctx context.Context))
-	// onContact is told who has spoken.
+	// onContact is called with the sender of a message.
 	onContact func(id string)
-	// quotas keeps the limits of tenants; nil where nobody does.
+	// quotas enforces the limits of tenants; nil where there are none.
 	quotas *Quotas
 }
 
@@ -73,8 +73,8 @@
 	return response, nil
 }
 
-// Broadcast implements exchangepb.Exchange. News are handed on after the answer,
-// beside being put in force.
+// Broadcast implements exchangepb.Exchange. Updates are forwarded after the answer, while they are
+// being put in force.
 func (s *Server) Broadcast(_ context.Context, request *exchangepb.BroadcastRequest) (*exchangepb.BroadcastResponse, error) {
 	if err := s.check(request.GetMesh(), request.GetSender()); err != nil {
 		return nil, err
@@ -93,8 +93,9 @@
 		if !held && s.fetch(ctx, request.GetSender()) {
 			u.document = p.documents.ForBroadcast()
 		}
-		// A message that only reminds of a document goes on, too: this node may have it from
-		// a comparison, and then nobody has handed it on here.
+		// A message that only names a document's version is forwarded, too: this node may have the
+		// document from an anti-entropy exchange, in which case nobody has forwarded it in this
+		// zone.
 		if request.GetUntil() != "" {
 			p.relay.forward(ctx, u, partKey{after: request.GetAfter(), until: request.GetUntil()})
 		}
@@ -102,15 +103,15 @@
 	return &exchangepb.BroadcastResponse{}, nil
 }
 
-// fetch asks the sender of news for a document that this node could not make of
-// them. It reports whether there was one.
+// fetch asks the sender of an update for a document that this node could not decode from it. It
+// reports whether it got one.
 func (s *Server) fetch(ctx context.Context, sender string) bool {
 	node, known := s.peers.table.View().Node(sender)
 	before := s.peers.documents.Version()
 	return known && s.peers.Sync(ctx, node) && s.peers.documents.Version() > before
 }
 
-// check refuses messages of other systems and those without a sender.
+// check refuses messages from other meshes and those without a sender.
 func (s *Server) check(mesh, sender string) error {
 	switch {
 	case mesh != s.peers.mesh:
--- a/internal/hosted/simulated_test.go
+++ b/internal/hosted/simulated_test.go
@@ -28,8 +28,8 @@
 	store   *hostedstore.Store
 	network *memnet.Network
 	nodes   []*testNode
-	// opened counts the connections that nodes have opened to others, crossed the bytes
-	// on those to other zones, both ways.
+	// opened counts the connections that nodes have opened to others, crossed the bytes on those to
+	// other zones, in both directions.
 	opened, crossed *atomic.Int64
 }
 
@@ -38,10 +38,10 @@
 	return &simulated{store: store, network: memnet.New(500 * time.Microsecond), opened: new(atomic.Int64), crossed: new(atomic.Int64)}
 }
 
-// zoneCount is how many zones a simulated mesh has: the n-th node is in zone n modulo that.
+// zoneCount is the number of zones of a simulated mesh: node n is in zone n modulo zoneCount.
 const zoneCount = 4
 
-// hostsPerNet is how many nodes share the first three parts of their addresses.
+// hostsPerNet is how many nodes share the first three bytes of their addresses.
 const hostsPerNet = 200
 
 func simulatedAddress(n int) (host, address string) {
@@ -49,7 +49,7 @@
 	return host, host + ":70"
 }
 
-// start starts the n-th node of the mesh, or its next life.
+// start starts node n of the mesh, or its next incarnation.
 func (m *simulated) start(t *testing.T, n int, firstStart bool) *testNode {
 	t.Helper()
 	name, address := simulatedAddress(n)
@@ -61,7 +61,7 @@
 	return startNodeOn(t, m.store, fmt.Sprintf("%c%d", 'a'+n%zoneCount, n), listener, counting(m.crossing(n, host.Dial), m.opened), firstStart)
 }
 
-// crossing counts the bytes on connections of the n-th node to other zones.
+// crossing counts the bytes on connections of node n to other zones.
 func (m *simulated) crossing(n int, dial httpleg.DialFunc) httpleg.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -76,7 +76,7 @@
 	}
 }
 
-// countedConn counts the bytes that cross it.
+// countedConn counts the bytes that are sent and received through it.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -97,7 +97,7 @@
 // startSimulated starts a mesh and waits until all nodes know each other.
 func startSimulated(t *testing.T, size int) *simulated {
 	t.Helper()
-	// Time stands still once a test has ended: what still dials must end before.
+	// Simulated time stops once a test has ended: pending dials must end before that.
 	t.Cleanup(func() { time.Sleep(time.Minute) })
 	m := newSimulated(newStore())
 	for n := range size {
@@ -129,8 +129,8 @@
 	return time.Since(began)
 }
 
-// TestPlannedStopDoesNotWaitForASilentStore stops a node while a promise is on its
-// way to a store that says nothing.
+// TestPlannedStopDoesNotWaitForASilentStore stops a node while it is writing a drain commitment to
+// a store that does not answer.
 func TestPlannedStopDoesNotWaitForASilentStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 3)
@@ -140,13 +140,13 @@
 		began := time.Now()
 		m.nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
 		if took := time.Since(began); took > 400*time.Millisecond {
-			t.Errorf("the farewell took %v", took)
+			t.Errorf("announcing the stop took %v", took)
 		}
 	})
 }
 
-// TestHerdFindsItselfAgain kills all nodes of a mesh at the same moment, and counts
-// what the next lives ask of the store.
+// TestHerdFindsItselfAgain kills all nodes of a mesh at the same moment, and counts the calls of
+// their next incarnations to the store: simultaneous restarts must not overload it.
 func TestHerdFindsItselfAgain(t *testing.T) {
 	for _, size := range []int{12, 60, 250} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -166,7 +166,7 @@
 				if started > 6*size+20 {
 					t.Errorf("%d calls to the store at the first start of %d nodes", started, size)
 				}
-				t.Logf("%d calls to the store at the first start; all know each other %v after a herd of deaths, %d calls", started, took, calls)
+				t.Logf("%d calls to the store at the first start; all know each other %v after simultaneous restarts, %d calls", started, took, calls)
 				if calls > 4*size+20 {
 					t.Errorf("%d calls to the store for %d nodes", calls, size)
 				}
@@ -186,9 +186,9 @@
 	})
 }
 
-// TestDocumentIsEverywhereSoonAlthoughAllReadersAreCutOff cuts all nodes that read the
-// store off it, in silence, while they wait for the next document: at different moments
-// of that wait.
+// TestDocumentIsEverywhereSoonAlthoughAllReadersAreCutOff cuts all readers off the store, which
+// then does not answer them, while they watch for the next document: at different moments of that
+// watch.
 func TestDocumentIsEverywhereSoonAlthoughAllReadersAreCutOff(t *testing.T) {
 	const (
 		readers = 3
@@ -214,8 +214,7 @@
 	})
 }
 
-// TestDirectoryStaysSmall counts the entries of a mesh that is larger than the
-// directory needs.
+// TestDirectoryStaysSmall counts the entries of a mesh with more nodes than the directory needs.
 func TestDirectoryStaysSmall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 60)
@@ -229,8 +228,7 @@
 	})
 }
 
-// TestLapsedEntriesAreBackSoon has leases run out while the store is away, for all
-// nodes or for some of them.
+// TestLapsedEntriesAreBackSoon has leases expire while the store is unavailable to all nodes.
 func TestLapsedEntriesAreBackSoon(t *testing.T) {
 	for name, faults := range map[string]hostedstore.Faults{"silent": {Silent: true}, "refusing": {Refuse: true}} {
 		t.Run(name, func(t *testing.T) {
@@ -250,8 +248,8 @@
 	}
 }
 
-// TestRestartedNodeKeepsTheEntryOfItsFormerLife restarts a node without a word, and
-// lets the leases end later.
+// TestRestartedNodeKeepsTheEntryOfItsFormerLife restarts a node without notice, and has the leases
+// end later.
 func TestRestartedNodeKeepsTheEntryOfItsFormerLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 8
