--- a/internal/hosted/source.go
+++ b/internal/hosted/source.go
@@ -7,61 +7,61 @@
 
 // Document is one configuration as the store holds it.
 type Document struct {
-	// Version is the operators' number: a later document has a higher one, whatever becomes
-	// of the store. Zero when the content does not tell it; such a document is not taken.
+	// Version is set by the operators: a later document has a higher one, even after the store was
+	// restored from a copy. Zero when the content has no version; such a document is not accepted.
 	Version uint64
-	// Revision is that of the store, for the log only: it goes back with a store that
-	// comes back from a copy.
+	// Revision is the store's, for the log only: it falls when the store is restored from a copy.
 	Revision uint64
 	Content  []byte
 }
 
 // Position is a place in the history of the store.
 type Position struct {
-	// Era is that of the answer that told the revision; zero when it did not.
+	// Era is the era in the answer that gave the revision; zero when the answer gave none.
 	Era uint64
-	// Revision is of that era only.
+	// Revision is valid in that era only.
 	Revision uint64
 }
 
-// Era tells how often the store came back from a copy. Revisions of one era say nothing
-// of another one.
+// Era counts how often the store was restored from a copy. Revisions of different eras cannot be
+// compared.
 type Era struct {
-	// Number rises with each return, from one; zero when the store does not tell.
+	// Number rises with each restore, starting at one; zero when the store does not report it.
 	Number uint64
-	// SawPrevious tells that an answer of an earlier era was seen, too.
+	// SawPrevious is set when an answer of an earlier era was seen, too.
 	SawPrevious bool
-	// PreviousHighest is the highest revision seen in the era before, and First the first one seen in
-	// this: what was written up to First may be from the copy. Zero when none was seen.
+	// PreviousHighest is the highest revision seen in the previous era, and First the first one
+	// seen in this era: what was written up to First may come from the copy. Zero when none was
+	// seen.
 	PreviousHighest, First uint64
 }
 
-// Source is where accepted documents come from. Errors are ErrRefused,
+// Source provides the documents that the platform has accepted. Errors are ErrRefused,
 // ErrUnanswered, ErrHistoryGone and ErrNoDocument.
 type Source interface {
 	// Read returns the newest document, and the position to watch from.
 	Read(ctx context.Context) (Document, Position, error)
-	// Watch waits for a document after the given position, at most for the given
-	// time. It fails with ErrHistoryGone when the answer is of another era.
+	// Watch waits for a document after the given position, for at most the given time. It fails
+	// with ErrHistoryGone when the answer belongs to another era.
 	Watch(ctx context.Context, after Position, wait time.Duration) (Watched, error)
-	// Era returns the highest era that any answer to this node has told.
+	// Era returns the highest era in any answer to this node.
 	Era() Era
 }
 
-// Watched is what a watch has brought.
+// Watched is the result of a watch.
 type Watched struct {
 	// Document is the newest one; nil when there was none.
 	Document *Document
-	// Superseded is how many older ones came with it.
+	// Superseded is how many older documents came with it.
 	Superseded int
-	// Orders are orders on roll-outs that came.
+	// Orders are the roll-out orders received.
 	Orders []Order
-	// Next is the position to go on from.
+	// Next is the position to continue from.
 	Next Position
 }
 
-// Add takes a document that came after those before. A store that came back from a copy may
-// show an older version after a newer one.
+// Add adds a document that was received after the previous ones. A store that was restored from a
+// copy may return an older version after a newer one.
 func (w *Watched) Add(d Document) {
 	if w.Document != nil {
 		w.Superseded++
@@ -71,46 +71,44 @@
 	}
 }
 
-// Lease names a lease of the store.
+// Lease is the name of a lease of the store.
 type Lease string
 
-// Entry is what a node has left of itself in the directory.
+// Entry is the entry of a node in the directory.
 type Entry struct {
 	// ID is the node's identifier.
 	ID      string
 	Content []byte
 	// Revision is that of its last change; zero when there is no entry.
 	Revision uint64
-	// Lease is what the entry is under; empty when the store does not tell.
+	// Lease is the lease that the entry is attached to; empty when the store does not report it.
 	Lease Lease
 }
 
-// Directory is where nodes leave their addresses for those that start, and the
-// promises that must outlast them. Errors are ErrRefused, ErrUnanswered and
-// ErrLeaseEnded.
+// Directory is where nodes publish their addresses for nodes that start, and the drain commitments
+// that must outlast them. Errors are ErrRefused, ErrUnanswered and ErrLeaseEnded.
 type Directory interface {
-	// Grant returns a new lease of the given life.
-	Grant(ctx context.Context, life time.Duration) (Lease, error)
-	// Replace writes a node's entry under a lease, if the entry held is still that
-	// of the given revision, and returns the entry held afterwards. When replaced
-	// is false, nothing was written.
+	// Grant returns a new lease with the given time to live.
+	Grant(ctx context.Context, ttl time.Duration) (Lease, error)
+	// Replace writes a node's entry under a lease if the held entry still has the given revision,
+	// and returns the entry held afterwards. When replaced is false, nothing was written.
 	Replace(ctx context.Context, e Entry, lease Lease) (held Entry, replaced bool, err error)
 	// Entry returns the entry of a node; one of revision zero when there is none.
 	Entry(ctx context.Context, id string) (Entry, error)
-	// Renew lengthens the lease.
+	// Renew extends the lease.
 	Renew(ctx context.Context, lease Lease) error
-	// Withdraw ends the lease, and the entry with it.
+	// Withdraw ends the lease, which removes the entry.
 	Withdraw(ctx context.Context, lease Lease) error
-	// List returns entries, not necessarily all. When stale is set they may be
-	// seconds old, which costs the store less.
+	// List returns entries, not necessarily all. When stale is set they may be seconds old, which
+	// costs the store less.
 	List(ctx context.Context, stale bool) ([]Entry, error)
-	// ListAll returns all entries. What was written before the call is in it.
+	// ListAll returns all entries, including everything written before the call.
 	ListAll(ctx context.Context) ([]Entry, error)
 }
 
-// Consumer is told of documents.
+// Consumer puts documents in force.
 type Consumer interface {
-	// Offer puts a document in force if it is newer than the one in force. It
-	// fails with ErrInvalidDocument, and changes nothing then.
+	// Offer puts a document in force if it is newer than the one in force. When it fails with
+	// ErrInvalidDocument, nothing has changed.
 	Offer(content []byte) error
 }
--- a/internal/hosted/standby.go
+++ b/internal/hosted/standby.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// standbyCount is how many nodes look after those before them in the order of readers, and
-	// nearStandbys how many of these, the first ones, ask all readers each time. The others ask
-	// one node: they are there for a loss of power that takes all of the former.
+	// standbyCount is how many nodes monitor those before them in the order of readers, and
+	// nearStandbys how many of these, the first ones, probe all readers each time. The others probe
+	// one node: they are needed when a loss of power takes all of the former.
 	standbyCount = 12
 	nearStandbys = 5
-	// standbyInterval is the mean time between two looks of one node. With the bound of a message
-	// it keeps a change that comes while all readers are gone within the seconds that operators
-	// expect.
+	// standbyInterval is the mean time between two checks of one node. With the timeout of a
+	// message it keeps a change that is made while all readers are lost within the seconds that
+	// operators expect.
 	standbyInterval = 600 * time.Millisecond
 )
 
-// Standby has the nodes that are next to read the store ask those before them whether they are
-// there. A node takes a reader's place only when it has found the reader to be lost itself, and
-// most nodes have no other reason to speak with just these: when all readers are gone at once,
-// nobody would read the store. It is a suture service.
+// Standby has the nodes that are next in line to read the store probe those before them. A node
+// takes a reader's place only when it has itself found the reader to be lost, and most nodes have
+// no other reason to contact these nodes: when all readers are lost at once, nobody would read the
+// store. It is a suture service.
 type Standby struct {
 	peers    *Peers
 	table    *fleet.Table
 	contacts *fleet.Contacts
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (s *Standby) String() string { return "standby" }
 
-// Serve looks after the readers until the context ends.
+// Serve monitors the readers until the context ends.
 func (s *Standby) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, jittered(standbyInterval))
@@ -45,8 +45,8 @@
 	return ctx.Err()
 }
 
-// look asks some of the nodes before this one in the order of readers. When none of them is there
-// it asks all others before it at once.
+// look probes some of the nodes before this one in the order of readers. When none of them answers
+// it probes all others before it at once.
 func (s *Standby) look(ctx context.Context) {
 	before := s.before()
 	if len(before) < readerCount || s.anyAnswers(ctx, pickProbed(before)) {
@@ -55,15 +55,15 @@
 	s.anyAnswers(ctx, s.before())
 }
 
-// before returns the nodes before this one in the order of readers, as far as it takes them to be
-// there; none when it is not among the first.
+// before returns the nodes before this one in the order of readers that it takes to be reachable;
+// none when it is not among the first.
 func (s *Standby) before() []string {
 	view := s.table.View()
 	order := fleet.Readers(view, s.contacts.Reachable, readerCount+standbyCount)
 	return order[:max(slices.Index(order, view.Self().ID), 0)]
 }
 
-// pickProbed returns whom a node asks that has the given ones before it, the readers at least.
+// pickProbed returns which of the nodes before it a node probes; these are the readers at least.
 func pickProbed(before []string) []string {
 	const near = readerCount + nearStandbys
 	if len(before) < near {
@@ -73,7 +73,7 @@
 	return before[n : n+1]
 }
 
-// anyAnswers asks nodes at a time, and reports whether one of them has answered.
+// anyAnswers probes nodes concurrently, and reports whether one of them has answered.
 func (s *Standby) anyAnswers(ctx context.Context, ids []string) bool {
 	view := s.table.View()
 	var answered atomic.Bool
--- a/internal/hosted/start_cost_test.go
+++ b/internal/hosted/start_cost_test.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// TestStartsCostTheStoreLittle counts what the first start of a mesh and the start of all
-// nodes after a loss of power cost the store.
+// TestStartsCostTheStoreLittle measures the cost to the store of the first start of a mesh and of
+// the start of all nodes after a loss of power.
 func TestStartsCostTheStoreLittle(t *testing.T) {
 	for _, size := range []int{83, 295} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -25,7 +25,7 @@
 				time.Sleep(10 * time.Second)
 				first := m.store.Cost(nil)
 				t.Logf("first start: cost %.1f %v", first, m.store.CallsByKind())
-				// With a list of the full price by each node it was 209 at 83 nodes and 480 at 295.
+				// With a full-price list by each node the cost was 209 at 83 nodes and 480 at 295.
 				if first > 0.4*float64(size)+150 {
 					t.Errorf("the first start of %d nodes cost %.1f calls", size, first)
 				}
@@ -42,14 +42,15 @@
 				for k := range after {
 					after[k] -= before[k]
 				}
-				// With a read of the own entry by each node it was 99 at 83 nodes and 347 at 295.
+				// With a read of its own entry by each node the cost was 99 at 83 nodes and 347 at
+				// 295.
 				if cost := m.store.Cost(before); cost > 0.15*float64(size)+40 {
 					t.Errorf("a start of all %d nodes after a loss of power cost %.1f calls", size, cost)
 				}
 				time.Sleep(5 * time.Second)
 				kilobytes := m.crossedSince(crossed)
 				t.Logf("%.1f kB a node between zones in the 5 s after", kilobytes)
-				// With whole tables exchanged it was 18.9 at 83 nodes and 37.8 at 295.
+				// With full tables exchanged it was 18.9 at 83 nodes and 37.8 at 295.
 				if kilobytes > 8 {
 					t.Errorf("%.1f kB a node crossed zones after a loss of power of %d nodes", kilobytes, size)
 				}
@@ -68,13 +69,13 @@
 	return true
 }
 
-// crossedSince returns how many kB a node have crossed zones beyond those given, in bytes.
+// crossedSince returns the traffic between zones beyond the given number of bytes, in kB per node.
 func (m *simulated) crossedSince(before int64) float64 {
 	return float64(m.crossed.Load()-before) / float64(len(m.nodes)) / 1000
 }
 
-// TestHubsOfZonesAreInTheDirectory expects that a node which starts finds the first hubs of
-// each zone: all others of its zone ask them.
+// TestHubsOfZonesAreInTheDirectory expects a node that starts to find the first hubs of each zone
+// in the directory: all others of its zone ask them.
 func TestHubsOfZonesAreInTheDirectory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, hubs = 120, 2
--- a/internal/hosted/steering_test.go
+++ b/internal/hosted/steering_test.go
@@ -9,7 +9,7 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// steering is the part of a node that shares requests, as a test sees it.
+// steering is a fake of the part of a node that divides requests among versions.
 type steering struct {
 	mu        sync.Mutex
 	decisions map[string]fleet.Rollout
@@ -40,8 +40,8 @@
 // LongestCall implements hosted.Steering.
 func (s *steering) LongestCall(string) time.Duration { return time.Second }
 
-// share returns the share of the requests that this node gives to the target, and whether
-// it knows the order.
+// share returns the share of requests that this node gives to the target, and whether it knows the
+// order.
 func (s *steering) share() (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/hosted/syncer.go
+++ b/internal/hosted/syncer.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	// syncInterval is the mean time between two comparisons with other nodes.
+	// syncInterval is the mean time between two anti-entropy exchanges.
 	syncInterval = time.Second
-	// firstSyncInterval is the mean time between two comparisons while the node has
-	// just started, for firstSyncTime: when a whole mesh starts, nobody knows all.
+	// firstSyncInterval is the mean time between two exchanges during firstSyncTime after the start
+	// of a node: when a whole mesh starts, nobody knows all nodes.
 	firstSyncInterval = 250 * time.Millisecond
 	firstSyncTime     = 3 * time.Second
-	// nearShare is the share of comparisons within the own zone.
+	// nearShare is the share of exchanges within the own zone.
 	nearShare = 0.75
-	// nearPartners and farPartners are how many nodes of the own zone and of others a
-	// node compares notes with. Random graphs of that degree are connected, and a
-	// partner is asked again before the connection to it is idle for too long.
+	// nearPartners and farPartners are how many nodes of the own zone and of other zones a node
+	// exchanges with. Random graphs of that degree are connected, and a partner is asked again
+	// before the connection to it is idle for too long.
 	nearPartners = 3
 	farPartners  = 2
-	// anyNodeShare is the share of comparisons with any other node, so that nodes
-	// whose partners know as little as they do find the rest.
+	// anyNodeShare is the share of exchanges with any other node, so that nodes whose partners know
+	// as little as they do find the rest.
 	anyNodeShare = 0.05
-	// lostInterval is how often lost nodes are looked after.
+	// lostInterval is how often lost nodes are checked.
 	lostInterval = 250 * time.Millisecond
-	// lostTries bounds how many lost nodes are tried at a time.
+	// lostTries bounds how many lost nodes are contacted at a time.
 	lostTries = 3
-	// forgetLost is how long a lost node is tried, forgetLeft how long one that
-	// has left is remembered.
+	// forgetLost is how long a lost node is retried, forgetLeft how long one that has left is
+	// remembered.
 	forgetLost = 5 * time.Minute
 	forgetLeft = 30 * time.Second
 )
 
-// Syncer compares notes with a random other node, and tries those that are taken
-// to be lost. It is a suture service.
+// Syncer runs anti-entropy exchanges with random other nodes, and retries those that are taken to
+// be lost. It is a suture service.
 type Syncer struct {
 	peers    *Peers
 	table    *fleet.Table
 	contacts *fleet.Contacts
-	// housekeeping is called at each turn.
+	// housekeeping is called in each round.
 	housekeeping func(ctx context.Context)
 	leftSince    map[string]time.Time
 	// started is when Serve began.
 	started time.Time
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (s *Syncer) String() string { return "syncer" }
 
-// Serve works until the context ends.
+// Serve runs until the context ends.
 func (s *Syncer) Serve(ctx context.Context) error {
 	s.started = time.Now()
 	next := s.started.Add(jittered(firstSyncInterval))
@@ -68,8 +68,8 @@
 	return ctx.Err()
 }
 
-// intervalAfter returns the mean time between two comparisons of a node that has
-// run for the given time.
+// intervalAfter returns the mean time between two exchanges of a node that has run for the given
+// time.
 func intervalAfter(running time.Duration) time.Duration {
 	if running < firstSyncTime {
 		return firstSyncInterval
@@ -77,9 +77,9 @@
 	return syncInterval
 }
 
-// exchange compares notes with a node that is taken to be reachable: mostly one of
-// few partners, to which a connection is open, and mostly of the own zone, since
-// bytes between zones are dear.
+// exchange runs an anti-entropy exchange with a node that is taken to be reachable: mostly one of
+// few partners, to which a connection is open, and mostly of the own zone, since traffic between
+// zones is expensive.
 func (s *Syncer) exchange(ctx context.Context) {
 	peers := s.peers.reachablePeers()
 	self := s.table.View().Self()
@@ -97,9 +97,9 @@
 	}
 }
 
-// nearShare is the share of comparisons within the own zone. While this node has just
-// started, records of other zones come by way of the hubs, and all that differ would
-// cross between zones again for each pair of nodes that compares.
+// nearShare is the share of exchanges within the own zone. While this node has just started,
+// records of other zones arrive through the hubs, and all that differ would cross between zones
+// again for each pair of nodes that exchanges.
 func (s *Syncer) nearShare() float64 {
 	if time.Since(s.started) >= firstSyncTime {
 		return nearShare
@@ -111,7 +111,7 @@
 	return nearShare
 }
 
-// retryLost tries some of the lost nodes whose time has come.
+// retryLost retries some of the lost nodes that are due.
 func (s *Syncer) retryLost(ctx context.Context) {
 	due := s.contacts.Due(time.Now())
 	rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
@@ -125,7 +125,7 @@
 	}
 }
 
-// forget drops nodes that have left or were lost for long.
+// forget removes nodes that have left or have been lost for long.
 func (s *Syncer) forget(now time.Time) {
 	for _, node := range s.table.View().Nodes() {
 		since, lost := s.contacts.LostSince(node.ID)
