--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -11,34 +11,36 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// A request that crashes each worker which runs it must not be offered to one after the
-// other (package quarantine). What a node knows travels with calls: with a failure to the
-// node where the call began, and from there with its next calls to the nodes beside other
-// workers, through which each run of the request must go.
+// A request that crashes each worker that runs it must not be sent to one worker after the
+// other (see package quarantine). Evidence about such requests is carried in the headers of
+// calls: a failure carries it to the node where the call began, and the next calls of that
+// node carry it to the nodes beside other workers, through which each run of the request
+// must go.
 
 const (
-	// evidenceHeader carries what a node knows of such requests.
+	// evidenceHeader carries the evidence of a node about such requests.
 	evidenceHeader = "Levertide-Evidence"
-	// evidencePause is how long what another node was told is not told it again. It may
-	// have been restarted since, and its workers must hear within seconds.
-	evidencePause = time.Second
+	// evidenceResendInterval is how long evidence is not sent to the same node again. It is
+	// short because the node may have restarted since, and the node and its workers must have
+	// the evidence within seconds.
+	evidenceResendInterval = time.Second
 )
 
-// told is when other nodes were told what this one knows, by address. The zero value is
-// ready.
-type told struct {
+// evidenceSendTimes records when evidence was last sent to other nodes, by address. The
+// zero value is ready to use.
+type evidenceSendTimes struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 }
 
-// due reports whether an address is to be told again, and counts it as told.
-func (t *told) due(address string, now time.Time) bool {
+// due reports whether evidence is to be sent to an address again; if so, it counts as sent.
+func (t *evidenceSendTimes) due(address string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.last == nil {
 		t.last = map[string]time.Time{}
 	}
-	if now.Sub(t.last[address]) < evidencePause {
+	if now.Sub(t.last[address]) < evidenceResendInterval {
 		return false
 	}
 	t.last[address] = now
@@ -46,7 +48,8 @@
 }
 
 // fingerprint returns the fingerprint of a request; false for one whose body is streamed,
-// of which nothing is held that would tell it from others. Such a request is sent once.
+// of which nothing is buffered that would distinguish it from others. Such a request is
+// sent once.
 func (c *inboundCall) fingerprint() (quarantine.Fingerprint, bool) {
 	if c.body.streamed {
 		return quarantine.Fingerprint{}, false
@@ -62,15 +65,15 @@
 		request.Credentials = append(request.Credentials, c.request.Header.Get(name))
 	}
 	if c.tenant != "" {
-		// It stands for the key, which the node beside the worker does not see.
+		// The tenant stands in for the key, which the node beside the worker does not see.
 		request.Credentials = append(request.Credentials, c.tenant)
 	}
 	return request.Fingerprint(), true
 }
 
-// suspicion returns how many crashes speak against the request of a call, and whether it is
-// quarantined.
-func (c *inboundCall) suspicion() (level int, quarantined bool) {
+// quarantineLevel returns how many crashes are attributed to the request of a call, and whether
+// it is quarantined.
+func (c *inboundCall) quarantineLevel() (level int, quarantined bool) {
 	table := c.plane.config.Quarantine
 	if table.Empty() {
 		return 0, false
@@ -82,43 +85,44 @@
 	return table.Level(f, time.Now())
 }
 
-// quarantined returns the failure of a request that is run no more; nil for any other.
-func (c *inboundCall) quarantined() error {
-	if _, found := c.suspicion(); found {
+// checkQuarantine returns the failure of a quarantined request; nil for any other.
+func (c *inboundCall) checkQuarantine() error {
+	if _, found := c.quarantineLevel(); found {
 		return outcome.New(outcome.Quarantined)
 	}
 	return nil
 }
 
-// crashed takes that a worker has ended with the call in hand. The life of the worker is
-// told from others by the time: a node does not know more of it.
-func (c *inboundCall) crashed(level int) {
+// recordCrash records that the worker ended while it ran the call. The incarnation of the worker
+// is distinguished from others by the time: a node knows nothing more of it.
+func (c *inboundCall) recordCrash(level int) {
 	if f, ok := c.fingerprint(); ok {
 		c.plane.config.Quarantine.Crashed(f, c.plane.config.Node+" "+time.Now().UTC().Format(time.RFC3339), level, time.Now())
 	}
 }
 
-// answeredWhole takes that the worker has answered the call.
-func (c *inboundCall) answeredWhole() {
+// recordAnswer records that the worker has answered the call.
+func (c *inboundCall) recordAnswer() {
 	if c.plane.config.Quarantine.Empty() {
 		return
 	}
 	if f, ok := c.fingerprint(); ok {
-		// The others hear with the next calls.
+		// Other nodes receive this with the next calls.
 		_, _ = c.plane.config.Quarantine.Answered(f, time.Now())
 	}
 }
 
-// tellPeer puts what this node knows into the header of a call to another node.
-func (p *Plane) tellPeer(header http.Header, address string) {
+// addEvidence adds the evidence of this node, when due, to the header of a call to another node.
+func (p *Plane) addEvidence(header http.Header, address string) {
 	now := time.Now()
-	if p.config.Quarantine.Empty() || !p.told.due(address, now) {
+	if p.config.Quarantine.Empty() || !p.evidenceSent.due(address, now) {
 		return
 	}
 	header[evidenceHeader] = []string{evidencewire.Header(p.config.Quarantine, now)}
 }
 
-// hear takes what another node tells in the header of a call or of an answer.
-func (p *Plane) hear(header http.Header) {
+// receiveEvidence adopts the evidence that another node sent in the header of a call or of an
+// answer.
+func (p *Plane) receiveEvidence(header http.Header) {
 	evidencewire.TakeHeader(p.config.Quarantine, header.Get(evidenceHeader), time.Now())
 }
--- a/internal/pipeline/response.go
+++ b/internal/pipeline/response.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/internal/httpleg"
 )
 
-// errShort is the failure of an answer with less body than it has announced.
-var errShort = errors.New("the answer is shorter than announced")
+// errShort is returned for an answer whose body is shorter than its Content-Length.
+var errShort = errors.New("answer body is shorter than its Content-Length")
 
 // response is the http.ResponseWriter of one exchange. The head is written when
 // the answers before are complete.
@@ -21,15 +21,16 @@
 	exchange *exchange
 	header   http.Header
 
-	// mu keeps the word for a body that is waited for out of a head that is written.
+	// mu prevents 100 Continue from being written while the head is written.
 	mu    sync.Mutex
 	begun bool
-	// empty tells that the answer has no body, whatever its head says.
+	// empty is set when the answer has no body, whatever its head announces.
 	empty bool
-	// left is how much of an announced body is missing; -1 when none was announced.
-	left   int64
-	chunks io.WriteCloser // nil unless the length is not known
-	err    error
+	// remaining is how many bytes of the announced length are missing; -1 when none
+	// was announced.
+	remaining int64
+	chunks    io.WriteCloser // nil unless the length is not known
+	err       error
 }
 
 // Header implements http.ResponseWriter.
@@ -52,7 +53,7 @@
 	x := w.exchange
 	closing := w.header.Get("Connection") == "close" || !x.body.consumed()
 	delete(w.header, "Connection")
-	if x.conn.concluded(x, closing) {
+	if x.conn.beginAnswer(x, closing) {
 		w.header["Connection"] = []string{"close"}
 	}
 	if w.header["Date"] == nil {
@@ -75,12 +76,13 @@
 	return err
 }
 
-// frame decides how the end of the body is told.
+// frame decides how the end of the body is marked: by its length, by chunks, or by
+// the end of the connection.
 func (w *response) frame(status int) {
-	w.left = -1
+	w.remaining = -1
 	w.empty = w.exchange.request.Method == http.MethodHead || !httpleg.BodyAllowed(status)
 	if length, err := strconv.ParseInt(w.header.Get("Content-Length"), 10, 64); err == nil && length >= 0 {
-		w.left = length
+		w.remaining = length
 		return
 	}
 	delete(w.header, "Content-Length")
@@ -104,13 +106,13 @@
 	switch {
 	case w.chunks != nil:
 		n, w.err = w.chunks.Write(p)
-	case w.left >= 0 && int64(len(p)) > w.left:
+	case w.remaining >= 0 && int64(len(p)) > w.remaining:
 		return 0, http.ErrContentLength
 	default:
 		n, w.err = w.exchange.conn.bw.Write(p)
 	}
-	if w.left >= 0 {
-		w.left -= int64(n)
+	if w.remaining >= 0 {
+		w.remaining -= int64(n)
 	}
 	return n, w.err
 }
@@ -127,19 +129,19 @@
 // SetReadDeadline bounds the reading of the request's body.
 func (w *response) SetReadDeadline(deadline time.Time) error {
 	if w.exchange.body.consumed() {
-		// The connection is read for what follows already.
+		// The connection is already read for the next request.
 		return nil
 	}
 	w.exchange.conn.setReadDeadline(deadline)
 	return nil
 }
 
-// EnableFullDuplex lets an answer begin before the request has been read, as is
-// always so here.
+// EnableFullDuplex does nothing: an answer may always begin before the request has
+// been read.
 func (w *response) EnableFullDuplex() error { return nil }
 
-// proceed tells the caller to send the body that it holds back.
-func (w *response) proceed() error {
+// sendContinue tells the caller to send the body that it holds back.
+func (w *response) sendContinue() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.begun {
@@ -164,7 +166,7 @@
 	switch {
 	case w.err != nil:
 		return w.err
-	case w.left > 0 && !w.empty:
+	case w.remaining > 0 && !w.empty:
 		return errShort
 	case w.chunks != nil:
 		if err := w.chunks.Close(); err != nil {
