--- a/internal/forwarding/early_test.go
+++ b/internal/forwarding/early_test.go
@@ -13,8 +13,8 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// earlyWorker is a worker that turns long bodies away before they are in, and reads
-// nothing more on that connection for the rest of the test.
+// earlyWorker starts a worker that refuses long bodies before it has read them, and reads nothing
+// more on that connection for the rest of the test.
 func earlyWorker(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +43,7 @@
 			return
 		}
 		id := request.Header.Get("X-Id")
-		if request.ContentLength >= questionedBody {
+		if request.ContentLength >= expectContinueBody {
 			fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nX-Id: %s\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", id)
 			return
 		}
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestCallsDoNotWaitBehindABodyThatIsNotRead sends a short call after a long one that
-// the worker has turned away without reading its body.
+// TestCallsDoNotWaitBehindABodyThatIsNotRead sends a short call after a long one that the worker
+// has refused without reading its body.
 func TestCallsDoNotWaitBehindABodyThatIsNotRead(t *testing.T) {
 	front := startNode(t, "front", "ledger", nil)
 	_, err := front.registry.Heartbeat(workers.Heartbeat{
@@ -65,7 +65,7 @@
 	front.table.Update(func(own *fleet.Node) { own.Workers = front.registry.Workers() })
 	configure(t, ledgerRoutes, front)
 	for call := range 5 {
-		long := callerRequest(t, front, http.MethodPost, "/file/1", bytes.NewReader(make([]byte, 2*questionedBody)))
+		long := callerRequest(t, front, http.MethodPost, "/file/1", bytes.NewReader(make([]byte, 2*expectContinueBody)))
 		if status, _, _ := ask(t, long); status != http.StatusServiceUnavailable {
 			t.Fatalf("call %d: a long body: status %d", call, status)
 		}
--- a/internal/forwarding/leg.go
+++ b/internal/forwarding/exchange.go
@@ -15,41 +15,40 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// errEnd is the cause of a context that ended because the call's time was over.
-var errEnd = errors.New("the time of the call is over")
+// errEnd is the cause of a context that ended because the deadline of the call was reached.
+var errEnd = errors.New("the deadline of the call has passed")
 
-// errSlowTransfer is the cause of a context that ended because a body took too long
-// to cross.
-var errSlowTransfer = errors.New("the body takes too long to cross")
+// errSlowTransfer is the cause of a context that ended because a body took too long to transfer.
+var errSlowTransfer = errors.New("the transfer of the body takes too long")
 
-// leg is one request on its way over one connection.
-type leg struct {
+// httpExchange is one request sent over one connection, and its answer.
+type httpExchange struct {
 	transport *http.Transport
 	request   *http.Request
 	body      *requestBody
 	conn      *httpleg.Conn // nil until the request got a connection
 	reused    bool
-	// pace bounds how fast a long body is sent; nil sets no bound.
+	// pace limits how fast a long body is sent; nil sets no limit.
 	pace *rate.Limiter
-	// questioned tells that the other side begins nothing before it has the body,
-	// and is asked before that is sent.
-	questioned bool
-	// sending is the body on its way; nil unless it is long.
+	// expectContinue is set when the other side begins nothing before it has the complete body,
+	// and confirms by 100-continue that it accepts the body before that is sent.
+	expectContinue bool
+	// sending is the transmission of the body; nil unless the body is long.
 	sending atomic.Pointer[sending]
 }
 
-// do sends the request and returns the head of the answer. Errors are those of
-// package outcome: not-run when nothing was written on any connection.
-func (l *leg) do(ctx context.Context) (*http.Response, error) {
-	response, err := l.try(ctx)
+// do sends the request and returns the head of the answer. Errors are those of package outcome:
+// not-run when nothing was written on any connection.
+func (l *httpExchange) do(ctx context.Context) (*http.Response, error) {
+	response, err := l.attempt(ctx)
 	stale := err != nil && l.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && l.body.repeatable()
 	if stale {
-		response, err = l.try(ctx)
+		response, err = l.attempt(ctx)
 	}
 	return response, err
 }
 
-func (l *leg) try(ctx context.Context) (*http.Response, error) {
+func (l *httpExchange) attempt(ctx context.Context) (*http.Response, error) {
 	l.conn, l.reused = nil, false
 	l.sending.Store(l.body.attach(l.request, l.pace))
 	trace := &httptrace.ClientTrace{GotConn: l.gotConn}
@@ -60,18 +59,18 @@
 	return response, nil
 }
 
-func (l *leg) gotConn(info httptrace.GotConnInfo) {
+func (l *httpExchange) gotConn(info httptrace.GotConnInfo) {
 	if tracked, ok := info.Conn.(*httpleg.Conn); ok {
 		tracked.Begin()
 		l.conn, l.reused = tracked, info.Reused
 	}
 }
 
-// boundTransfer has the leg give up at the given time if the body has not crossed
-// by then: its answer could not be of full worth any more, and while a part of the
-// body is missing nothing has begun. The context ends with the response's body.
-func (l *leg) boundTransfer(ctx context.Context, end time.Time) (context.Context, func()) {
-	if !l.questioned {
+// boundTransfer aborts the request at the given time if the body has not been transferred
+// completely by then: its answer would no longer have its full value, and while a part of the
+// body is missing nothing has begun. The returned context ends with the response's body.
+func (l *httpExchange) boundTransfer(ctx context.Context, end time.Time) (context.Context, func()) {
+	if !l.expectContinue {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -83,10 +82,10 @@
 	return ctx, func() { timer.Stop() }
 }
 
-// classify tells what became of a request that got no answer.
-func (l *leg) classify(ctx context.Context, err error) error {
+// classify returns the failure of a request that got no answer.
+func (l *httpExchange) classify(ctx context.Context, err error) error {
 	ended := errors.Is(context.Cause(ctx), errEnd)
-	if l.conn == nil || l.conn.Seal() || l.questioned && l.sending.Load().seal() {
+	if l.conn == nil || l.conn.Seal() || l.expectContinue && l.sending.Load().seal() {
 		switch {
 		case errors.Is(context.Cause(ctx), errSlowTransfer):
 			return outcome.WithRetryAfter(outcome.Overloaded, defaultRetryAfter)
@@ -108,7 +107,7 @@
 	}
 }
 
-// newTransport returns a transport whose connections know what was written.
+// newTransport returns a transport whose connections record whether anything was written.
 func newTransport(dial httpleg.DialFunc, idle time.Duration, connections int) *http.Transport {
 	return &http.Transport{
 		DialContext:            httpleg.Track(dial, dialBound),
@@ -116,7 +115,7 @@
 		MaxIdleConnsPerHost:    connections,
 		IdleConnTimeout:        idle,
 		MaxResponseHeaderBytes: maximumHeaderBytes,
-		ExpectContinueTimeout:  questionBound,
+		ExpectContinueTimeout:  expectContinueBound,
 	}
 }
 
@@ -128,8 +127,8 @@
 	return transport
 }
 
-// newRequest returns the request for the next leg, without its body. Target and
-// host are passed on as they came.
+// newRequest returns the request to forward, without its body. Target and host are forwarded as
+// received.
 func newRequest(from *http.Request, address string, header http.Header) *http.Request {
 	return &http.Request{
 		Method: from.Method,
@@ -148,8 +147,8 @@
 	}
 }
 
-// forwardedHeader returns the headers that go on to the next leg, with room for
-// those that the leg adds. The values are shared, not copied.
+// forwardedHeader returns the headers to forward, with capacity for those that are added later.
+// The values are shared, not copied.
 func forwardedHeader(from *http.Request, dialect *Dialect) http.Header {
 	const added = 6
 	header := make(http.Header, len(from.Header)+added)
--- a/internal/forwarding/inbound.go
+++ b/internal/forwarding/inbound.go
@@ -11,14 +11,14 @@
 
 // hopCall is one request from another node for the worker of this one.
 type hopCall struct {
-	plane   *Plane
-	request *http.Request
-	hop     hop
-	leg     *workerLeg
-	body    *requestBody
-	began   time.Time
-	// request that the worker was asked with; its zero value until then.
-	asked workerCall
+	plane      *Plane
+	request    *http.Request
+	hop        hop
+	connection *workerConnection
+	body       *requestBody
+	began      time.Time
+	// sent is the request that was sent to the worker; its zero value until then.
+	sent workerCall
 }
 
 func (p *Plane) serveHop(w http.ResponseWriter, r *http.Request) {
@@ -34,50 +34,51 @@
 	c.hop = parsed
 	ctx, cancel := context.WithDeadlineCause(r.Context(), c.began.Add(parsed.left), errEnd)
 	defer cancel()
-	result, err := c.ask(ctx, w)
+	result, err := c.run(ctx, w)
 	p.releaseBody(c.body)
 	c.conclude(w, result, err)
 }
 
-// ask has the worker answer.
-func (c *hopCall) ask(ctx context.Context, w http.ResponseWriter) (*answer, error) {
-	leg, err := c.plane.local.find(c.hop.service, c.hop.life)
+// run obtains an answer from the worker.
+func (c *hopCall) run(ctx context.Context, w http.ResponseWriter) (*answer, error) {
+	connection, err := c.plane.local.find(c.hop.service, c.hop.incarnation)
 	if err != nil {
 		return nil, err
 	}
-	c.leg = leg
-	if declines(leg.slowness(), c.hop.slowest) {
+	c.connection = connection
+	if declines(connection.slowness(), c.hop.slowest) {
 		return nil, outcome.New(outcome.Declined)
 	}
 	authenticated := principalOf(c.request.Header[principalHeader])
 	wanted := c.hop.claim(c.began)
 	wanted.tenant = authenticated.tenant
-	// The other node sends a long body only when it is read here: one that would
-	// be refused must not fill the links of machines that are busy already.
-	if err := leg.check(ctx, wanted); err != nil {
+	// The other node sends a long body only once reading it begins here. A call that would be
+	// refused is refused before that: its body must not fill the links of machines that are busy
+	// already.
+	if err := connection.check(ctx, wanted); err != nil {
 		return nil, err
 	}
 	end := c.began.Add(c.hop.left)
-	if err := c.take(ctx, w, wanted, end); err != nil {
+	if err := c.receiveBody(ctx, w, wanted, end); err != nil {
 		return nil, err
 	}
 	if c.body.long() {
-		wanted = wanted.crossed()
+		wanted = wanted.afterTransfer()
 	}
-	if !authenticated.checked && leg.slowness() == 0 {
+	if !authenticated.checked && connection.slowness() == 0 {
 		wanted = wanted.byArrival()
 	}
-	c.asked = c.workerCall(wanted, authenticated, end)
+	c.sent = c.workerCall(wanted, authenticated, end)
 	quarantined := false
-	if c.asked.level, quarantined = c.plane.suspicion(&c.asked, c.hop.level); quarantined {
+	if c.sent.level, quarantined = c.plane.suspicion(&c.sent, c.hop.level); quarantined {
 		return nil, outcome.New(outcome.Quarantined)
 	}
-	result, err := leg.ask(ctx, &c.asked)
-	c.plane.countRun(c.hop.service, leg.worker, c.request, &c.asked, result, err)
+	result, err := connection.run(ctx, &c.sent)
+	c.plane.countRun(c.hop.service, connection.worker, c.request, &c.sent, result, err)
 	return result, err
 }
 
-// workerCall returns the request for the worker.
+// workerCall returns the request to send to the worker.
 func (c *hopCall) workerCall(wanted claim, authenticated principal, end time.Time) workerCall {
 	return workerCall{
 		inbound:   c.request,
@@ -91,14 +92,14 @@
 	}
 }
 
-// take reads the body. A long one waits for its turn on the link of this node.
-func (c *hopCall) take(ctx context.Context, w http.ResponseWriter, wanted claim, end time.Time) error {
-	if c.request.ContentLength >= 0 && c.request.ContentLength < questionedBody {
+// receiveBody reads the body. A long one waits for its turn on the link of this node.
+func (c *hopCall) receiveBody(ctx context.Context, w http.ResponseWriter, wanted claim, end time.Time) error {
+	if c.request.ContentLength >= 0 && c.request.ContentLength < expectContinueBody {
 		var err error
 		c.body, err = c.plane.holdBody(w, c.request, 0, end)
 		return err
 	}
-	permit, err := c.plane.transfers.Admit(ctx, wanted.onLink().request())
+	permit, err := c.plane.transfers.Admit(ctx, wanted.forTransfer().request())
 	if err != nil {
 		c.plane.refusedTransfers.Add(1)
 		return admissionFailure(ctx, err)
@@ -111,23 +112,24 @@
 	return err
 }
 
-// conclude answers the other node and reports.
+// conclude writes the answer or the failure to the other node and reports the call to the
+// observer.
 func (c *hopCall) conclude(w http.ResponseWriter, result *answer, err error) {
 	report := CallReport{
 		RequestID: c.request.Header.Get(c.plane.config.Dialect.RequestID),
 		Service:   c.hop.service,
 		Tenant:    principalOf(c.request.Header[principalHeader]).tenant,
-		Instance:  c.hop.life.String(),
+		Instance:  c.hop.incarnation.String(),
 		Node:      c.plane.config.Node,
 		Left:      c.hop.left,
 	}
 	var load slotqueue.Load
-	if c.leg != nil {
-		load = c.leg.load()
+	if c.connection != nil {
+		load = c.connection.load()
 		report.Running, report.Waiting, report.Slots = load.Running, load.Waiting, load.Slots
 	}
-	report.Waited, report.Ran = c.asked.waited, c.asked.ran
-	if c.asked.arrived {
+	report.Waited, report.Ran = c.sent.waited, c.sent.ran
+	if c.sent.arrived {
 		report.Arrivals = 1
 	}
 	var ran time.Duration
@@ -142,7 +144,7 @@
 		w.Header()[hopFailureHeader] = []string{formatFailure(err, time.Since(c.began))}
 		report.Outcome, report.Reason, report.Cause = outcome.Of(err), outcome.ReasonOf(err), err
 		if c.body != nil && (outcome.Of(err) == outcome.Unknown || report.Reason == outcome.Quarantined) {
-			report.Fingerprint = c.asked.fingerprint()
+			report.Fingerprint = c.sent.fingerprint()
 		}
 		report.Status, report.RetryAfter = writeFailure(w, err, retryAfter(err), c.plane.stopping.Load())
 		c.finish(report)
--- a/internal/forwarding/offers.go
+++ b/internal/forwarding/offers.go
@@ -9,27 +9,27 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// offers are the attempts of one call.
+// offers makes the offers of one call to workers, one after the other.
 type offers struct {
 	call        *call
 	destination *destination
 	latestStart time.Time
-	// version is the version of the service that takes the call.
+	// version says which version of the service takes the call.
 	version versionChoice
 	tried   []string
-	// made counts the nodes that were asked, refusals those that had no slot in
-	// time, arrivals the workers that had the call.
+	// made counts the offers, refusals the nodes that had no slot in time, arrivals the workers
+	// that received the call.
 	made, refusals, arrivals int
-	// overloaded tells that a node had no slot in time.
+	// overloaded is set when a node had no slot in time.
 	overloaded bool
-	// declines counts the nodes whose workers were slower than was believed.
+	// declines counts the nodes whose workers were slower than this node had estimated.
 	declines int
-	// crossing is how long the last offer was on its way, there and back, without the
-	// time for which the other node had it.
-	crossing time.Duration
-	last     error
-	// failure is the first answer by which a worker told that it has failed. It is
-	// the answer if no other worker answers.
+	// roundTrip is how long the last offer and its answer were in transit, without the time for
+	// which the other node held it.
+	roundTrip time.Duration
+	last      error
+	// failure is the first answer by which a worker reported a failure. It is returned if no
+	// other worker answers.
 	failure *answer
 	// unknown is the first failure after which the call may have run.
 	unknown error
@@ -50,7 +50,7 @@
 			return o.conclude()
 		}
 		result, arrived, err := o.offer(ctx, chosen)
-		if err == nil && !o.askAnother(ctx, result) {
+		if err == nil && !o.mayOfferAnother(ctx, result) {
 			return result, nil
 		}
 		if err == nil {
@@ -63,15 +63,15 @@
 		if arrived {
 			o.arrivals++
 		}
-		if !o.goOn(ctx, err, arrived) {
+		if !o.mayContinue(ctx, err, arrived) {
 			return o.conclude()
 		}
 	}
 }
 
-// askAnother reports whether another worker may do better than one that has answered
-// that it failed, and keeps that answer.
-func (o *offers) askAnother(ctx context.Context, result *answer) bool {
+// mayOfferAnother reports whether the call may be offered to another worker after one has
+// answered with a failure, and keeps that answer.
+func (o *offers) mayOfferAnother(ctx context.Context, result *answer) bool {
 	c := o.call
 	if result.status < http.StatusInternalServerError || result.rest != nil || o.failure != nil {
 		return false
@@ -86,8 +86,8 @@
 	return true
 }
 
-// mayArriveAgain reports whether another worker may have the call, and counts it in
-// the budget.
+// mayArriveAgain reports whether another worker may receive the call, and counts that against the
+// retry budget.
 func (o *offers) mayArriveAgain() bool {
 	limit := o.call.route.Config.Attempts
 	if limit > 0 && o.arrivals >= limit {
@@ -96,18 +96,18 @@
 	return o.call.spend(o.destination, o.call.retryShare())
 }
 
-// conclude returns what the caller is told when no further offer is made: the answer
-// of a worker that failed, if there is one.
+// conclude returns the result of the call when no further offer is made: the answer of a worker
+// that failed, if there is one.
 func (o *offers) conclude() (*answer, error) {
 	if o.failure != nil {
 		return o.failure, nil
 	}
-	return nil, o.giveUp()
+	return nil, o.finalFailure()
 }
 
 func (o *offers) choose() (choice, bool) {
 	if o.failure != nil {
-		// A worker that has failed is not asked again: its answer stands.
+		// A worker that has answered with a failure is not chosen again: its answer is kept.
 		return o.chooseExcept(o.tried)
 	}
 	if !o.lastRefusal() {
@@ -116,7 +116,7 @@
 		}
 		o.refusals = maximumRefusals - 1
 	}
-	// All that were asked have told their load: wait where that is least.
+	// All nodes that refused have reported their load: wait where that is least.
 	return o.chooseExcept(nil)
 }
 
@@ -124,7 +124,7 @@
 	if chosen, ok := o.chooseOf(o.version, tried); ok {
 		return chosen, true
 	}
-	if other, allowed := o.version.other(); allowed {
+	if other, allowed := o.version.alternative(); allowed {
 		return o.chooseOf(other, tried)
 	}
 	return choice{}, false
@@ -133,37 +133,37 @@
 // chooseOf chooses a worker of one version.
 func (o *offers) chooseOf(version versionChoice, tried []string) (choice, bool) {
 	work, answerBytes := o.call.state.expected()
-	return o.destination.choose(wish{
-		version:   version,
-		bytes:     answerBytes + len(o.call.body.held),
-		long:      o.call.body.long(),
-		elsewhere: o.refusals >= maximumRefusals,
-		tried:     tried,
-		work:      work,
-		usual:     o.call.state.atUsualSpeed(),
-		target:    o.call.target(),
-		patience:  o.call.patience(),
-		luck:      rand.Float64(),
-		local:     o.local,
-		reachable: o.call.plane.config.Contacts.Reachable,
+	return o.destination.choose(criteria{
+		version:    version,
+		bytes:      answerBytes + len(o.call.body.held),
+		long:       o.call.body.long(),
+		otherZones: o.refusals >= maximumRefusals,
+		tried:      tried,
+		work:       work,
+		usual:      o.call.state.atUsualSpeed(),
+		target:     o.call.target(),
+		waitLimit:  o.call.waitLimit(),
+		draw:       rand.Float64(),
+		local:      o.local,
+		reachable:  o.call.plane.config.Contacts.Reachable,
 	}, time.Now())
 }
 
-// lastRefusal reports whether the call waits at the next node for as long as it can, in
-// place of asking a further one. A call of a worker goes first wherever it waits.
+// lastRefusal reports whether the call waits at the next node for as long as it can, because no
+// additional offer follows a refusal there. A nested call goes first wherever it waits.
 func (o *offers) lastRefusal() bool {
-	return o.refusals >= maximumRefusals-1 || o.call.nested || o.destination.further.Tokens(time.Now()) < 1
+	return o.refusals >= maximumRefusals-1 || o.call.nested || o.destination.additionalOffers.Tokens(time.Now()) < 1
 }
 
-// mostRefusals is how many nodes are asked for a slot. A call that all have refused at
-// once may ask one of another zone: bytes between zones are paid for, but not served at
-// all is worse.
+// mostRefusals returns how many nodes may refuse the call for want of a slot. A call that all of
+// maximumRefusals nodes have refused at once may be offered to one node of another zone: bytes
+// between zones are paid for, but that is better than failing the call.
 func (o *offers) mostRefusals() int { return maximumRefusals + 1 }
 
-// goOn reports whether a further offer may be made after a failure. Only an
-// offer that has reached a worker costs budget, and only one that may have run
-// is bound to what may be repeated.
-func (o *offers) goOn(ctx context.Context, err error, arrived bool) bool {
+// mayContinue reports whether another offer may be made after a failure. Only an offer that has
+// reached a worker costs retry budget, and only after one that may have run does it matter
+// whether the call may be repeated.
+func (o *offers) mayContinue(ctx context.Context, err error, arrived bool) bool {
 	if ctx.Err() != nil || !o.call.body.repeatable() {
 		return false
 	}
@@ -175,8 +175,8 @@
 		return false
 	}
 	if outcome.ReasonOf(err) == outcome.Declined && o.declines < maximumDeclines {
-		// The node has told how slow its worker is. It may be chosen again, since all
-		// others may be slower.
+		// The node has reported how slow its worker is. It may be chosen again, since all others
+		// may be slower.
 		o.declines++
 		o.tried = o.tried[:len(o.tried)-1]
 		return true
@@ -188,31 +188,31 @@
 		if o.refusals >= o.mostRefusals() || !time.Now().Before(o.latestStart) {
 			return false
 		}
-		return !full || o.crossedQuickly() || o.destination.further.Spend(time.Now())
+		return !full || o.hadShortRoundTrip() || o.destination.additionalOffers.Spend(time.Now())
 	}
 	return o.mayArriveAgain()
 }
 
-// crossedQuickly reports whether the last offer took so little time on its way that a
-// further one costs next to nothing: the links between the nodes are not filled.
-func (o *offers) crossedQuickly() bool {
-	return o.crossing < quickCrossing
+// hadShortRoundTrip reports whether the last offer had so short a round trip that an additional
+// one costs next to nothing: the links between the nodes are not full.
+func (o *offers) hadShortRoundTrip() bool {
+	return o.roundTrip < shortRoundTrip
 }
 
-// slowest returns the slowness of the chosen worker from which on its node is to decline
-// the call; zero where it must not: the call could not be offered elsewhere, has been
-// declined often enough, or waits for its turn at the last node. A call of a worker may be
-// declined wherever it waits: it loses nothing by a second offer.
+// slowest returns the slowness of the chosen worker beyond which its node is to decline the call;
+// zero where it must not decline: the call could not be offered elsewhere, has been declined
+// maximumDeclines times, or waits for its turn at the last node. A nested call may be declined
+// wherever it waits: a second offer costs it nothing.
 func (o *offers) slowest(chosen choice) float64 {
 	if o.declines >= maximumDeclines || o.call.body.long() || !o.call.body.repeatable() || o.lastRefusal() && !o.call.nested {
 		return 0
 	}
-	return chosen.slowestWorth(o.call.state.atUsualSpeed())
+	return chosen.slowestWorthwhile(o.call.state.atUsualSpeed())
 }
 
-// giveUp returns the failure that the caller is told. Once an offer may have run,
-// no later refusal can make the call one that has not.
-func (o *offers) giveUp() error {
+// finalFailure returns the failure that is reported to the caller. Once an offer may have run, no
+// later refusal can turn the call into one that has not.
+func (o *offers) finalFailure() error {
 	switch {
 	case o.unknown != nil:
 		return o.unknown
@@ -223,33 +223,33 @@
 	}
 }
 
-// offer asks one node. It reports whether a worker may have had the call.
+// offer offers the call to one node. It reports whether a worker may have received it.
 func (o *offers) offer(ctx context.Context, chosen choice) (*answer, bool, error) {
 	endpoint := chosen.endpoint
 	o.made++
 	o.tried = append(o.tried, endpoint.node)
 	report := &o.call.report
-	report.Node, report.Instance = endpoint.node, endpoint.life().String()
+	report.Node, report.Instance = endpoint.node, endpoint.incarnation().String()
 	report.Running, report.Waiting, report.Slots = chosen.load.Running, chosen.load.Waiting, chosen.load.Slots
-	// Waiting here is worth it for as long as the next best worker is expected
-	// to be later, and at the last node for as long as the call can wait at all.
+	// Waiting here is worthwhile as long as the next best worker is expected to be later, and at
+	// the last node as long as the call can wait at all.
 	latestStart := o.latestStart
 	switch {
 	case o.call.body.long():
-		guest := endpoint.zone != o.destination.zone
-		latestStart = earlier(latestStart, time.Now().Add(longWait(o.call.patience(), guest, o.lastRefusal())))
+		otherZone := endpoint.zone != o.destination.zone
+		latestStart = earlier(latestStart, time.Now().Add(longWait(o.call.waitLimit(), otherZone, o.lastRefusal())))
 	case !o.lastRefusal():
-		latestStart = earlier(latestStart, time.Now().Add(chosen.worthWaiting()))
+		latestStart = earlier(latestStart, time.Now().Add(chosen.worthwhileWait()))
 	}
 	var answered *answer
 	var arrived bool
 	var err error
 	if endpoint.node == o.call.plane.config.Node {
-		answered, arrived, err = o.askLocal(ctx, chosen, latestStart)
+		answered, arrived, err = o.offerLocal(ctx, chosen, latestStart)
 	} else {
-		answered, arrived, err = o.askNode(ctx, chosen, latestStart)
+		answered, arrived, err = o.offerNode(ctx, chosen, latestStart)
 	}
-	o.learn(chosen, answered, err)
+	o.recordResult(chosen, answered, err)
 	return answered, arrived, err
 }
 
@@ -260,29 +260,29 @@
 	return b
 }
 
-// learn keeps what an offer has shown.
-func (o *offers) learn(chosen choice, answered *answer, err error) {
-	seen := result{}
+// recordResult records what an offer has shown of the endpoint and the route.
+func (o *offers) recordResult(chosen choice, answered *answer, err error) {
+	observed := result{}
 	switch {
 	case err == nil:
-		o.destination.further.Earn()
+		o.destination.additionalOffers.Earn()
 		if o.refusals > 0 {
-			o.destination.further.Succeed()
+			o.destination.additionalOffers.Succeed()
 		}
-		seen.load, seen.hasLoad = answered.load, answered.hasLoad
+		observed.load, observed.hasLoad = answered.load, answered.hasLoad
 		if answered.rest == nil && answered.ran > 0 && answered.status < http.StatusInternalServerError {
-			seen.relative = o.call.state.observe(answered.ran, answered.load.Slowness, len(answered.held))
+			observed.relative = o.call.state.observe(answered.ran, answered.load.Slowness, len(answered.held))
 		}
 	default:
 		if load, ok := loadOfRefusal(err); ok {
-			seen.load, seen.hasLoad = load, true
+			observed.load, observed.hasLoad = load, true
 		}
-		seen.failed = pausesEndpoint(outcome.ReasonOf(err))
+		observed.failed = pausesEndpoint(outcome.ReasonOf(err))
 	}
-	o.destination.done(chosen, seen, time.Now())
+	o.destination.done(chosen, observed, time.Now())
 }
 
-// pausesEndpoint reports whether a failure speaks against the endpoint.
+// pausesEndpoint reports whether the endpoint should be avoided for a while after a failure.
 func pausesEndpoint(reason outcome.Reason) bool {
 	switch reason {
 	case outcome.Unreachable, outcome.NoWorker, outcome.Draining, outcome.ConnectionLost, outcome.WorkerCrashed, outcome.Misdirected, outcome.NotReady:
--- a/internal/forwarding/uneven_test.go
+++ b/internal/forwarding/uneven_test.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
-// The load of TestUnevenWorkers: many nodes send requests to workers of two speeds, each of
-// which is now and then slower for a while than it was when a node last heard of it.
+// The load of TestUnevenWorkers: many nodes send requests to workers of two speeds, each of which
+// is now and then slower for a while than a node last knew.
 const (
 	unevenNodes   = 40
 	unevenWorkers = 24
@@ -21,13 +21,13 @@
 	unevenLoad    = 0.75
 	unevenWork    = 220 * time.Millisecond
 	unevenTarget  = 800 * time.Millisecond
-	// unevenPatience is how long a request may wait for a slot at a worker that is not the last.
-	unevenPatience = 300 * time.Millisecond
-	unevenTime     = 20 * time.Second
-	spellTime      = 600 * time.Millisecond
-	spellShare     = 0.15
-	spellFactor    = 2.5
-	// unevenSpread, and the share and factor of long requests, tell how requests of the
+	// unevenWaitLimit is how long a request may wait for a slot at a worker that is not the last.
+	unevenWaitLimit  = 300 * time.Millisecond
+	unevenTime       = 20 * time.Second
+	slowPeriod       = 600 * time.Millisecond
+	slowPeriodShare  = 0.15
+	slowPeriodFactor = 2.5
+	// unevenSpread, and the share and factor of long requests, describe how much requests of the
 	// route differ.
 	unevenSpread = 0.8
 	longShare    = 0.03
@@ -39,8 +39,8 @@
 	usual, slowness float64
 	running         int
 	waiting         []*unevenRequest
-	// told is what its node knows.
-	told fadingMean
+	// reported is the slowness that its node knows.
+	reported decayingMean
 }
 
 type unevenRequest struct {
@@ -51,7 +51,7 @@
 	choice      choice
 }
 
-// uneven plays the load in simulated time, by the choice of the product.
+// uneven simulates the load in simulated time, with the product's choice of workers.
 type uneven struct {
 	random   *rand.Rand
 	now      time.Time
@@ -60,9 +60,9 @@
 	nodes    []*destination
 	routes   []*routeState
 	byNode   map[string]*unevenWorker
-	tells    bool
+	reports  bool
 	declines bool
-	best     bool
+	optimal  bool
 	hold     time.Duration
 
 	asked, inTime, declined int
@@ -78,7 +78,7 @@
 		w.slowness = w.usual
 		u.workers = append(u.workers, w)
 		u.byNode[fmt.Sprint("w", n)] = w
-		u.after(time.Duration(u.random.Float64()*float64(spellTime)), func() { u.spell(w) })
+		u.after(time.Duration(u.random.Float64()*float64(slowPeriod)), func() { u.changeSpeed(w) })
 	}
 	for range unevenNodes {
 		d := &destination{links: linkWaits{}, service: "s", self: "front", zone: "z", draw: u.random.Float64}
@@ -91,11 +91,11 @@
 	return u
 }
 
-// capacity is how many requests a second all workers serve.
+// capacity returns how many requests per second all workers serve.
 func (u *uneven) capacity() float64 {
 	var sum float64
 	for _, w := range u.workers {
-		sum += unevenSlots / (w.usual * (1 + spellShare*(spellFactor-1)) * unevenWork.Seconds())
+		sum += unevenSlots / (w.usual * (1 + slowPeriodShare*(slowPeriodFactor-1)) * unevenWork.Seconds())
 	}
 	return sum
 }
@@ -104,7 +104,7 @@
 	heap.Push(&u.events, unevenEvent{at: u.now.Add(d), do: do})
 }
 
-// run plays the load, and returns the share of requests that were answered in time.
+// run simulates the load, and returns the share of requests that were answered in time.
 func (u *uneven) run() float64 {
 	end := u.now.Add(unevenTime)
 	mean := float64(time.Second) / (unevenLoad * u.capacity())
@@ -133,17 +133,17 @@
 	return time.Duration(factor * float64(unevenWork))
 }
 
-func (u *uneven) spell(w *unevenWorker) {
+func (u *uneven) changeSpeed(w *unevenWorker) {
 	w.slowness = w.usual
-	if u.random.Float64() < spellShare {
-		w.slowness *= spellFactor
+	if u.random.Float64() < slowPeriodShare {
+		w.slowness *= slowPeriodFactor
 	}
-	u.after(spellTime, func() { u.spell(w) })
+	u.after(slowPeriod, func() { u.changeSpeed(w) })
 }
 
-// place offers a request until a worker's node takes it.
+// place offers a request until a worker's node accepts it.
 func (u *uneven) place(r *unevenRequest) {
-	if u.best {
+	if u.optimal {
 		u.take(r, u.fastest())
 		return
 	}
@@ -152,16 +152,16 @@
 	for {
 		work, _ := u.routes[r.node].expected()
 		usual := u.routes[r.node].atUsualSpeed()
-		chosen, _ := u.nodes[r.node].choose(wish{
-			work: work, usual: usual, target: unevenTarget, patience: unevenPatience, tried: tried, reachable: func(string) bool { return true },
+		chosen, _ := u.nodes[r.node].choose(criteria{
+			work: work, usual: usual, target: unevenTarget, waitLimit: unevenWaitLimit, tried: tried, reachable: func(string) bool { return true },
 		}, u.now)
 		w := u.byNode[chosen.endpoint.node]
 		last := len(tried) >= maximumRefusals-1
 		switch {
-		case u.declines && declined < maximumDeclines && !last && declines(w.told.at(u.now), chosen.slowestWorth(usual)):
+		case u.declines && declined < maximumDeclines && !last && declines(w.reported.at(u.now), chosen.slowestWorthwhile(usual)):
 			declined++
 			u.declined++
-		case !last && u.load(w).Wait() > min(chosen.worthWaiting(), unevenPatience):
+		case !last && u.load(w).Wait() > min(chosen.worthwhileWait(), unevenWaitLimit):
 			tried = append(tried, chosen.endpoint.node)
 		default:
 			r.choice = chosen
@@ -172,7 +172,7 @@
 	}
 }
 
-// fastest returns the worker with the least delay, by what no node can know.
+// fastest returns the worker with the least delay, from information that no node has.
 func (u *uneven) fastest() *unevenWorker {
 	best, least := u.workers[0], math.Inf(1)
 	for _, w := range u.workers {
@@ -191,8 +191,8 @@
 	r.worker = w
 	w.waiting = append(w.waiting, r)
 	u.start(w)
-	if !u.best && r.began.IsZero() {
-		u.after(unevenPatience, func() { u.refuse(r) })
+	if !u.optimal && r.began.IsZero() {
+		u.after(unevenWaitLimit, func() { u.refuse(r) })
 	}
 }
 
@@ -218,14 +218,14 @@
 func (u *uneven) finish(r *unevenRequest) {
 	w := r.worker
 	w.running--
-	if u.tells {
-		w.told.observe(w.slowness, u.now)
+	if u.reports {
+		w.reported.observe(w.slowness, u.now)
 	}
 	u.start(w)
 	if u.now.Sub(r.came) <= unevenTarget {
 		u.inTime++
 	}
-	if u.best {
+	if u.optimal {
 		return
 	}
 	load := u.load(w)
@@ -233,9 +233,9 @@
 	u.nodes[r.node].done(r.choice, result{load: load, hasLoad: true, relative: relative}, u.now)
 }
 
-// load is what a worker's node tells.
+// load returns the load that a worker's node reports.
 func (u *uneven) load(w *unevenWorker) slotqueue.Load {
-	return slotqueue.Load{Running: w.running, Waiting: len(w.waiting), Slots: unevenSlots, Hold: time.Duration(w.usual * float64(u.hold)), Slowness: w.told.at(u.now)}
+	return slotqueue.Load{Running: w.running, Waiting: len(w.waiting), Slots: unevenSlots, Hold: time.Duration(w.usual * float64(u.hold)), Slowness: w.reported.at(u.now)}
 }
 
 type unevenEvent struct {
@@ -256,11 +256,12 @@
 	return last
 }
 
-// TestUnevenWorkers has 40 nodes fill 24 workers to three quarters, a quarter of which take
-// 0.55 of the usual time and the others 1.2 times that, and each 2.5 times its own for
-// 600 ms at a time, 0.15 of the time. The best possible is the choice by what no node can know.
+// TestUnevenWorkers loads 24 workers to three quarters from 40 nodes; a quarter of the workers
+// take 0.55 of the usual time and the others 1.2 times that, and each takes 2.5 times its own for
+// 600 ms at a time, 0.15 of the time. The best possible result is that of the choice with
+// information that no node has.
 func TestUnevenWorkers(t *testing.T) {
-	var untold, told, declining, best float64
+	var withoutReports, withReports, declining, best float64
 	const seeds = 2
 	for seed := range uint64(seeds) {
 		play := func(set func(u *uneven)) (float64, *uneven) {
@@ -269,21 +270,21 @@
 			return u.run() / seeds, u
 		}
 		share, _ := play(func(*uneven) {})
-		untold += share
-		share, _ = play(func(u *uneven) { u.tells = true })
-		told += share
-		share, played := play(func(u *uneven) { u.tells, u.declines = true, true })
+		withoutReports += share
+		share, _ = play(func(u *uneven) { u.reports = true })
+		withReports += share
+		share, played := play(func(u *uneven) { u.reports, u.declines = true, true })
 		declining += share
 		t.Logf("seed %d: %d of %d offers declined", seed, played.declined, played.asked+played.declined)
-		share, _ = play(func(u *uneven) { u.best = true })
+		share, _ = play(func(u *uneven) { u.optimal = true })
 		best += share
 	}
-	t.Logf("in time: %.4f where workers tell nothing, %.4f where they do, %.4f with declines, best possible %.4f", untold, told, declining, best)
-	if told <= untold || declining <= told {
-		t.Error("what workers tell, or declining, is of no use")
+	t.Logf("in time: %.4f where workers report nothing, %.4f where they do, %.4f with declines, best possible %.4f", withoutReports, withReports, declining, best)
+	if withReports <= withoutReports || declining <= withReports {
+		t.Error("the reports of workers, or declining, bring no gain")
 	}
-	// Half of what the best possible would gain.
-	if declining-untold < (best-untold)/2 {
-		t.Errorf("%.4f gained of %.4f", declining-untold, best-untold)
+	// The choice must gain half of what the best possible one would.
+	if declining-withoutReports < (best-withoutReports)/2 {
+		t.Errorf("%.4f gained of %.4f", declining-withoutReports, best-withoutReports)
 	}
 }
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -18,98 +18,100 @@
 )
 
 const (
-	// workerIdle is how long an unused connection to a worker is kept when the
-	// worker does not say, and keepAliveMargin how much earlier than it says one
-	// is given up: a request must not meet a connection that is just closing.
+	// workerIdle is how long an unused connection to a worker is kept when the worker does not
+	// state its keep-alive time, and keepAliveMargin how much earlier than the stated time one is
+	// closed: a request must not be sent on a connection that is just being closed.
 	workerIdle      = 4 * time.Second
 	keepAliveMargin = time.Second
-	// shortestWorkerIdle bounds what a worker's word can do.
+	// shortestWorkerIdle is the shortest time for which an unused connection is kept, whatever
+	// the worker states.
 	shortestWorkerIdle = 100 * time.Millisecond
-	// unreachablePause is how long a worker that takes no connection is left alone.
+	// unreachablePause is how long a worker that accepts no connection gets no calls.
 	unreachablePause = 250 * time.Millisecond
-	// shortestTime is the least time worth giving to a worker.
+	// shortestTime is the shortest remaining time with which a call is still sent to a worker.
 	shortestTime = 2 * time.Millisecond
-	// connectionsPerSlot bounds the connections to a worker, unused ones and those that are
-	// being opened included: a worker resets those beyond what it accepts, with the
-	// requests on them. One for each slot is in use, the others let a request that ends
-	// and one that begins overlap.
+	// connectionsPerSlot bounds the connections to a worker per slot, including unused ones and
+	// those that are being opened: a worker resets connections beyond what it accepts, with the
+	// requests on them. One for each slot is in use, the others allow a request that ends and one
+	// that begins to overlap.
 	connectionsPerSlot = 2
 )
 
-// workerLeg is the way from this node to one life of a worker beside it.
-type workerLeg struct {
+// workerConnection sends calls from this node to one incarnation of a worker beside it, and
+// admits them to its slots.
+type workerConnection struct {
 	dialect *Dialect
 	queue   *slotqueue.Queue
 	// failures is the share of requests that fail at the worker.
 	failures failureShare
-	// make returns a transport to the worker.
-	make func(idle time.Duration, slots int) *http.Transport
-	// unshared carries long bodies, each over a connection that is not used again: a
-	// worker may answer before it has read the body and read on much later, and a
-	// request that followed on the connection would wait behind it. The worker is not
-	// told, since one that is may drop the connection with its answer on the way.
+	// makeTransport returns a transport to the worker.
+	makeTransport func(idle time.Duration, slots int) *http.Transport
+	// unshared sends long bodies, each over a connection that is not used again: a worker may
+	// answer before it has read the body and continue to read much later, and a request that
+	// followed on the connection would wait behind it. The worker is not sent "Connection:
+	// close", since it might then close the connection while its answer is still in transit.
 	unshared *http.Transport
 
 	mutex     sync.Mutex
 	worker    workers.Worker
 	transport *http.Transport
 	idle      time.Duration
-	// told is the slowness that the worker tells in its answers.
-	told fadingMean
-	// foreign is how many requests the worker is known to have from a former life of the
-	// node. They take slots: some workers that are given more than they can hold stop
-	// answering.
-	foreign int
+	// reportedSlowness is the slowness that the worker reports in its answers.
+	reportedSlowness decayingMean
+	// inheritedRequests is how many requests the worker is known to run for a previous
+	// incarnation of the node. They occupy slots: some workers that are given more than they can
+	// hold stop answering.
+	inheritedRequests int
 	// slots is how many slots the worker has.
 	slots int
-	// quietUntil, in nanoseconds, is until when the worker is left alone after
-	// it took no connection.
-	quietUntil atomic.Int64
-	// born is when the life of the worker began, as far as it is known.
-	born atomic.Int64
-	// replaced is set when another worker answered at the address.
+	// pausedUntil, in Unix nanoseconds, is until when the worker gets no calls after it accepted
+	// no connection.
+	pausedUntil atomic.Int64
+	// startedAt is when the worker's incarnation started, as far as it is known.
+	startedAt atomic.Int64
+	// replaced is set when another worker has answered at the address.
 	replaced atomic.Bool
 
-	// crashes tells the end of the worker from the loss of one connection.
+	// crashes distinguishes the end of the worker from the loss of one connection.
 	crashes *crashwatch.Watch
 	plane   *Plane
 }
 
-func (p *Plane) newWorkerLeg(worker workers.Worker) *workerLeg {
-	leg := &workerLeg{
-		dialect: &p.config.Dialect,
-		queue:   slotqueue.New(worker.Slots - worker.Busy),
-		worker:  worker,
-		foreign: worker.Busy,
-		slots:   worker.Slots,
-		idle:    workerIdle,
-		plane:   p,
-		crashes: crashwatch.New(p.config.Dial),
-		make: func(idle time.Duration, slots int) *http.Transport {
+func (p *Plane) newWorkerConnection(worker workers.Worker) *workerConnection {
+	connection := &workerConnection{
+		dialect:           &p.config.Dialect,
+		queue:             slotqueue.New(worker.Slots - worker.Busy),
+		worker:            worker,
+		inheritedRequests: worker.Busy,
+		slots:             worker.Slots,
+		idle:              workerIdle,
+		plane:             p,
+		crashes:           crashwatch.New(p.config.Dial),
+		makeTransport: func(idle time.Duration, slots int) *http.Transport {
 			return newWorkerTransport(p.config.Dial, idle, slots)
 		},
 	}
-	leg.born.Store(worker.StartedAt)
-	leg.transport = leg.make(workerIdle, worker.Slots)
-	leg.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
-	return leg
+	connection.startedAt.Store(worker.StartedAt)
+	connection.transport = connection.makeTransport(workerIdle, worker.Slots)
+	connection.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
+	return connection
 }
 
-// isOf reports whether the way is to a life of the worker. One that did not know when its
-// life began learns it.
-func (l *workerLeg) isOf(life workers.Incarnation) bool {
-	if !l.life().Same(life) {
+// isOf reports whether the connection is to the given incarnation of the worker. If its start
+// time was not known before, it is recorded.
+func (l *workerConnection) isOf(incarnation workers.Incarnation) bool {
+	if !l.incarnation().Same(incarnation) {
 		return false
 	}
-	if life.StartedAt != 0 {
-		l.born.Store(life.StartedAt)
+	if incarnation.StartedAt != 0 {
+		l.startedAt.Store(incarnation.StartedAt)
 	}
 	return true
 }
 
-// life returns the name of the life that the way is to.
-func (l *workerLeg) life() workers.Incarnation {
-	return workers.Incarnation{Instance: l.worker.Instance, StartedAt: l.born.Load()}
+// incarnation returns the worker incarnation that the connection is to.
+func (l *workerConnection) incarnation() workers.Incarnation {
+	return workers.Incarnation{Instance: l.worker.Instance, StartedAt: l.startedAt.Load()}
 }
 
 // workerCall is one request for the worker.
@@ -118,15 +120,15 @@
 	body    *requestBody
 	caller  string
 	claim   claim
-	// began is when the request came to this node, end when the call's time is over.
+	// began is when the request arrived at this node, end the deadline of the call.
 	began, end time.Time
-	// principal is whose the request is.
+	// principal is the authenticated owner of the request.
 	principal principal
-	// level is how many crashes of workers the request is known to have caused.
+	// level is how many worker crashes the request is known to have caused.
 	level int
-	// repeat tells that a worker had the request before.
+	// repeat is set when a worker received the request before.
 	repeat bool
-	// identified is the fingerprint of the request, once it was needed.
+	// identified caches the fingerprint of the request.
 	identified identity
 	// arrived is set once the request may have reached the worker.
 	arrived bool
@@ -134,10 +136,10 @@
 	waited, ran time.Duration
 }
 
-// check returns the failure of a request that would be refused now; nil for one
-// that would be admitted or could wait.
-func (l *workerLeg) check(ctx context.Context, wanted claim) error {
-	if l.quiet() {
+// check returns the failure of a request that would be refused now; nil for one that would be
+// admitted or could wait.
+func (l *workerConnection) check(ctx context.Context, wanted claim) error {
+	if l.paused() {
 		return outcome.New(outcome.NoWorker)
 	}
 	if err := l.queue.Check(wanted.request()); err != nil {
@@ -146,21 +148,21 @@
 	return nil
 }
 
-// ask admits a request and sends it to the worker.
-func (l *workerLeg) ask(ctx context.Context, call *workerCall) (*answer, error) {
-	if l.quiet() {
+// run admits a request and sends it to the worker.
+func (l *workerConnection) run(ctx context.Context, call *workerCall) (*answer, error) {
+	if l.paused() {
 		return nil, outcome.New(outcome.NoWorker)
 	}
-	came := time.Now()
+	arrivedAt := time.Now()
 	if call.level > 0 {
 		if err := l.isolate(ctx, call.claim.latestStart); err != nil {
-			call.waited = time.Since(came)
+			call.waited = time.Since(arrivedAt)
 			return nil, err
 		}
 		defer l.crashes.EndIsolation()
 	}
 	permit, err := l.queue.Admit(ctx, call.claim.request())
-	call.waited = time.Since(came)
+	call.waited = time.Since(arrivedAt)
 	if err != nil {
 		return nil, admissionFailure(ctx, err)
 	}
@@ -179,7 +181,7 @@
 	call.ran = time.Since(began)
 	if outcome.ReasonOf(err) == outcome.ConnectionLost && l.ended(ctx) {
 		err = outcome.Wrap(outcome.WorkerCrashed, err)
-		l.plane.crashed(l.life(), call)
+		l.plane.crashed(l.incarnation(), call)
 	}
 	failed := failedAtWorker(result, err)
 	l.failures.observe(failed, time.Now())
@@ -192,16 +194,16 @@
 	return result, nil
 }
 
-// releaseAfter gives the slot of a call back once its answer was read whole, or broke off.
-func (l *workerLeg) releaseAfter(result *answer, call *workerCall, permit slotqueue.Permit, failed bool) {
+// releaseAfter releases the slot of a call once its answer was read completely, or broke off.
+func (l *workerConnection) releaseAfter(result *answer, call *workerCall, permit slotqueue.Permit, failed bool) {
 	if result.rest == nil {
-		l.plane.answeredWhole(call)
+		l.plane.answeredComplete(call)
 		permit.Release(!failed)
 		return
 	}
 	result.finish = func(whole bool) {
 		if whole {
-			l.plane.answeredWhole(call)
+			l.plane.answeredComplete(call)
 		}
 		permit.Release(false)
 	}
@@ -220,29 +222,30 @@
 	}
 }
 
-// send hands an admitted request to the worker and sorts out answers that are none.
-func (l *workerLeg) send(ctx context.Context, call *workerCall) (*answer, error) {
+// send sends an admitted request to the worker and turns invalid answers and refusals into
+// failures.
+func (l *workerConnection) send(ctx context.Context, call *workerCall) (*answer, error) {
 	transport := l.current()
 	if call.body.long() {
 		transport = l.unshared
 	}
-	exchange := leg{transport: transport, request: l.request(call), body: call.body}
+	exchange := httpExchange{transport: transport, request: l.request(call), body: call.body}
 	response, err := exchange.do(ctx)
 	if err != nil {
 		call.arrived = outcome.Of(err) != outcome.NotRun
 		if outcome.ReasonOf(err) == outcome.Unreachable {
-			l.quietUntil.Store(time.Now().Add(unreachablePause).UnixNano())
+			l.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 		}
 		return nil, err
 	}
 	call.arrived = true
 	l.followKeepAlive(response.Header)
 	if sent := call.inbound.Header.Get(l.dialect.RequestID); sent != response.Header.Get(l.dialect.RequestID) {
-		// A surplus answer of a former request, or none that can be told apart.
+		// The answer belongs to an earlier request, or cannot be assigned to any.
 		_ = response.Body.Close()
 		return nil, outcome.New(outcome.InvalidAnswer)
 	}
-	l.hear(response.Header)
+	l.observeLoad(response.Header)
 	if l.dialect.refused(response) {
 		_ = response.Body.Close()
 		if response.StatusCode == http.StatusMisdirectedRequest {
@@ -253,7 +256,7 @@
 	return readAnswer(ctx, response)
 }
 
-func (l *workerLeg) request(call *workerCall) *http.Request {
+func (l *workerConnection) request(call *workerCall) *http.Request {
 	header := forwardedHeader(call.inbound, l.dialect)
 	if call.principal.tenant != "" {
 		header[l.dialect.Tenant] = []string{call.principal.tenant}
@@ -265,59 +268,58 @@
 	return newRequest(call.inbound, l.worker.Address, header)
 }
 
-func (l *workerLeg) current() *http.Transport {
+func (l *workerConnection) current() *http.Transport {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.transport
 }
 
-// hear takes what the worker tells of itself in an answer.
-func (l *workerLeg) hear(header http.Header) {
-	told, ok := l.dialect.workerLoad(header)
+// observeLoad records the load that the worker reports in an answer.
+func (l *workerConnection) observeLoad(header http.Header) {
+	reported, ok := l.dialect.workerLoad(header)
 	if !ok {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if told.Slowness > 0 {
-		l.told.observe(min(told.Slowness, highestSlowness), time.Now())
+	if reported.Slowness > 0 {
+		l.reportedSlowness.observe(min(reported.Slowness, highestSlowness), time.Now())
 	}
-	if l.foreign > 0 {
+	if l.inheritedRequests > 0 {
 		own := l.queue.Load().Running
-		l.foreign = min(l.foreign, max(told.Running+told.Waiting-own, 0))
-		l.queue.SetSlots(l.slots - l.foreign)
+		l.inheritedRequests = min(l.inheritedRequests, max(reported.Running+reported.Waiting-own, 0))
+		l.queue.SetSlots(l.slots - l.inheritedRequests)
 	}
 }
 
 // setSlots changes the number of slots of the worker.
-func (l *workerLeg) setSlots(slots int) {
+func (l *workerConnection) setSlots(slots int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if slots != l.slots {
 		l.renew(l.idle, slots)
 	}
-	l.queue.SetSlots(slots - l.foreign)
+	l.queue.SetSlots(slots - l.inheritedRequests)
 }
 
-// renew has further requests use a new transport. Requests under way keep theirs. The mutex
-// is held.
-func (l *workerLeg) renew(idle time.Duration, slots int) {
+// renew makes further requests use a new transport. Requests in progress keep theirs. The mutex
+// must be held.
+func (l *workerConnection) renew(idle time.Duration, slots int) {
 	former := l.transport
 	l.idle, l.slots = idle, slots
-	l.transport = l.make(idle, slots)
+	l.transport = l.makeTransport(idle, slots)
 	former.CloseIdleConnections()
 }
 
-// slowness returns how long work takes at the worker at present; zero when it does not
-// tell.
-func (l *workerLeg) slowness() float64 {
+// slowness returns the worker's current slowness as it reports it; zero when it reports none.
+func (l *workerConnection) slowness() float64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.told.at(time.Now())
+	return l.reportedSlowness.at(time.Now())
 }
 
-// followKeepAlive keeps unused connections for less long than the worker says.
-func (l *workerLeg) followKeepAlive(header http.Header) {
+// followKeepAlive keeps unused connections for less time than the worker states.
+func (l *workerConnection) followKeepAlive(header http.Header) {
 	idle, ok := keepAliveOf(header)
 	if !ok {
 		return
@@ -344,20 +346,20 @@
 }
 
 // load returns the load of the worker as this node knows it.
-func (l *workerLeg) load() slotqueue.Load {
+func (l *workerConnection) load() slotqueue.Load {
 	load := l.queue.Load()
 	load.Failing = l.failures.now(time.Now())
 	load.Slowness = l.slowness()
 	return load
 }
 
-// close ends the admission. Requests that run are not touched.
-func (l *workerLeg) close() {
+// close ends the admission. Requests in progress are not affected.
+func (l *workerConnection) close() {
 	l.queue.Close()
 	l.current().CloseIdleConnections()
 }
 
-// quiet reports whether the worker is left alone for now.
-func (l *workerLeg) quiet() bool {
-	return l.replaced.Load() || time.Now().UnixNano() < l.quietUntil.Load()
+// paused reports whether the worker gets no calls for now.
+func (l *workerConnection) paused() bool {
+	return l.replaced.Load() || time.Now().UnixNano() < l.pausedUntil.Load()
 }
