--- a/internal/hosted/messages.go
+++ b/internal/hosted/messages.go
@@ -4,22 +4,21 @@
 
 // Messages counts what a node has sent to other nodes since it started.
 type Messages struct {
-	// Comparisons are questions whether another node knows the same, Broadcasts
-	// messages with news, and Records the node records in those. Borrowings are messages on
-	// the limits of tenants, Questions those that ask nodes that read the store whether they
-	// are there.
-	Comparisons, Broadcasts, Records, Borrowings, Questions uint64
+	// Exchanges are the requests of anti-entropy exchanges, Broadcasts the messages with updates,
+	// and Records the node records in those. QuotaRequests are messages about the limits of
+	// tenants, Probes those that check whether the nodes that read the store answer.
+	Exchanges, Broadcasts, Records, QuotaRequests, Probes uint64
 }
 
 // messageCounters counts the messages that a node sends.
 type messageCounters struct {
-	comparisons, broadcasts, records, borrowings, questions atomic.Uint64
+	exchanges, broadcasts, records, quotaRequests, probes atomic.Uint64
 }
 
 func (c *messageCounters) read() Messages {
 	return Messages{
-		Comparisons: c.comparisons.Load(), Broadcasts: c.broadcasts.Load(), Records: c.records.Load(), Borrowings: c.borrowings.Load(),
-		Questions: c.questions.Load(),
+		Exchanges: c.exchanges.Load(), Broadcasts: c.broadcasts.Load(), Records: c.records.Load(), QuotaRequests: c.quotaRequests.Load(),
+		Probes: c.probes.Load(),
 	}
 }
 
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -8,38 +8,37 @@
 	"github.com/levertide/levertide/internal/exchangepb"
 )
 
-// partKey names the part of the own zone that news are handed on to.
+// partKey identifies the part of the own zone that an update is forwarded to.
 type partKey struct{ after, until string }
 
-// relay hands news on, to parts of the own zone or, at a hub, to all its receivers.
-// While news are on their way to a part, further ones for it are collected and go
-// together: when many nodes have news at the same time, as after a loss of power,
-// messages stay few.
+// relay forwards updates, to parts of the own zone or, at a hub, to all its receivers. While an
+// update is on its way to a part, further ones for that part are collected and sent together: when
+// many nodes have updates at the same time, as after a loss of power, messages stay few.
 type relay struct {
-	// send returns when the next news for the part may follow.
-	send func(ctx context.Context, what news, part partKey)
+	// send returns when the next update for the part may follow.
+	send func(ctx context.Context, u update, part partKey)
 
 	mu sync.Mutex
-	// waiting holds what is to follow, for each part with news on their way.
-	waiting map[partKey]*news
+	// waiting holds the update that is to follow, for each part with an update on its way.
+	waiting map[partKey]*update
 }
 
-func newRelay(send func(ctx context.Context, what news, part partKey)) *relay {
-	return &relay{send: send, waiting: map[partKey]*news{}}
+func newRelay(send func(ctx context.Context, u update, part partKey)) *relay {
+	return &relay{send: send, waiting: map[partKey]*update{}}
 }
 
-// handOn sends news to a part, or leaves them to whoever is sending there now.
-func (r *relay) handOn(ctx context.Context, what news, part partKey) {
-	if r.leave(what, part) {
+// forward sends an update to a part, or leaves it to the goroutine that is sending there now.
+func (r *relay) forward(ctx context.Context, u update, part partKey) {
+	if r.enqueue(u, part) {
 		return
 	}
-	for next := &what; next != nil; next = r.next(part) {
+	for next := &u; next != nil; next = r.next(part) {
 		r.send(ctx, *next, part)
 	}
 }
 
-// leave adds news to those that wait, if others are on their way.
-func (r *relay) leave(what news, part partKey) bool {
+// enqueue adds an update to the waiting one if another is on its way, and reports whether one is.
+func (r *relay) enqueue(u update, part partKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waiting, busy := r.waiting[part]
@@ -47,15 +46,15 @@
 	case !busy:
 		r.waiting[part] = nil
 	case waiting == nil:
-		r.waiting[part] = &what
+		r.waiting[part] = &u
 	default:
-		waiting.add(what)
+		waiting.add(u)
 	}
 	return busy
 }
 
-// next takes what waits for a part; nil when there is nothing, and the part is free.
-func (r *relay) next(part partKey) *news {
+// next takes the update that waits for a part; nil when there is none, and the part is then free.
+func (r *relay) next(part partKey) *update {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waiting := r.waiting[part]
@@ -67,11 +66,11 @@
 	return waiting
 }
 
-// add joins later news: the newest record of each node and the newest document.
-func (n *news) add(later news) {
-	nodes := make([]*exchangepb.Node, 0, len(n.nodes)+len(later.nodes))
+// add merges a later update: the newest record of each node and the newest document are kept.
+func (u *update) add(later update) {
+	nodes := make([]*exchangepb.Node, 0, len(u.nodes)+len(later.nodes))
 	place := map[string]int{}
-	for _, message := range append(append(nodes, n.nodes...), later.nodes...) {
+	for _, message := range append(append(nodes, u.nodes...), later.nodes...) {
 		i, known := place[message.GetId()]
 		switch {
 		case !known:
@@ -81,11 +80,11 @@
 			nodes[i] = message
 		}
 	}
-	n.nodes = nodes
-	// Messages on their way share what they carry: nothing is appended in place.
-	n.evidence = slices.Concat(n.evidence, later.evidence)
-	if later.document.GetVersion() > n.document.GetVersion() {
-		n.document = later.document
+	u.nodes = nodes
+	// Messages being sent share these slices: nothing is appended in place.
+	u.evidence = slices.Concat(u.evidence, later.evidence)
+	if later.document.GetVersion() > u.document.GetVersion() {
+		u.document = later.document
 	}
-	n.version = max(n.version, later.version)
+	u.version = max(u.version, later.version)
 }
