--- a/internal/hosted/documents.go
+++ b/internal/hosted/documents.go
@@ -9,56 +9,56 @@
 	"github.com/levertide/levertide/internal/exchangepb"
 )
 
-// Documents holds the newest document that this node knows, and has it put in
-// force. It is a suture service.
+// Documents holds the newest document that this node knows, and has it put in force. It is a suture
+// service.
 type Documents struct {
 	consumer Consumer
 	events   Events
-	// news is signalled when there is a document that was not offered yet.
-	news chan struct{}
-	// held is closed when there is a first document.
-	held    chan struct{}
-	returns returnCounters
-	// offered is the version of the last document that the consumer took.
+	// changed is signalled when there is a document that was not offered yet.
+	changed chan struct{}
+	// available is closed when there is a first document.
+	available chan struct{}
+	restores  restoreCounters
+	// offered is the version of the last document that the consumer accepted.
 	offered atomic.Uint64
 
 	mu       sync.Mutex
 	newest   Document
-	whole    *exchangepb.Document // the newest in full, made when it is needed
+	full     *exchangepb.Document // the newest in full, made when it is needed
 	delta    *exchangepb.Document // the newest by the one before it; nil if there is none
 	previous uint64
 }
 
 // NewDocuments returns an empty Documents.
 func NewDocuments(consumer Consumer, events Events) *Documents {
-	return &Documents{consumer: consumer, events: events, news: make(chan struct{}, 1), held: make(chan struct{})}
+	return &Documents{consumer: consumer, events: events, changed: make(chan struct{}, 1), available: make(chan struct{})}
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (d *Documents) String() string { return "documents" }
 
-// restFactor is how long, in times of its duration, nothing is put in force after a
-// document was: a storm of changes then takes at most a tenth of what the machine has
-// for everything. longestRest keeps every document in force within half a second; the
-// tightest bound that operators have asked for is two.
+// pauseFactor is the pause after a document was put in force, as a multiple of the time that this
+// took: many changes in a short time then take at most a tenth of the machine. longestPause keeps
+// every document in force within half a second; the tightest bound that operators have asked for is
+// two.
 const (
-	restFactor  = 9
-	longestRest = 500 * time.Millisecond
+	pauseFactor  = 9
+	longestPause = 500 * time.Millisecond
 )
 
 // noRevision stands for the revision of a document that another node has sent.
 const noRevision = 0
 
-// Serve offers the newest document to the consumer, until the context ends. When
-// documents come faster than they can be put in force, those between are left out:
-// on a slow machine a storm of changes must not queue up, nor hold up calls.
+// Serve offers the newest document to the consumer, until the context ends. When documents arrive
+// faster than they can be put in force, intermediate ones are skipped: on a slow machine many
+// changes must not queue up, nor delay calls.
 func (d *Documents) Serve(ctx context.Context) error {
 	for {
 		select {
-		case <-d.news:
+		case <-d.changed:
 			began := time.Now()
 			d.offer()
-			sleep(ctx, min(restFactor*time.Since(began), longestRest))
+			sleep(ctx, min(pauseFactor*time.Since(began), longestPause))
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -80,8 +80,8 @@
 // InForce reports whether a document has been put in force.
 func (d *Documents) InForce() bool { return d.offered.Load() > 0 }
 
-// Held is closed when there is a first document.
-func (d *Documents) Held() <-chan struct{} { return d.held }
+// Available returns a channel that is closed when there is a first document.
+func (d *Documents) Available() <-chan struct{} { return d.available }
 
 // Version returns the version of the newest document; zero when there is none.
 func (d *Documents) Version() uint64 {
@@ -90,8 +90,8 @@
 	return d.newest.Version
 }
 
-// After returns the newest document, in the form of messages, for a node that
-// holds the given version; nil when that is no older.
+// After returns the newest document as a message, for a node that holds the given version; nil when
+// that is no older.
 func (d *Documents) After(version uint64) *exchangepb.Document {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -101,33 +101,33 @@
 	case d.delta != nil && d.delta.GetBase() == version:
 		return d.delta
 	}
-	if d.whole == nil {
-		d.whole = &exchangepb.Document{Version: d.newest.Version, Content: compress(d.newest.Content, nil)}
+	if d.full == nil {
+		d.full = &exchangepb.Document{Version: d.newest.Version, Content: compress(d.newest.Content, nil)}
 	}
-	return d.whole
+	return d.full
 }
 
-// News returns the newest document for all others: by the one before it, which
-// most of them hold, if there is one.
-func (d *Documents) News() *exchangepb.Document {
+// ForBroadcast returns the newest document as a message for all other nodes: compressed with the
+// previous document, which most of them hold, if there is one.
+func (d *Documents) ForBroadcast() *exchangepb.Document {
 	d.mu.Lock()
 	base := d.previous
 	d.mu.Unlock()
 	return d.After(base)
 }
 
-// Take takes a document from the store. It reports whether it was news. Documents are
-// ordered by the operators' version: a store that came back from a copy gives out lower
-// revisions again, and by these newer documents would stay out of force for seconds.
+// Take accepts a document from the store. It reports whether it was newer than the one held.
+// Documents are ordered by the operators' version: a store that was restored from a copy gives out
+// lower revisions again, and ordered by these, newer documents would not come in force for seconds.
 func (d *Documents) Take(document Document) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case document.Version == 0:
-		d.events.DocumentRejected(document.Revision, ErrInvalidDocument.New("the content tells no version"))
+		d.events.DocumentRejected(document.Revision, ErrInvalidDocument.New("the content has no version"))
 		return false
 	case document.Version < d.newest.Version:
-		d.returns.passedOver.Add(1)
+		d.restores.passedOver.Add(1)
 		d.events.DocumentPassedOver(document.Version, d.newest.Version, document.Revision)
 		return false
 	case document.Version == d.newest.Version:
@@ -137,9 +137,9 @@
 	return true
 }
 
-// TakeMessage takes a document from another node. It reports whether this node
-// holds the version of the message afterwards: it does not when the document
-// was compressed by one that it lacks.
+// TakeMessage accepts a document from another node. It reports whether this node holds the version
+// of the message afterwards: it does not when the document was compressed with one that this node
+// lacks.
 func (d *Documents) TakeMessage(message *exchangepb.Document) bool {
 	if message == nil {
 		return false
@@ -165,30 +165,29 @@
 	return true
 }
 
-// put makes a document the newest. One that cannot be used is kept and handed on
-// all the same: others may be able to, and all must agree on which is the newest.
-// The mutex is held.
+// put makes a document the newest. One that cannot be used is held and forwarded all the same:
+// others may be able to use it, and all must agree on which is the newest. The mutex is held.
 func (d *Documents) put(document Document, message *exchangepb.Document) {
-	former := d.newest
-	if former.Version == 0 {
-		close(d.held)
+	previous := d.newest
+	if previous.Version == 0 {
+		close(d.available)
 	}
-	d.newest, d.previous = document, former.Version
-	d.whole, d.delta = nil, nil
+	d.newest, d.previous = document, previous.Version
+	d.full, d.delta = nil, nil
 	switch {
 	case message.GetBase() != 0:
 		d.delta = message
-	case former.Version != 0:
+	case previous.Version != 0:
 		d.delta = &exchangepb.Document{
-			Version: document.Version, Base: former.Version,
-			Content: compress(document.Content, former.Content),
+			Version: document.Version, Base: previous.Version,
+			Content: compress(document.Content, previous.Content),
 		}
 	}
 	if message != nil && message.GetBase() == 0 {
-		d.whole = message
+		d.full = message
 	}
 	select {
-	case d.news <- struct{}{}:
+	case d.changed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/hosted/power_test.go
+++ b/internal/hosted/power_test.go
@@ -13,8 +13,8 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// silence cuts nodes off from all others, as a loss of power does, and returns the rest.
-func (m *simulated) silence(chosen func(id string) bool) []*testNode {
+// cutOff disconnects nodes from all others, as a loss of power does, and returns the rest.
+func (m *simulated) cutOff(chosen func(id string) bool) []*testNode {
 	var rest []*testNode
 	for n, node := range m.nodes {
 		if !chosen(node.table.View().Self().ID) {
@@ -31,8 +31,8 @@
 }
 
 // TestDocumentIsEverywhereSoonAlthoughMostMachinesAreSilent guards against changes that come in
-// force late: a broadcast waited for each machine that had lost power in turn, on each of its
-// levels, before it went on to one that runs.
+// force late: a broadcast waited in turn for each machine that had lost power, on each of its
+// levels, before it reached one that runs.
 func TestDocumentIsEverywhereSoonAlthoughMostMachinesAreSilent(t *testing.T) {
 	const (
 		size   = 85
@@ -47,7 +47,7 @@
 		var worst time.Duration
 		for round := range rounds {
 			time.Sleep(15 * time.Second)
-			rest := m.silence(func(string) bool { return r.Float64() < share })
+			rest := m.cutOff(func(string) bool { return r.Float64() < share })
 			time.Sleep(latest * time.Duration(round) / rounds)
 			m.store.Put(testDocument(round + 1))
 			took := m.within(t, bound, "all that run have the document", allHold(rest, testDocument(round+1)))
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestReadersThatAreGoneTogetherAreReplaced guards against changes that stay out of force while all
-// nodes that read the store are gone: the others did not notice.
+// TestReadersThatAreGoneTogetherAreReplaced guards against changes that do not come in force while
+// all readers are lost: the other nodes did not notice that.
 func TestReadersThatAreGoneTogetherAreReplaced(t *testing.T) {
 	const (
 		size   = 85
@@ -73,7 +73,7 @@
 		for round := range rounds {
 			time.Sleep(15 * time.Second)
 			readers := fleet.Readers(m.nodes[0].table.View(), func(string) bool { return true }, 3)
-			rest := m.silence(func(id string) bool { return slices.Contains(readers, id) })
+			rest := m.cutOff(func(id string) bool { return slices.Contains(readers, id) })
 			for _, id := range readers {
 				m.store.SetFaults(id, hostedstore.Faults{Silent: true})
 			}
@@ -90,8 +90,8 @@
 	})
 }
 
-// TestReadersAndThoseNextAreReplaced guards against changes that stay out of force while the nodes
-// that read the store and those that look after them are killed together.
+// TestReadersAndThoseNextAreReplaced guards against changes that do not come in force while the
+// readers and the nodes that monitor them are killed together.
 func TestReadersAndThoseNextAreReplaced(t *testing.T) {
 	const (
 		size   = 85
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -11,66 +11,65 @@
 )
 
 const (
-	// rolloutTick is how often a node looks at the roll-outs that run: a bad version is
-	// to be left within seconds. While none runs a node only waits for news.
+	// rolloutTick is how often a node checks the running roll-outs: a bad version is to be left
+	// within seconds. While none runs a node only waits for updates.
 	rolloutTick = 200 * time.Millisecond
-	// runsInterval is how often a node tells what its worker did.
+	// runsInterval is how often a node publishes what its worker did.
 	runsInterval = time.Second
-	// forgetRollout is how long after its deadline a roll-out is remembered: the workers
-	// that it leaves have ended by then.
+	// forgetRollout is how long after its deadline a roll-out is remembered: the workers of the
+	// version that it leaves have ended by then.
 	forgetRollout = time.Minute
 )
 
-// Steering is the part of the node that shares requests among versions.
+// Steering is the part of the node that divides requests among versions.
 type Steering interface {
-	// Steer has the node share the requests of services by the given decisions, and of
-	// no others.
+	// Steer has the node divide the requests of services by the given decisions, and those of no
+	// other services.
 	Steer(decisions []fleet.Rollout)
-	// Runs returns what the worker beside the node did for a service since Steer named
-	// it first, by route.
+	// Runs returns what the worker beside the node did for a service since Steer first named it, by
+	// route.
 	Runs(service string) []fleet.RouteRuns
 	// LongestCall returns how long a call to the service may last.
 	LongestCall(service string) time.Duration
 }
 
-// Rollouts has a node know, apply and tell the decisions on moves of services to other
-// versions, and decide them while it is the coordinator: the node that reads the store
-// first. Decisions and what workers did travel in the nodes' records. It is a suture
-// service.
+// Rollouts has a node learn, apply and publish the decisions on moves of services to other
+// versions, and make them while it is the coordinator: the first node in the order of readers.
+// Decisions and what workers did are sent in the nodes' records. It is a suture service.
 type Rollouts struct {
 	store    RolloutStore
 	steering Steering
 	table    *fleet.Table
 	contacts *fleet.Contacts
 	events   Events
-	// announce tells the other nodes the own record.
+	// announce sends this node's record to the other nodes.
 	announce func(ctx context.Context)
-	// news is signalled when there is something to look at.
-	news chan struct{}
+	// wake is signalled when there is something to look at.
+	wake chan struct{}
 
 	mu     sync.Mutex
 	orders []Order
 
-	// What follows belongs to the goroutine of Serve.
+	// The following fields are used only by the goroutine of Serve.
 
-	known map[string]fleet.Rollout
-	leads map[string]*lead
-	// toldRuns is when the own record last told what the worker did.
-	toldRuns time.Time
+	known        map[string]fleet.Rollout
+	coordinators map[string]*coordinator
+	// publishedAt is when this node's record was last updated with what the worker did.
+	publishedAt time.Time
 }
 
 func newRollouts(config Config, announce func(ctx context.Context)) *Rollouts {
 	return &Rollouts{
 		store: config.Rollouts, steering: config.Steering, table: config.Table, contacts: config.Contacts,
-		events: config.Events, announce: announce, news: make(chan struct{}, 1),
-		known: map[string]fleet.Rollout{}, leads: map[string]*lead{},
+		events: config.Events, announce: announce, wake: make(chan struct{}, 1),
+		known: map[string]fleet.Rollout{}, coordinators: map[string]*coordinator{},
 	}
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (r *Rollouts) String() string { return "rollouts" }
 
-// Serve looks after roll-outs until the context ends.
+// Serve runs roll-outs until the context ends.
 func (r *Rollouts) Serve(ctx context.Context) error {
 	for {
 		r.look(ctx, time.Now())
@@ -78,7 +77,7 @@
 			sleep(ctx, rolloutTick)
 		} else {
 			select {
-			case <-r.news:
+			case <-r.wake:
 			case <-ctx.Done():
 			}
 		}
@@ -91,12 +90,12 @@
 // Signal has the node look at once.
 func (r *Rollouts) Signal() {
 	select {
-	case r.news <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// TakeOrders takes orders that the store has told.
+// TakeOrders accepts orders that the store has returned.
 func (r *Rollouts) TakeOrders(orders []Order) {
 	if len(orders) == 0 {
 		return
@@ -107,24 +106,24 @@
 	r.Signal()
 }
 
-// look brings this node up to date, and decides what is its to decide.
+// look updates this node's decisions from orders and records, and makes those that are its to make.
 func (r *Rollouts) look(ctx context.Context, now time.Time) {
 	changed := r.adoptOrders(now)
 	view := r.table.View()
 	for _, n := range view.Nodes() {
-		for _, told := range n.Rollouts {
-			changed = r.adopt(told, now) || changed
+		for _, reported := range n.Rollouts {
+			changed = r.adopt(reported, now) || changed
 		}
 	}
 	changed = r.forget(now) || changed
 	for service := range r.known {
-		changed = r.lead(ctx, view, service, now) || changed
+		changed = r.coordinate(ctx, view, service, now) || changed
 	}
 	if changed {
 		r.steering.Steer(r.decisions())
 	}
-	if changed || len(r.known) > 0 && now.Sub(r.toldRuns) >= runsInterval {
-		r.tell(ctx, changed, now)
+	if changed || len(r.known) > 0 && now.Sub(r.publishedAt) >= runsInterval {
+		r.publish(ctx, changed, now)
 	}
 }
 
@@ -145,10 +144,10 @@
 	return changed
 }
 
-// adoptAcross takes an order that the store tells after it came back from a copy. The order
-// that is held goes on when the store still has it or operators have written it again: what
-// was decided on it stays. One of another target that may be from the copy is the older of the
-// two; to follow it would move the service back. It reports whether something changed.
+// adoptAcross adopts an order that the store returns after it was restored from a copy. The held
+// order goes on when the store still has it or operators have written it again: what was decided on
+// it stays. An order with another target that may come from the copy is the older of the two;
+// following it would move the service back. It reports whether something changed.
 func (r *Rollouts) adoptAcross(held fleet.Rollout, o Order, now time.Time) bool {
 	switch {
 	case o.Target == held.Target:
@@ -160,7 +159,7 @@
 	return r.adoptOrder(o, now)
 }
 
-// adoptOrder takes an order, if it is newer than what is known. It reports whether it was.
+// adoptOrder adopts an order if it is newer than what is known. It reports whether it was.
 func (r *Rollouts) adoptOrder(o Order, now time.Time) bool {
 	adopted := r.adopt(fleet.Rollout{
 		Service: o.Service, Target: o.Target, Era: o.Era, Revision: o.Revision, Ordered: now, Deadline: now.Add(o.Duration),
@@ -171,62 +170,62 @@
 	return adopted
 }
 
-// adopt takes a decision that is newer than the one known. It reports whether it was.
-func (r *Rollouts) adopt(told fleet.Rollout, now time.Time) bool {
-	held, known := r.known[told.Service]
-	if known && !told.Supersedes(held) || now.After(told.Deadline.Add(forgetRollout)) {
+// adopt adopts a decision that is newer than the one known. It reports whether it was.
+func (r *Rollouts) adopt(reported fleet.Rollout, now time.Time) bool {
+	held, known := r.known[reported.Service]
+	if known && !reported.Supersedes(held) || now.After(reported.Deadline.Add(forgetRollout)) {
 		return false
 	}
-	told.Runs = nil
-	r.known[told.Service] = told
+	reported.Runs = nil
+	r.known[reported.Service] = reported
 	return true
 }
 
-// forget drops what is long over. It reports whether there was any.
+// forget drops roll-outs that ended long ago. It reports whether there were any.
 func (r *Rollouts) forget(now time.Time) bool {
 	before := len(r.known)
 	for service, held := range r.known {
 		if now.After(held.Deadline.Add(forgetRollout)) {
 			delete(r.known, service)
-			delete(r.leads, service)
+			delete(r.coordinators, service)
 		}
 	}
 	return len(r.known) < before
 }
 
-// lead decides on a roll-out if this node is the coordinator. It reports whether the
-// decision has changed.
-func (r *Rollouts) lead(ctx context.Context, view *fleet.View, service string, now time.Time) bool {
+// coordinate decides on a roll-out if this node is the coordinator. It reports whether the decision
+// has changed.
+func (r *Rollouts) coordinate(ctx context.Context, view *fleet.View, service string, now time.Time) bool {
 	held := r.known[service]
-	l, leading := r.leads[service]
-	if leading && (l.era != held.Era || l.order != held.Revision) {
+	c, leading := r.coordinators[service]
+	if leading && (c.era != held.Era || c.order != held.Revision) {
 		leading = false
 	}
-	if !r.coordinates(view) {
-		delete(r.leads, service)
+	if !r.isCoordinator(view) {
+		delete(r.coordinators, service)
 		return false
 	}
 	if !leading {
-		l = newLead(r.store, held)
-		r.leads[service] = l
+		c = newCoordinator(r.store, held)
+		r.coordinators[service] = c
 	}
-	decided := l.decide(ctx, view, held, r.steering.LongestCall(service), now)
+	decided := c.decide(ctx, view, held, r.steering.LongestCall(service), now)
 	if decided.SameDecision(held) {
 		return false
 	}
 	r.known[service] = decided
-	r.events.RolloutDecided(service, decided.Target, decided.State, decided.Share, l.reason, l.ran, l.failed)
+	r.events.RolloutDecided(service, decided.Target, decided.State, decided.Share, c.reason, c.ran, c.failed)
 	return true
 }
 
-// coordinates reports whether this node decides. Two nodes with different views may both
-// do so for a while: what is final is decided by the store.
-func (r *Rollouts) coordinates(view *fleet.View) bool {
+// isCoordinator reports whether this node decides. Two nodes with different views may both do so
+// for a while: final states are decided by the store.
+func (r *Rollouts) isCoordinator(view *fleet.View) bool {
 	first := fleet.Readers(view, r.contacts.Reachable, 1)
 	return len(first) == 1 && first[0] == view.Self().ID
 }
 
-// decisions returns what is known, by service.
+// decisions returns the known decisions, ordered by service.
 func (r *Rollouts) decisions() []fleet.Rollout {
 	list := make([]fleet.Rollout, 0, len(r.known))
 	for _, held := range r.known {
@@ -236,21 +235,21 @@
 	return list
 }
 
-// tell writes the own record, and announces it when it says something new.
-func (r *Rollouts) tell(ctx context.Context, decided bool, now time.Time) {
-	r.toldRuns = now
+// publish updates this node's record, and announces it when something has changed.
+func (r *Rollouts) publish(ctx context.Context, decided bool, now time.Time) {
+	r.publishedAt = now
 	list := r.decisions()
 	for i := range list {
 		list[i].Runs = r.steering.Runs(list[i].Service)
 	}
-	former := r.table.View().Self().Rollouts
-	if !decided && slices.EqualFunc(former, list, sameTelling) {
+	previous := r.table.View().Self().Rollouts
+	if !decided && slices.EqualFunc(previous, list, samePublished) {
 		return
 	}
 	r.table.Update(func(own *fleet.Node) { own.Rollouts = list })
 	r.announce(ctx)
 }
 
-func sameTelling(a, b fleet.Rollout) bool {
+func samePublished(a, b fleet.Rollout) bool {
 	return a.Service == b.Service && a.SameDecision(b) && slices.Equal(a.Runs, b.Runs)
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -122,7 +122,7 @@
 		Quarantine: node.quarantine,
 		Quota:      node.quotas,
 		// The agent is set below, before the first call can arrive.
-		Evidence: func(reports []quarantine.Report) { node.agent.Tell(reports) },
+		Evidence: func(reports []quarantine.Report) { node.agent.ReportEvidence(reports) },
 		Observer: telemetry.NewForwardingObserver(registry.Registerer(), log, logQueue.Drop),
 	})
 	controlListener, err := network.Listen(s.ControlAddress)
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -26,7 +26,7 @@
 	wait(bounded, time.Until(began.Add(n.settings.StopNotice)))
 	var ending sync.WaitGroup
 	ending.Go(func() { n.callerListener.shutdown(bounded) })
-	n.agent.Farewell(bounded, fleet.StateLeaving)
+	n.agent.AnnounceStop(bounded, fleet.StateLeaving)
 	wait(bounded, rerouteTime)
 	n.plane.Stop()
 	ending.Wait()
@@ -34,7 +34,7 @@
 	calls, hops := n.plane.InFlight()
 	n.reportDrain(time.Since(began), int(calls+hops))
 	n.hopListener.shutdown(bounded)
-	n.agent.Farewell(context.Background(), fleet.StateLeft)
+	n.agent.AnnounceStop(context.Background(), fleet.StateLeft)
 	n.plane.Close()
 }
 
