--- a/internal/telemetry/catalogue.go
+++ b/internal/telemetry/catalogue.go
@@ -19,11 +19,11 @@
 
 // Event is one entry of the catalogue.
 type Event struct {
-	// Number identifies the event for good.
+	// Number identifies the event; it is never given to another one.
 	Number int
 	Name   string
 	Level  Level
-	// Fields are the names of the values that each line carries besides time,
+	// Fields are the names of the values that each log line carries besides time,
 	// level, event, name and node.
 	Fields []string
 	// Meaning says what happened and, where it matters, what to do.
@@ -101,29 +101,29 @@
 
 // Events of the hosted mode.
 var (
-	eventDocumentRejected   = Event{601, "document rejected", LevelError, []string{fieldRevision, fieldError}, "A document of the platform cannot be used; the version in force stays."}
-	eventDocumentInForce    = Event{602, "document in force", LevelInfo, []string{fieldVersion, "routes"}, "The version is in force on this node, whole. The number never falls within a process."}
-	eventReaderRole         = Event{603, "reader role changed", LevelInfo, []string{"reads"}, "Whether this node watches the store for all."}
-	eventNodeLost           = Event{604, "node lost", LevelWarning, []string{"peer", fieldError}, "Another node cannot be reached from here; it is tried again with pauses and gets calls as the last resort only."}
-	eventNodeFound          = Event{605, "node found", LevelInfo, []string{"peer"}, "A node that was lost answers again."}
-	eventWorkerChanged      = Event{606, "worker changed", LevelInfo, []string{"instance", "service", "slots", "state", "sequence", "born_unix_milliseconds", "cause"}, "What may be done with a worker beside this node, and what told it."}
-	eventPromiseKept        = Event{607, "promise kept", LevelInfo, []string{"instance", "holders", "stored"}, "A worker's leave is about to be acknowledged; holders counts the other nodes that know of it, stored tells whether the platform's store does."}
-	eventFormerLife         = Event{608, "former life", LevelInfo, []string{"incarnation", "promised"}, "Another node or the platform's store told a record of a former life of this node, with what was promised."}
-	eventSettingsReloaded   = Event{609, "settings reloaded", LevelInfo, []string{fieldError}, "The settings were read again; with an error, those before stay."}
-	eventRolloutOrdered     = Event{611, "rollout ordered", LevelInfo, []string{"service", fieldTarget, fieldDuration}, "The store has told this node an order to move a service to another version."}
-	eventRolloutDecided     = Event{612, "rollout decided", LevelInfo, []string{"service", fieldTarget, "state", "share", fieldReason, "ran", "failed"}, "This node, as coordinator, decided what share of the requests the version gets from now on, or that the move has ended; the reason says why it was rolled back, ran and failed count the version's requests."}
-	eventQuarantined        = Event{613, "request quarantined", LevelError, []string{fieldFingerprint, "instances", "since_unix_milliseconds", "until_unix_milliseconds", "source"}, "The request has crashed these workers, one after the other, and is given to none any more until the given time; the source tells on whose word this node believes it."}
-	eventQuarantineEnded    = Event{614, "quarantine ended", LevelInfo, []string{fieldFingerprint, fieldReason}, "The request may be run again: a worker has answered it whole, an operator has lifted the quarantine, or its time is over."}
-	eventRecallFailed       = Event{615, "recall failed", LevelWarning, []string{"peer", fieldError}, "The hub of the zone did not tell this starting node what the store holds of its former lives; the node asks the store itself."}
-	eventDocumentPassedOver = Event{616, "document passed over", LevelWarning, []string{fieldVersion, "held_version", fieldRevision}, "The store holds an older version than this node, as for a while after it came back from a copy; nothing is taken from it."}
-	eventStoreRestored      = Event{617, "store restored", LevelWarning, []string{fieldEra, "former_revision", fieldRevision}, "The store came back from a copy some seconds old; its revisions went from former_revision back to revision (zero where this node has not seen them). The version in force stays, newer ones are taken by their version, and nodes write again what they keep there. Nothing is to be done."}
-	eventHeartbeatRejected  = Event{618, "heartbeat rejected", LevelWarning, []string{"instance", fieldError}, "A call to the address for workers cannot be used: fields are missing or of another type, or it names a state or service that there is not. It changes nothing; at most one such line in five seconds."}
-	eventEntryRejected      = Event{619, "entry rejected", LevelWarning, []string{"entry"}, "An entry in the store is not of the node that its key names, or cannot be read: another program may write there. It names no node; at most one such line in five seconds, with those of event 618."}
-	eventEntryRestored      = Event{620, "entry restored", LevelInfo, []string{fieldEra, "promised"}, "After the store came back from a copy this node has written its entry again, with so many promises of workers that leave."}
-	eventTenantOmitted      = Event{630, "tenant omitted", LevelError, []string{fieldVersion, fieldError}, "A tenant of the platform's document cannot be used: its callers are refused (401). All else of the version is in force."}
-	eventTenantLimited      = Event{640, "tenant limited", LevelInfo, []string{fieldTenant, "rate", "burst"}, "Requests of the tenant begin to be refused at this node (429), since all nodes together have admitted what its limit allows. Single refusals have no line."}
-	eventTenantLimitEnded   = Event{641, "tenant limit ended", LevelInfo, []string{fieldTenant, "admitted", "refused", fieldDuration}, "No request of the tenant was refused for its limit at this node for five seconds; how many were admitted and refused, from the first to the last refusal."}
-	eventLinesDropped       = Event{610, "lines dropped", LevelWarning, []string{"lines"}, "Lines of this log that were not written, because their reader was slow or there were too many."}
+	eventDocumentRejected    = Event{601, "document rejected", LevelError, []string{fieldRevision, fieldError}, "A document of the platform cannot be used; the version in force stays."}
+	eventDocumentInForce     = Event{602, "document in force", LevelInfo, []string{fieldVersion, "routes"}, "The version is in force on this node, whole. The number never falls within a process."}
+	eventReaderRole          = Event{603, "reader role changed", LevelInfo, []string{"reads"}, "Whether this node watches the store for all."}
+	eventNodeLost            = Event{604, "node lost", LevelWarning, []string{"peer", fieldError}, "Another node cannot be reached from here; it is tried again with pauses and gets calls as the last resort only."}
+	eventNodeFound           = Event{605, "node found", LevelInfo, []string{"peer"}, "A node that was lost answers again."}
+	eventWorkerChanged       = Event{606, "worker changed", LevelInfo, []string{"instance", "service", "slots", "state", "sequence", "born_unix_milliseconds", "cause"}, "What may be done with a worker beside this node, and what told it."}
+	eventDrainCommitmentHeld = Event{607, "promise kept", LevelInfo, []string{"instance", "holders", "stored"}, "A worker's leave is about to be acknowledged; holders counts the other nodes that know of it, stored tells whether the platform's store does."}
+	eventPreviousIncarnation = Event{608, "former life", LevelInfo, []string{"incarnation", "promised"}, "Another node or the platform's store told a record of a former life of this node, with what was promised."}
+	eventSettingsReloaded    = Event{609, "settings reloaded", LevelInfo, []string{fieldError}, "The settings were read again; with an error, those before stay."}
+	eventRolloutOrdered      = Event{611, "rollout ordered", LevelInfo, []string{"service", fieldTarget, fieldDuration}, "The store has told this node an order to move a service to another version."}
+	eventRolloutDecided      = Event{612, "rollout decided", LevelInfo, []string{"service", fieldTarget, "state", "share", fieldReason, "ran", "failed"}, "This node, as coordinator, decided what share of the requests the version gets from now on, or that the move has ended; the reason says why it was rolled back, ran and failed count the version's requests."}
+	eventQuarantined         = Event{613, "request quarantined", LevelError, []string{fieldFingerprint, "instances", "since_unix_milliseconds", "until_unix_milliseconds", "source"}, "The request has crashed these workers, one after the other, and is given to none any more until the given time; the source tells on whose word this node believes it."}
+	eventQuarantineEnded     = Event{614, "quarantine ended", LevelInfo, []string{fieldFingerprint, fieldReason}, "The request may be run again: a worker has answered it whole, an operator has lifted the quarantine, or its time is over."}
+	eventRecallFailed        = Event{615, "recall failed", LevelWarning, []string{"peer", fieldError}, "The hub of the zone did not tell this starting node what the store holds of its former lives; the node asks the store itself."}
+	eventDocumentPassedOver  = Event{616, "document passed over", LevelWarning, []string{fieldVersion, "held_version", fieldRevision}, "The store holds an older version than this node, as for a while after it came back from a copy; nothing is taken from it."}
+	eventStoreRestored       = Event{617, "store restored", LevelWarning, []string{fieldEra, "former_revision", fieldRevision}, "The store came back from a copy some seconds old; its revisions went from former_revision back to revision (zero where this node has not seen them). The version in force stays, newer ones are taken by their version, and nodes write again what they keep there. Nothing is to be done."}
+	eventHeartbeatRejected   = Event{618, "heartbeat rejected", LevelWarning, []string{"instance", fieldError}, "A call to the address for workers cannot be used: fields are missing or of another type, or it names a state or service that there is not. It changes nothing; at most one such line in five seconds."}
+	eventEntryRejected       = Event{619, "entry rejected", LevelWarning, []string{"entry"}, "An entry in the store is not of the node that its key names, or cannot be read: another program may write there. It names no node; at most one such line in five seconds, with those of event 618."}
+	eventEntryRestored       = Event{620, "entry restored", LevelInfo, []string{fieldEra, "promised"}, "After the store came back from a copy this node has written its entry again, with so many promises of workers that leave."}
+	eventTenantOmitted       = Event{630, "tenant omitted", LevelError, []string{fieldVersion, fieldError}, "A tenant of the platform's document cannot be used: its callers are refused (401). All else of the version is in force."}
+	eventTenantLimited       = Event{640, "tenant limited", LevelInfo, []string{fieldTenant, "rate", "burst"}, "Requests of the tenant begin to be refused at this node (429), since all nodes together have admitted what its limit allows. Single refusals have no line."}
+	eventTenantLimitEnded    = Event{641, "tenant limit ended", LevelInfo, []string{fieldTenant, "admitted", "refused", fieldDuration}, "No request of the tenant was refused for its limit at this node for five seconds; how many were admitted and refused, from the first to the last refusal."}
+	eventLinesDropped        = Event{610, "lines dropped", LevelWarning, []string{"lines"}, "Lines of this log that were not written, because their reader was slow or there were too many."}
 )
 
 // Events of single calls in the hosted mode.
@@ -153,7 +153,7 @@
 		eventStoreReachable, eventStoreUnreachable, eventStoreRegressed, eventAlarm, eventLeaseAcquired, eventLeaseLost,
 		eventCertificatesLoaded, eventCertificatesFailed,
 		eventDocumentRejected, eventDocumentInForce, eventReaderRole, eventNodeLost, eventNodeFound, eventWorkerChanged,
-		eventPromiseKept, eventFormerLife, eventSettingsReloaded, eventRolloutOrdered, eventRolloutDecided, eventQuarantined, eventQuarantineEnded, eventRecallFailed, eventDocumentPassedOver, eventStoreRestored, eventHeartbeatRejected, eventEntryRejected, eventEntryRestored, eventTenantOmitted, eventTenantLimited, eventTenantLimitEnded, eventLinesDropped, eventCallFailed, eventHopFailed,
+		eventDrainCommitmentHeld, eventPreviousIncarnation, eventSettingsReloaded, eventRolloutOrdered, eventRolloutDecided, eventQuarantined, eventQuarantineEnded, eventRecallFailed, eventDocumentPassedOver, eventStoreRestored, eventHeartbeatRejected, eventEntryRejected, eventEntryRestored, eventTenantOmitted, eventTenantLimited, eventTenantLimitEnded, eventLinesDropped, eventCallFailed, eventHopFailed,
 	}
 	slices.SortFunc(events, func(a, b Event) int { return a.Number - b.Number })
 	return events
