--- a/internal/hosted/quota_test.go
+++ b/internal/hosted/quota_test.go
@@ -14,7 +14,7 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// limit has all nodes keep limits.
+// limit has all nodes enforce limits.
 func (m *simulated) limit() {
 	for _, n := range m.nodes {
 		n.limited.Store(true)
@@ -22,7 +22,7 @@
 }
 
 // requests sends requests of a tenant for a time at a steady rate, each to the node that pick
-// names by its number, and returns when those were admitted that were.
+// returns for its index, and returns when the admitted ones were admitted.
 func (m *simulated) requests(t *testing.T, limit quota.Limit, rate float64, length time.Duration, pick func(i int) *testNode) (admitted []time.Time, sent int) {
 	var mu sync.Mutex
 	var open sync.WaitGroup
@@ -45,7 +45,8 @@
 
 func (m *simulated) any(i int) *testNode { return m.nodes[i*7%len(m.nodes)] }
 
-// withinLimit fails the test when a window exceeds the limit by more than a tenth and twenty.
+// withinLimit fails the test when any time window exceeds the limit by more than a tenth plus
+// twenty.
 func withinLimit(t *testing.T, limit quota.Limit, admitted []time.Time) {
 	t.Helper()
 	for i, from := range admitted {
@@ -58,7 +59,7 @@
 	}
 }
 
-// TestLimitOfAllNodes keeps a limit in a mesh of twelve nodes in four zones.
+// TestLimitOfAllNodes enforces a limit in a mesh of twelve nodes in four zones.
 func TestLimitOfAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 12)
@@ -86,12 +87,13 @@
 			time.Sleep(6 * time.Second)
 		}
 		if events := m.nodes[5].events; !slices.Contains(events.limits, "acme limited") || events.limits[len(events.limits)-1] != "acme ended" {
-			t.Errorf("told: %v", events.limits)
+			t.Errorf("limit events: %v", events.limits)
 		}
 	})
 }
 
-// TestLimitThatIsTakenAwayEnds has a version without limits come while a tenant is refused.
+// TestLimitThatIsTakenAwayEnds puts a version without limits in force while requests of a tenant
+// are refused.
 func TestLimitThatIsTakenAwayEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 2)
@@ -103,8 +105,8 @@
 			n.limited.Store(false)
 		}
 		time.Sleep(10 * time.Second)
-		if told := n.events.limits; !slices.Equal(told, []string{"acme limited", "acme ended"}) {
-			t.Errorf("told: %v", told)
+		if limits := n.events.limits; !slices.Equal(limits, []string{"acme limited", "acme ended"}) {
+			t.Errorf("limit events: %v", limits)
 		}
 		if read := n.quotas.Reading().Tenants; len(read) != 1 || read[0].Limited {
 			t.Errorf("metrics show %+v", read)
@@ -112,7 +114,8 @@
 	})
 }
 
-// TestLimitHoldsWhileNodesEnd ends a hub, then all nodes, under ten times the limit.
+// TestLimitHoldsWhileNodesEnd restarts the nodes one by one, hubs included, then all at once, under
+// ten times the limit.
 func TestLimitHoldsWhileNodesEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 12)
@@ -144,20 +147,20 @@
 	})
 }
 
-// TestMeshWithoutLimitsSendsNothing counts messages of a mesh with no limit, and of one whose
-// tenants with limits do not call.
+// TestMeshWithoutLimitsSendsNothing counts the messages of a mesh without limits, and of one whose
+// tenants with limits send no requests.
 func TestMeshWithoutLimitsSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := startSimulated(t, 12)
 		time.Sleep(10 * time.Second)
-		if sent := m.sent().Borrowings; sent != 0 {
+		if sent := m.sent().QuotaRequests; sent != 0 {
 			t.Errorf("%d messages without a limit", sent)
 		}
 		m.limit()
 		time.Sleep(5 * time.Second)
-		before, crossed := m.sent().Borrowings, m.crossed.Load()
+		before, crossed := m.sent().QuotaRequests, m.crossed.Load()
 		time.Sleep(10 * time.Second)
-		calm := m.sent().Borrowings - before
+		calm := m.sent().QuotaRequests - before
 		t.Logf("%.1f messages a node and second, %d bytes between zones beside other messages' a second", float64(calm)/120, (m.crossed.Load()-crossed)/10)
 		if calm > 3*120 {
 			t.Errorf("%d messages of 12 nodes in ten calm seconds", calm)
@@ -165,9 +168,9 @@
 	})
 }
 
-// TestNodeWithoutNewsOfOthersAdmitsNothing has a node that knows of others and has heard of
-// none: it cannot know how many share the limits.
-func TestNodeWithoutNewsOfOthersAdmitsNothing(t *testing.T) {
+// TestNodeWithoutContactToOthersAdmitsNothing has a node restart without contact to other nodes or
+// the store: it cannot know how many nodes share the limits.
+func TestNodeWithoutContactToOthersAdmitsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		t.Cleanup(func() { time.Sleep(time.Minute) })
 		store := newStore()
--- a/internal/hosted/rollouts_restored_test.go
+++ b/internal/hosted/rollouts_restored_test.go
@@ -9,7 +9,7 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// idleSteering shares no requests.
+// idleSteering does nothing.
 type idleSteering struct{}
 
 func (idleSteering) Steer([]fleet.Rollout)            {}
@@ -29,8 +29,8 @@
 	return wanted, true, nil
 }
 
-// TestOrdersAcrossAReturnOfTheStore tells a node, which has completed a move, what the store shows
-// after it came back from a copy.
+// TestOrdersAcrossAReturnOfTheStore has a node that has completed a move receive the orders of a
+// store that was restored from a copy.
 func TestOrdersAcrossAReturnOfTheStore(t *testing.T) {
 	now := time.Now()
 	for name, row := range map[string]struct {
@@ -47,7 +47,7 @@
 		store := &heldStatus{status: RolloutStatus{Service: "s", Target: "v1", Revision: 60}}
 		table := fleet.NewTable(fleet.Node{ID: "a", State: fleet.StateLive, ReadsStore: true})
 		r := newRollouts(Config{
-			Rollouts: store, Steering: idleSteering{}, Table: table, Contacts: fleet.NewContacts(), Events: quietEvents{},
+			Rollouts: store, Steering: idleSteering{}, Table: table, Contacts: fleet.NewContacts(), Events: discardEvents{},
 		}, func(context.Context) {})
 		held := fleet.Rollout{
 			Service: "s", Target: "v2", Era: 1, Revision: 100, Ordered: now, Deadline: now.Add(time.Minute),
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %+v", name, got)
 		}
 		if got.Era == 2 && !got.Supersedes(held) {
-			t.Errorf("%s: other nodes keep what was before", name)
+			t.Errorf("%s: other nodes would not adopt the decision", name)
 		}
 		if got.Era == 2 && got.State == canary.Completed {
 			r.look(t.Context(), now)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -31,26 +31,29 @@
 )
 
 const (
-	// silentHeartbeats is how many heartbeats may be missing before a worker is
-	// taken to be silent.
-	silentHeartbeats = 4
-	// budgetShare is the share of the retry budget that a node uses of its part. The rest
-	// is for what the parts together may exceed it by: 0.12 in the worst window when all
-	// nodes restart and forget what they have spent (model of 2 to 2,000 nodes), and
-	// calls that workers make for repeated requests where a node has more of these than its part.
-	budgetShare = 0.75
-	// settleTime is how long a node that has started takes at most to know the others, with
-	// which it shares the fixed part of the retry budget: before, it would take the part of all.
+	// unresponsiveHeartbeats is how many heartbeats may be missing before a worker counts
+	// as unresponsive.
+	unresponsiveHeartbeats = 4
+	// retryBudgetShare is the share that a node uses of its part of the retry budget. The rest
+	// is a margin for what all parts together may exceed the budget by: 0.12 in the worst window
+	// when all nodes restart and lose the record of what they have spent (model of 2 to 2,000
+	// nodes), and the nested calls that workers make for retried requests where a node has more
+	// of these than its part.
+	retryBudgetShare = 0.75
+	// settleTime is how long a node that has started takes at most to learn of the others, with
+	// which it shares the fixed part of the retry budget: before that, it would use the part of
+	// all of them.
 	settleTime = 2 * time.Second
-	// supervisorTimeout bounds the end of the parts.
+	// supervisorTimeout bounds how long the supervisor waits for its services to end.
 	supervisorTimeout = 200 * time.Millisecond
-	// stopMargin is what a planned stop leaves of its bound for ending the process.
+	// stopMargin is the time before the end of drain-bound that a planned stop reserves for ending
+	// the process.
 	stopMargin = 800 * time.Millisecond
-	// bitsPerMegabit is the unit of the setting of the link.
+	// bitsPerMegabit converts the setting of the link's speed, which is in Mbit/s.
 	bitsPerMegabit = 1e6
-	// farewellTime is how long other nodes are given to turn elsewhere before a
-	// node that stops refuses their calls.
-	farewellTime = 100 * time.Millisecond
+	// rerouteTime is how long other nodes are given to route calls elsewhere before a stopping
+	// node refuses them.
+	rerouteTime = 100 * time.Millisecond
 )
 
 // Node is one node in hosted mode.
@@ -58,7 +61,7 @@
 	settings settings.Settings
 	network  Network
 	log      *telemetry.Log
-	lines    *telemetry.Queue
+	logQueue *telemetry.Queue
 
 	table   *fleet.Table
 	workers *workers.Registry
@@ -67,34 +70,34 @@
 	agent   *hosted.Agent
 	// quarantine is what the node knows of requests that crash workers.
 	quarantine *quarantine.Table
-	// quotas keeps the limits of tenants.
-	quotas   *hosted.Quotas
-	callers  *listener
-	calls    *listener
-	others   []*listener
-	stopping atomic.Bool
-	// aborted is closed when the node is to end at once.
+	// quotas enforces the limits of tenants.
+	quotas             *hosted.Quotas
+	callerListener     *listener
+	hopListener        *listener
+	auxiliaryListeners []*listener
+	stopping           atomic.Bool
+	// aborted is closed when the node must end at once.
 	aborted   chan struct{}
 	abortOnce sync.Once
 }
 
-// New opens the listeners and puts the parts together. Nothing runs before Run.
-func New(s settings.Settings, adapter Adapter, network Network, log *telemetry.Log, lines *telemetry.Queue) (*Node, error) {
-	node := &Node{settings: s, network: network, log: log, lines: lines, aborted: make(chan struct{})}
-	lines.Report(log.LinesDropped)
-	node.workers = workers.NewRegistry(silentHeartbeats * s.HeartbeatInterval)
+// New opens the listeners and assembles the parts of a node. Nothing runs before Run.
+func New(s settings.Settings, adapter Adapter, network Network, log *telemetry.Log, logQueue *telemetry.Queue) (*Node, error) {
+	node := &Node{settings: s, network: network, log: log, logQueue: logQueue, aborted: make(chan struct{})}
+	logQueue.OnDropped(log.LinesDropped)
+	node.workers = workers.NewRegistry(unresponsiveHeartbeats * s.HeartbeatInterval)
 	contacts := fleet.NewContacts()
-	config := &configuration{translate: adapter.Translate, inForce: log.DocumentInForce, omitted: log.TenantOmitted, former: snapshot.Empty()}
+	config := &configuration{translate: adapter.Translate, onInForce: log.DocumentInForce, onOmitted: log.TenantOmitted, snapshot: snapshot.Empty()}
 	node.config = config
 	if adapter.Suspended == nil {
 		adapter.Suspended = suspend.Since
 	}
 	node.quarantine = quarantine.New(quarantine.Options{})
 	registry := telemetry.NewHostedRegistry(node.reading)
-	node.table = fleet.NewTable(node.record())
+	node.table = fleet.NewTable(node.initialRecord())
 	node.quotas = hosted.NewQuotas(hosted.QuotaConfig{
 		Table: node.table, Tolerance: quota.Tolerance{Overage: s.QuotaOverage, Slack: s.QuotaSlack},
-		Limited: config.limited.Load, Suspended: adapter.Suspended, Events: log,
+		Limited: config.hasTenantLimits.Load, Suspended: adapter.Suspended, Events: log,
 	})
 	node.plane = forwarding.New(forwarding.Config{
 		Node:     s.NodeID,
@@ -108,9 +111,9 @@
 		Dial:     network.Dial,
 		Retries: retry.WindowOptions{
 			Window: s.RetryWindow,
-			Ratio:  s.RetryRatio * budgetShare,
-			Slack:  s.RetrySlack * budgetShare,
-			// A former life may have spent its part just now.
+			Ratio:  s.RetryRatio * retryBudgetShare,
+			Slack:  s.RetrySlack * retryBudgetShare,
+			// The previous incarnation may have spent its part just before.
 			SlackFrom: time.Now().Add(settleTime),
 			Draw:      rand.Float64,
 		},
@@ -118,37 +121,37 @@
 		Suspended:  adapter.Suspended,
 		Quarantine: node.quarantine,
 		Quota:      node.quotas,
-		// The agent is there before the first call comes.
-		Evidence: func(reports []quarantine.Report) { node.agent.Tell(reports) },
-		Observer: telemetry.NewForwardingObserver(registry.Registerer(), log, lines.Drop),
+		// The agent is set below, before the first call can arrive.
+		Evidence: func(reports []quarantine.Report) { node.agent.ReportEvidence(reports) },
+		Observer: telemetry.NewForwardingObserver(registry.Registerer(), log, logQueue.Drop),
 	})
-	messages, err := network.Listen(s.ControlAddress)
+	controlListener, err := network.Listen(s.ControlAddress)
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "listener for messages")
+		return nil, ErrStart.Wrap(err, "listener for messages between nodes")
 	}
 	source, directory, rollouts := adapter.Open(s.StoreAddresses[0], network.Dial)
 	source, directory = hosted.Observe(source, directory, telemetry.NewStoreObserver(registry.Registerer()))
 	node.agent = hosted.New(hosted.Config{
 		Mesh: s.Mesh, FirstStart: s.FirstStart, Table: node.table, Contacts: contacts, Workers: node.workers,
-		KnowsService: func(name string) bool { return name == s.Service || config.knows(name) },
+		KnowsService: func(name string) bool { return name == s.Service || config.knowsService(name) },
 		Source:       source, Directory: directory, Consumer: config, Serving: node.plane,
 		Rollouts: rollouts, Steering: node.plane,
 		Quarantine: node.quarantine, Quotas: node.quotas,
 		Probe:    newProbe(s, config, network, adapter),
-		Listener: messages, Dial: network.Dial, Events: log,
+		Listener: controlListener, Dial: network.Dial, Events: log,
 	})
 	return node, node.openListeners(adapter, registry)
 }
 
 func (n *Node) openListeners(adapter Adapter, registry *telemetry.Registry) error {
 	var err error
-	if n.callers, err = listen(n.network, "callers", n.settings.CallerAddress, n.plane.CallerServer()); err != nil {
+	if n.callerListener, err = listen(n.network, "callers", n.settings.CallerAddress, n.plane.CallerServer()); err != nil {
 		return err
 	}
-	if n.calls, err = listen(n.network, "calls", n.settings.CallAddress, n.plane.HopServer()); err != nil {
+	if n.hopListener, err = listen(n.network, "calls", n.settings.CallAddress, n.plane.HopServer()); err != nil {
 		return err
 	}
-	for _, other := range []struct {
+	for _, auxiliary := range []struct {
 		name, address string
 		handler       http.Handler
 	}{
@@ -156,25 +159,25 @@
 		{readinessName, n.settings.ReadinessAddress, adapter.Readiness(n.ready)},
 		{metricsName, n.settings.MetricsAddress, registry.Handler()},
 	} {
-		if other.address == "" {
+		if auxiliary.address == "" {
 			continue
 		}
-		opened, err := listen(n.network, other.name, other.address, newServer(other.handler))
-		if err != nil && other.name == metricsName {
-			// Calls go on when a foreign program has the port of the metrics.
+		opened, err := listen(n.network, auxiliary.name, auxiliary.address, newServer(auxiliary.handler))
+		if err != nil && auxiliary.name == metricsName {
+			// The node serves calls also when another program occupies the port of the metrics.
 			n.log.PartFailed(metricsName, err.Error())
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		n.others = append(n.others, opened)
+		n.auxiliaryListeners = append(n.auxiliaryListeners, opened)
 	}
 	return nil
 }
 
-// record is what the node says of itself when it starts.
-func (n *Node) record() fleet.Node {
+// initialRecord returns the node's own record in the table of nodes when it starts.
+func (n *Node) initialRecord() fleet.Node {
 	return fleet.Node{
 		ID:             n.settings.NodeID,
 		Incarnation:    uint64(time.Now().UnixNano()),
@@ -189,15 +192,15 @@
 	}
 }
 
-// ready reports whether callers may come.
+// ready reports whether the node accepts calls.
 func (n *Node) ready() bool { return n.agent.Ready() && !n.stopping.Load() }
 
 // Run runs the node until the context ends, and then stops it as planned. The
 // error is nil after a planned stop.
 func (n *Node) Run(ctx context.Context, signal func() string) error {
-	tuneMemory(n.settings.MemoryLimit)
+	limitHeap(n.settings.MemoryLimit)
 	n.log.Started(Version, n.settings.Region, n.settings.Zone, n.settings.Service, n.table.View().Self().Incarnation)
-	n.log.Listening(n.callers.address, n.calls.address, n.settings.ControlAddress, n.settings.AdminAddress)
+	n.log.Listening(n.callerListener.address, n.hopListener.address, n.settings.ControlAddress, n.settings.AdminAddress)
 	running, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := n.supervisor().ServeBackground(running)
@@ -220,37 +223,37 @@
 	return nil
 }
 
-// Abort ends the node at once, without a word to anybody, as a crash does. It is
+// Abort ends the node at once and without notifying anybody, as a crash does. It is
 // for tests and the lab.
 func (n *Node) Abort() { n.abortOnce.Do(func() { close(n.aborted) }) }
 
-// Addresses returns where callers and the readiness question go.
+// Addresses returns the addresses for callers and for the readiness check.
 func (n *Node) Addresses() (callers, readiness string) {
-	for _, other := range n.others {
-		if other.name == readinessName {
-			readiness = other.address
+	for _, auxiliary := range n.auxiliaryListeners {
+		if auxiliary.name == readinessName {
+			readiness = auxiliary.address
 		}
 	}
-	return n.callers.address, readiness
+	return n.callerListener.address, readiness
 }
 
 func (n *Node) supervisor() *suture.Supervisor {
 	supervisor := suture.New("levertided", suture.Spec{
-		EventHook:         n.partEvent,
+		EventHook:         n.logPartFailure,
 		PassThroughPanics: true,
 		Timeout:           supervisorTimeout,
 	})
-	supervisor.Add(n.lines)
+	supervisor.Add(n.logQueue)
 	supervisor.Add(n.agent)
-	supervisor.Add(n.callers)
-	supervisor.Add(n.calls)
-	for _, other := range n.others {
-		supervisor.Add(other)
+	supervisor.Add(n.callerListener)
+	supervisor.Add(n.hopListener)
+	for _, auxiliary := range n.auxiliaryListeners {
+		supervisor.Add(auxiliary)
 	}
 	return supervisor
 }
 
-func (n *Node) partEvent(event suture.Event) {
+func (n *Node) logPartFailure(event suture.Event) {
 	if failed, ok := event.(suture.EventServiceTerminate); ok {
 		text, _ := failed.Map()["error"].(string)
 		n.log.PartFailed(failed.ServiceName, text)
--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestLogThatNobodyReadsStopsNothing writes to a pipe that is never read.
-func TestLogThatNobodyReadsStopsNothing(t *testing.T) {
+// TestUnreadLogBlocksNothing logs to a pipe that is never read: the queue must drop lines rather
+// than block.
+func TestUnreadLogBlocksNothing(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
