--- a/internal/hosted/agent.go
+++ b/internal/hosted/agent.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	// reminderPause is how long after a document the zones that read the store
-	// themselves are told that it exists.
+	// reminderPause is how long after a document the zones with other readers are told its version.
 	reminderPause = 200 * time.Millisecond
-	// endBound bounds the end of the parts.
+	// endBound is how long the services may take to end.
 	endBound = 200 * time.Millisecond
-	// farewellBound bounds the telling of others at a planned stop.
-	farewellBound = 300 * time.Millisecond
+	// announceStopBound bounds the announcement of a planned stop.
+	announceStopBound = 300 * time.Millisecond
 )
 
-// Config sets up an Agent. All fields but Rollouts, Steering and Quotas must be given.
+// Config configures an Agent. All fields except KnowsService, Rollouts, Steering and Quotas must be
+// given.
 type Config struct {
-	// Mesh names the system; nodes of another one are not listened to.
+	// Mesh names the mesh; messages from nodes of another one are refused.
 	Mesh string
-	// FirstStart tells that the whole mesh starts for the first time.
+	// FirstStart is set when the whole mesh starts for the first time.
 	FirstStart bool
 	Table      *fleet.Table
 	Contacts   *fleet.Contacts
@@ -44,20 +44,19 @@
 	Source       Source
 	Directory    Directory
 	Consumer     Consumer
-	// Rollouts and Steering move services to other versions; nil where nobody orders
-	// that.
+	// Rollouts and Steering move services to other versions; nil where roll-outs are not used.
 	Rollouts RolloutStore
 	Steering Steering
-	// Quarantine is what this node knows of requests that crash workers.
+	// Quarantine holds what this node knows of requests that crash workers.
 	Quarantine *quarantine.Table
-	// Quotas keeps the limits of tenants; nil where there are none.
+	// Quotas enforces the limits of tenants; nil where there are none.
 	Quotas *Quotas
-	// Serving is told of the workers that may be given work: Update is called
-	// after each change of a registration, Open when the first may be.
+	// Serving receives the workers that may be given work: Update is called after each change of a
+	// registration, Open when work may be given for the first time.
 	Serving Serving
-	// Probe asks the worker beside the node who it is.
+	// Probe asks the worker beside the node to identify itself.
 	Probe WorkerProbe
-	// Listener takes the messages of other nodes.
+	// Listener accepts the messages of other nodes.
 	Listener net.Listener
 	Dial     httpleg.DialFunc
 	Events   Events
@@ -65,13 +64,12 @@
 
 // Serving is the part of the node that gives work to its workers.
 type Serving interface {
-	// Update returns when no worker that was promised to be left alone can be
-	// given anything new.
+	// Update returns when no worker with a drain commitment can be given anything new.
 	Update(registered []workers.Worker)
 	Open()
 }
 
-// Agent coordinates one node with the others. Use New.
+// Agent coordinates one node with the others. Create it with New.
 type Agent struct {
 	config     Config
 	documents  *Documents
@@ -82,53 +80,53 @@
 	web        *http.Server
 
 	started time.Time
-	// informed is set once the node knows what its former life has promised.
-	informed  atomic.Bool
-	informing sync.Mutex
-	// listed is set once the store has named other nodes.
+	// commitmentsKnown is set once the node knows the drain commitments of its previous
+	// incarnation.
+	commitmentsKnown atomic.Bool
+	commitmentsMu    sync.Mutex
+	// listed is set once the store has listed other nodes.
 	listed atomic.Bool
-	// leads tells that the others of the zone ask this node first.
-	leads atomic.Bool
-	// asked is closed when the first nodes that were met have answered, or have not
-	// in time.
-	asked     chan struct{}
-	askedOnce sync.Once
-	// hearing is set while this node asks others because one has spoken with it.
-	hearing atomic.Bool
+	// zoneHub is set when this node is the hub of its zone among the listed nodes: the others of
+	// the zone ask it first.
+	zoneHub atomic.Bool
+	// peersAsked is closed when the first nodes that were asked have answered or timed out.
+	peersAsked     chan struct{}
+	peersAskedOnce sync.Once
+	// queryingContact is set while this node queries others because one has contacted it.
+	queryingContact atomic.Bool
 
-	// storeEra is the highest era of the store that this node has heard of. It belongs to
-	// housekeeping.
+	// storeEra is the highest era of the store that this node knows of. Only housekeeping uses it.
 	storeEra uint64
-	// withoutStore are the nodes that did not reach the store at the last look. It
-	// belongs to housekeeping.
+	// withoutStore are the nodes that did not reach the store at the last check. Only housekeeping
+	// uses it.
 	withoutStore map[string]bool
 
-	// rejections bounds the lines on calls that cannot be used.
+	// rejections limits the log lines on invalid calls.
 	rejections *rate.Limiter
 
 	backgroundContext atomic.Pointer[context.Context]
 }
 
-// New puts the parts of an agent together. Nothing runs before Serve.
+// New returns an agent. Nothing runs before Serve.
 func New(config Config) *Agent {
 	agent := &Agent{
-		config: config, started: time.Now(), asked: make(chan struct{}), withoutStore: map[string]bool{},
-		rejections: rate.NewLimiter(rejectionLines, rejectionLinesBurst),
+		config: config, started: time.Now(), peersAsked: make(chan struct{}), withoutStore: map[string]bool{},
+		rejections: rate.NewLimiter(rejectionLogRate, rejectionLogBurst),
 	}
 	agent.documents = NewDocuments(config.Consumer, config.Events)
 	agent.peers = newPeers(config, agent.documents)
 	agent.evidence = newEvidence(agent, config.Quarantine)
 	agent.peers.evidence = agent.evidence
-	agent.peers.former = agent.learnFormer
+	agent.peers.onPrevious = agent.learnPrevious
 	agent.peers.hub = newHub(agent.peers, agent.background)
 	agent.announcer = newAnnouncer(config.Directory, config.Table, config.Source.Era)
 	agent.announcer.firstStart = config.FirstStart
-	agent.announcer.found, agent.announcer.former = agent.meet, agent.recall
-	agent.announcer.recalled, agent.announcer.settled = agent.informed.Load, agent.inform
-	agent.announcer.shared = agent.peers.recall
-	agent.announcer.rejected = agent.rejectEntry
-	agent.announcer.rewritten = config.Events.EntryRestored
-	server := &Server{peers: agent.peers, background: agent.background, heard: agent.heard, quotas: config.Quotas}
+	agent.announcer.onListed, agent.announcer.onPrevious = agent.contactListed, agent.learnFromEntry
+	agent.announcer.commitmentsKnown, agent.announcer.onSettled = agent.commitmentsKnown.Load, agent.markCommitmentsKnown
+	agent.announcer.sharedEntry = agent.peers.recall
+	agent.announcer.onRejected = agent.rejectEntry
+	agent.announcer.onRewritten = config.Events.EntryRestored
+	server := &Server{peers: agent.peers, background: agent.background, onContact: agent.onContact, quotas: config.Quotas}
 	agent.web = &http.Server{
 		Handler:     server.handler(),
 		IdleTimeout: idleServerMessages,
@@ -138,19 +136,19 @@
 	reader := &Reader{
 		source: config.Source, documents: agent.documents, table: config.Table, contacts: config.Contacts,
 		events: config.Events, spread: agent.spreadDocument, announce: agent.spreadRecord,
-		asked: agent.asked, leads: agent.leads.Load, firstStart: config.FirstStart,
+		peersAsked: agent.peersAsked, isZoneHub: agent.zoneHub.Load, firstStart: config.FirstStart,
 	}
 	if config.Rollouts != nil {
 		rollouts := newRollouts(config, func(context.Context) { agent.background(agent.spreadRecord) })
 		reader.orders, reader.rollouts = config.Rollouts.Orders, rollouts
-		agent.peers.rolloutNews = rollouts.Signal
+		agent.peers.onRolloutRecord = rollouts.Signal
 		agent.supervisor.Add(rollouts)
 	}
 	agent.supervisor.Add(reader)
 	agent.supervisor.Add(&Standby{peers: agent.peers, table: config.Table, contacts: config.Contacts})
 	agent.supervisor.Add(agent.documents)
-	agent.supervisor.Add(&Introduction{
-		probe: config.Probe, documents: agent.documents, workers: config.Workers, introduced: agent.introduced,
+	agent.supervisor.Add(&Prober{
+		probe: config.Probe, documents: agent.documents, workers: config.Workers, onProbed: agent.workerProbed,
 	})
 	agent.supervisor.Add(agent.announcer)
 	agent.supervisor.Add(&Syncer{
@@ -165,10 +163,10 @@
 	return agent
 }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (a *Agent) String() string { return "agent" }
 
-// Serve runs the parts until the context ends.
+// Serve runs the services until the context ends.
 func (a *Agent) Serve(ctx context.Context) error {
 	a.backgroundContext.Store(&ctx)
 	return a.supervisor.Serve(ctx)
@@ -177,7 +175,7 @@
 // listener answers other nodes, as a suture service.
 type listener struct{ agent *Agent }
 
-// String names the part in events.
+// String returns the name of the service in events.
 func (l *listener) String() string { return "messages" }
 
 // Serve answers until the context ends.
@@ -187,7 +185,7 @@
 	return l.agent.web.Serve(l.agent.config.Listener)
 }
 
-// background runs what goes on after an answer, until the agent ends.
+// background runs work that continues after an answer, until the agent ends.
 func (a *Agent) background(work func(ctx context.Context)) {
 	ctx := context.Background()
 	if running := a.backgroundContext.Load(); running != nil {
@@ -196,66 +194,65 @@
 	go work(ctx)
 }
 
-// Ready reports whether the node has put a document in force and knows its former
-// promises.
-func (a *Agent) Ready() bool { return a.informed.Load() && a.documents.InForce() }
+// Ready reports whether the node has put a document in force and knows the drain commitments of its
+// previous incarnations.
+func (a *Agent) Ready() bool { return a.commitmentsKnown.Load() && a.documents.InForce() }
 
-// knowsMesh reports whether this node can know how many nodes there are: another one has
-// spoken with it, or it is alone.
+// knowsMesh reports whether this node can know how many nodes there are: it has been in contact
+// with another one, or it is alone.
 func (a *Agent) knowsMesh() bool {
-	return a.peers.spoken.Load() || a.Ready() && len(a.config.Table.View().Nodes()) == 1
+	return a.peers.contacted.Load() || a.Ready() && len(a.config.Table.View().Nodes()) == 1
 }
 
-// refreshWorkers brings the serving part and the own record in line with the
-// registrations.
+// refreshWorkers updates Serving and this node's record from the registrations.
 func (a *Agent) refreshWorkers() {
 	registered := a.config.Workers.Workers()
 	a.config.Serving.Update(registered)
-	informed := a.informed.Load()
+	informed := a.commitmentsKnown.Load()
 	a.config.Table.Update(func(own *fleet.Node) {
 		own.Workers = registered
 		if !informed {
-			own.Workers = promisedOnly(registered)
+			own.Workers = drainCommittedOnly(registered)
 		}
 	})
 }
 
-// ownRecord returns the own record as news.
+// ownRecord returns this node's record as a message.
 func (a *Agent) ownRecord() []*exchangepb.Node {
 	return []*exchangepb.Node{nodeMessage(a.config.Table.View().Self())}
 }
 
-// spreadRecord tells all other nodes of the own record.
+// spreadRecord sends this node's record to all other nodes.
 func (a *Agent) spreadRecord(ctx context.Context) {
 	a.peers.Announce(ctx, a.ownRecord())
 }
 
-// spreadDocument hands the newest document on, without waiting: to the own zone
-// and to zones where nobody else reads the store. The readers of the other zones
-// have it from there; these zones are told a little later that it exists, for the
-// case that they have not.
+// spreadDocument sends the newest document, without waiting, to the own zone and to zones without
+// another reader. The readers of the other zones get it from the store and forward it there; these
+// zones are told its version a little later, in case they have not.
 func (a *Agent) spreadDocument(context.Context) {
 	version := a.documents.Version()
-	what := news{document: a.documents.News(), version: version}
+	u := update{document: a.documents.ForBroadcast(), version: version}
 	others := a.readerZones()
 	a.background(func(ctx context.Context) {
-		near := what
+		near := u
 		near.nodes = a.zoneRecords()
 		a.peers.BroadcastOwnZone(ctx, near, "", "")
 	})
 	a.background(func(ctx context.Context) {
-		a.peers.BroadcastZones(ctx, what, func(zone string) bool { return !others[zone] })
+		a.peers.BroadcastZones(ctx, u, func(zone string) bool { return !others[zone] })
 	})
 	a.background(func(ctx context.Context) {
 		sleep(ctx, reminderPause)
 		if a.documents.Version() == version {
-			a.peers.BroadcastZones(ctx, news{version: version}, func(zone string) bool { return others[zone] })
+			a.peers.BroadcastZones(ctx, update{version: version}, func(zone string) bool { return others[zone] })
 		}
 	})
 }
 
-// zoneRecords returns the records of the own zone for a broadcast there, while this node has
-// just started: when all start at once those that are to hand it on know few others yet.
+// zoneRecords returns the records of the own zone for a broadcast there, while this node has just
+// started: when all nodes start at once, those that have to forward the broadcast know few others
+// yet.
 func (a *Agent) zoneRecords() []*exchangepb.Node {
 	if time.Since(a.started) >= startBatchTime {
 		return nil
@@ -275,11 +272,11 @@
 	return zones
 }
 
-// housekeeping looks after the entry in the store when that is back, marks workers that
-// went silent, and forgets evidence that is too old.
+// housekeeping checks the entry when the store has recovered, marks workers that became
+// unresponsive, and expires evidence.
 func (a *Agent) housekeeping(context.Context) {
-	if a.storeReturned() {
-		a.announcer.StoreReturned()
+	if a.storeRecovered() {
+		a.announcer.StoreRecovered()
 	}
 	a.followEras()
 	a.evidence.expire()
@@ -294,26 +291,26 @@
 	a.background(a.spreadRecord)
 }
 
-// storeReturned reports whether some node, this one or another, reaches the store
-// again that did not at the last look.
-func (a *Agent) storeReturned() bool {
-	returned := false
+// storeRecovered reports whether some node, this one or another, reaches the store that did not at
+// the last check.
+func (a *Agent) storeRecovered() bool {
+	recovered := false
 	for _, node := range a.config.Table.View().Nodes() {
 		switch {
 		case !node.ReadsStore:
 			a.withoutStore[node.ID] = true
 		case a.withoutStore[node.ID]:
 			delete(a.withoutStore, node.ID)
-			returned = true
+			recovered = true
 		}
 	}
-	return returned
+	return recovered
 }
 
-// Farewell tells the other nodes the state of a node that stops as planned.
-func (a *Agent) Farewell(ctx context.Context, state fleet.State) {
+// AnnounceStop sends the state of a node that stops as planned to the other nodes.
+func (a *Agent) AnnounceStop(ctx context.Context, state fleet.State) {
 	a.config.Table.Update(func(own *fleet.Node) { own.State = state })
-	bounded, cancel := context.WithTimeout(ctx, farewellBound)
+	bounded, cancel := context.WithTimeout(ctx, announceStopBound)
 	defer cancel()
 	a.spreadRecord(bounded)
 	if state == fleet.StateLeft {
--- /dev/null
+++ b/internal/hosted/drain_commitments.go
@@ -0,0 +1,137 @@
+package hosted
+
+import (
+	"context"
+	"time"
+
+	"github.com/levertide/levertide/pkg/workers"
+)
+
+// What workers report of themselves: an acknowledged leave is a drain commitment, to give the
+// worker nothing new, whichever nodes die.
+
+const (
+	// commitmentHolders is how many other nodes must hold a drain commitment before it is
+	// acknowledged, and commitmentBound how long that is waited for.
+	commitmentHolders = 2
+	commitmentBound   = 400 * time.Millisecond
+	// rejectionLogRate and rejectionLogBurst bound the log lines a second on invalid calls for
+	// workers, and longestLoggedName the part of the sender's name that is logged, in bytes.
+	rejectionLogRate  = 0.2
+	rejectionLogBurst = 5
+	longestLoggedName = 64
+)
+
+// Heartbeat processes a worker's heartbeat. When it returns nil the heartbeat may be acknowledged:
+// a drain commitment in it is kept from now on, whichever nodes die.
+func (a *Agent) Heartbeat(ctx context.Context, heartbeat workers.Heartbeat) error {
+	if a.config.KnowsService != nil && !a.config.KnowsService(heartbeat.Service) {
+		// A worker of an unknown service would take the address of the worker beside this node.
+		return workers.ErrInvalid.New("there is no service %q", heartbeat.Service)
+	}
+	change, err := a.config.Workers.Heartbeat(heartbeat, time.Now())
+	if err != nil {
+		return err
+	}
+	a.workerChanged(ctx, change, "heartbeat")
+	return nil
+}
+
+// Reject records an invalid call to the node's address for workers. Log lines are limited: a client
+// that calls it by mistake mostly does so for long.
+func (a *Agent) Reject(instance string, err error) {
+	a.documents.restores.rejected.Add(1)
+	if a.rejections.Allow() {
+		a.config.Events.HeartbeatRejected(instance[:min(len(instance), longestLoggedName)], err)
+	}
+}
+
+// rejectEntry records an entry in the store that was not written by a node, within the same limit.
+func (a *Agent) rejectEntry(id string) {
+	a.documents.restores.rejected.Add(1)
+	if a.rejections.Allow() {
+		a.config.Events.EntryRejected(id[:min(len(id), longestLoggedName)])
+	}
+}
+
+// workerProbed processes the registration of a worker that was probed.
+func (a *Agent) workerProbed(ctx context.Context, change workers.Change) {
+	a.workerChanged(ctx, change, "asked at the start")
+}
+
+// Leave processes a worker's sign-off, like Heartbeat.
+func (a *Agent) Leave(ctx context.Context, incarnation workers.Incarnation) error {
+	change, err := a.config.Workers.Leave(incarnation, time.Now())
+	if err != nil {
+		return err
+	}
+	a.workerChanged(ctx, change, "sign-off")
+	return nil
+}
+
+func (a *Agent) workerChanged(ctx context.Context, change workers.Change, cause string) {
+	if !change.Changed {
+		return
+	}
+	a.refreshWorkers()
+	a.config.Events.WorkerChanged(change.Worker, cause)
+	if !change.Worker.State.DrainCommitted() {
+		a.background(a.spreadRecord)
+		return
+	}
+	holders, stored := a.replicateCommitment(ctx)
+	a.config.Events.DrainCommitmentHeld(change.Worker.Instance, holders, stored)
+}
+
+// replicateCommitment sends this node's record to other nodes and to the store. It returns once
+// enough nodes hold it and the store has answered, or the time for that is over: the nodes outlast
+// this one, the store outlasts all nodes.
+func (a *Agent) replicateCommitment(ctx context.Context) (holders int, stored bool) {
+	replication := commitmentReplication{wanted: min(commitmentHolders, len(a.peers.reachablePeers()))}
+	replication.holder = make(chan struct{}, commitmentHolders)
+	replication.done = make(chan struct{})
+	replication.stored = make(chan bool, 1)
+	a.background(a.spreadRecord)
+	a.background(func(ctx context.Context) {
+		a.peers.Replicate(ctx, a.ownRecord(), replication.wanted, func() { replication.holder <- struct{}{} })
+		close(replication.done)
+	})
+	a.background(func(ctx context.Context) { replication.stored <- a.announcer.PersistEntry(ctx) == nil })
+	return replication.wait(ctx, a.config.Table.View().Self().ReadsStore)
+}
+
+// commitmentReplication tracks who holds a drain commitment before it is acknowledged.
+type commitmentReplication struct {
+	// wanted is how many other nodes are enough.
+	wanted int
+	// holder gets a value for each node that holds the commitment; done is closed when no further
+	// one can come.
+	holder chan struct{}
+	done   chan struct{}
+	// stored gets whether the store holds the commitment.
+	stored chan bool
+}
+
+// wait waits for enough holders, at most for commitmentBound. It does not wait for a store that
+// this node does not reach.
+func (r *commitmentReplication) wait(ctx context.Context, reachesStore bool) (holders int, stored bool) {
+	bound := time.NewTimer(commitmentBound)
+	defer bound.Stop()
+	answered, finished := !reachesStore, false
+	for !answered || holders < r.wanted && !finished {
+		select {
+		case <-r.holder:
+			holders++
+		case <-r.done:
+			r.done, finished = nil, true
+			holders += len(r.holder)
+		case stored = <-r.stored:
+			answered = true
+		case <-bound.C:
+			return holders, stored
+		case <-ctx.Done():
+			return holders, stored
+		}
+	}
+	return holders, stored
+}
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -21,7 +21,7 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// testNode is one agent with what it was told.
+// testNode is one agent with what its parts have received.
 type testNode struct {
 	agent    *hosted.Agent
 	table    *fleet.Table
@@ -29,9 +29,9 @@
 	workers  *workers.Registry
 	events   *recorder
 	steering steering
-	// quarantine is what the node knows of requests that crash workers.
+	// quarantine holds what the node knows of requests that crash workers.
 	quarantine *quarantine.Table
-	// quotas keeps limits while limited is set.
+	// quotas enforces limits while limited is set.
 	quotas  *hosted.Quotas
 	limited atomic.Bool
 	cancel  context.CancelFunc
@@ -43,8 +43,8 @@
 	updated []workers.Worker
 	open    bool
 
-	// asked is what the worker says when it is asked; nil when it does not answer.
-	asked atomic.Pointer[workers.Heartbeat]
+	// probed is the worker's answer to a probe; nil when it does not answer.
+	probed atomic.Pointer[workers.Heartbeat]
 }
 
 func (n *testNode) Offer(content []byte) error {
@@ -72,11 +72,11 @@
 	return bytes.Equal(n.content, content)
 }
 
-// recorder keeps the promises that were told.
+// recorder records drain commitments and limited tenants.
 type recorder struct {
-	mutex    sync.Mutex
-	promises map[string]int
-	// limits are the tenants that began and ended being limited, in order.
+	mutex       sync.Mutex
+	commitments map[string]int
+	// limits are the tenants that began and stopped being limited, in order.
 	limits []string
 }
 
@@ -107,20 +107,20 @@
 func (r *recorder) NodeFound(string)                               {}
 func (r *recorder) RecallFailed(string, error)                     {}
 func (r *recorder) WorkerChanged(workers.Worker, string)           {}
-func (r *recorder) FormerLife(uint64, int)                         {}
+func (r *recorder) PreviousIncarnationFound(uint64, int)           {}
 func (r *recorder) RolloutOrdered(string, string, time.Duration)   {}
 func (r *recorder) RolloutDecided(string, string, canary.State, float64, string, float64, float64) {
 }
-func (r *recorder) PromiseKept(instance string, holders int, _ bool) {
+func (r *recorder) DrainCommitmentHeld(instance string, holders int, _ bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.promises[instance] = holders
+	r.commitments[instance] = holders
 }
 
 func (r *recorder) holders(instance string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.promises[instance]
+	return r.commitments[instance]
 }
 
 // startNode starts an agent on loopback; an empty address takes any.
@@ -148,7 +148,7 @@
 		contacts:   fleet.NewContacts(),
 		workers:    workers.NewRegistry(time.Minute),
 		quarantine: quarantine.New(quarantine.Options{}),
-		events:     &recorder{promises: map[string]int{}},
+		events:     &recorder{commitments: map[string]int{}},
 		address:    listener.Addr().String(),
 		ended:      make(chan struct{}),
 	}
@@ -174,13 +174,13 @@
 
 // Identify implements hosted.WorkerProbe with the worker that the test has set.
 func (n *testNode) Identify(context.Context) (workers.Heartbeat, error) {
-	if beat := n.asked.Load(); beat != nil {
-		return *beat, nil
+	if heartbeat := n.probed.Load(); heartbeat != nil {
+		return *heartbeat, nil
 	}
 	return workers.Heartbeat{}, hosted.ErrUnanswered.New("no worker")
 }
 
-// kill ends an agent without a word to the others.
+// kill ends an agent without notice to the others.
 func (n *testNode) kill() {
 	n.cancel()
 	<-n.ended
@@ -273,7 +273,7 @@
 	testwait.Eventually(t, "the document is everywhere", allHold(nodes, testDocument(1)))
 }
 
-func TestHerdWaitsForTheStore(t *testing.T) {
+func TestSimultaneousStartsWaitForTheStore(t *testing.T) {
 	store := newStore()
 	store.SetFaults("", hostedstore.Faults{Refuse: true})
 	var nodes []*testNode
@@ -302,7 +302,7 @@
 	nodes := startNodes(t, store, "a1", "b1", "c1")
 	nodes[0].kill()
 	store.SetFaults("", hostedstore.Faults{Silent: true})
-	testwait.Eventually(t, "the others miss it", func() bool {
+	testwait.Eventually(t, "the others take it to be lost", func() bool {
 		return !nodes[1].contacts.Reachable("a1") || !nodes[2].contacts.Reachable("a1")
 	})
 	restarted := startNode(t, store, "a1", nodes[0].address)
@@ -316,29 +316,29 @@
 	return workers.Heartbeat{Instance: instance, Service: "ledger", Address: "127.0.0.1:1", Slots: 6, Sequence: sequence, Draining: draining}
 }
 
-func mustBeat(t *testing.T, node *testNode, beat workers.Heartbeat) {
+func mustHeartbeat(t *testing.T, node *testNode, beat workers.Heartbeat) {
 	t.Helper()
 	if err := node.agent.Heartbeat(t.Context(), beat); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestAcknowledgedDrainBindsWhoeverDies kills the node that acknowledged a drain,
-// with the store down, and lets a late heartbeat come to the next life of it.
+// TestAcknowledgedDrainBindsWhoeverDies kills the node that acknowledged a drain, with the store
+// down, and sends a late heartbeat to its next incarnation.
 func TestAcknowledgedDrainBindsWhoeverDies(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1", "d1")
-	mustBeat(t, nodes[0], heartbeat("w1", 3, false))
-	mustBeat(t, nodes[0], heartbeat("w1", 5, true))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 3, false))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 5, true))
 	if holders := nodes[0].events.holders("w1"); holders < 2 {
 		t.Fatalf("acknowledged with %d other holders", holders)
 	}
 	nodes[0].kill()
 	store.SetFaults("", hostedstore.Faults{Silent: true})
 	restarted := startNode(t, store, "a1", nodes[0].address)
-	mustBeat(t, restarted, heartbeat("w1", 4, false))
+	mustHeartbeat(t, restarted, heartbeat("w1", 4, false))
 	if worker, known := restarted.table.View().Self().Serves("ledger"); known {
-		t.Fatalf("%v is offered before the former life is known", worker)
+		t.Fatalf("%v is offered before the previous incarnation is known", worker)
 	}
 	testwait.Eventually(t, "the restarted node is ready", restarted.agent.Ready)
 	if worker, ready := restarted.workers.Ready("ledger"); ready {
@@ -346,13 +346,13 @@
 	}
 }
 
-// TestAcknowledgedDrainOutlastsAllNodes kills every node right after a drain was
-// acknowledged: only the store can tell the next lives.
+// TestAcknowledgedDrainOutlastsAllNodes kills every node right after a drain was acknowledged: the
+// next incarnations can learn of it only from the store.
 func TestAcknowledgedDrainOutlastsAllNodes(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
-	mustBeat(t, nodes[0], heartbeat("w1", 3, false))
-	mustBeat(t, nodes[0], heartbeat("w1", 5, true))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 3, false))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 5, true))
 	for _, node := range nodes {
 		node.kill()
 	}
@@ -360,32 +360,33 @@
 	for _, node := range nodes {
 		restarted = append(restarted, startNode(t, store, node.table.View().Self().ID, node.address))
 	}
-	mustBeat(t, restarted[0], heartbeat("w1", 4, false))
+	mustHeartbeat(t, restarted[0], heartbeat("w1", 4, false))
 	testwait.Eventually(t, "the restarted node is ready", restarted[0].agent.Ready)
 	if worker, ready := restarted[0].workers.Ready("ledger"); ready {
 		t.Fatalf("%v gets work after its drain was acknowledged", worker)
 	}
 }
 
-// TestPromiseReachesTheStoreLater lets the store fail while a drain is acknowledged.
+// TestPromiseReachesTheStoreLater has the store fail while a drain is acknowledged: the commitment
+// has to be written once the store answers again.
 func TestPromiseReachesTheStoreLater(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
-	mustBeat(t, nodes[0], heartbeat("w1", 3, false))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 3, false))
 	store.SetFaults("a1", hostedstore.Faults{Refuse: true})
 	before := store.Calls()
-	mustBeat(t, nodes[0], heartbeat("w1", 5, true))
+	mustHeartbeat(t, nodes[0], heartbeat("w1", 5, true))
 	testwait.Eventually(t, "the store was asked", func() bool { return store.Calls() > before })
 	store.SetFaults("a1", hostedstore.Faults{})
-	testwait.Eventually(t, "the entry names the promise", func() bool {
+	testwait.Eventually(t, "the entry has the drain commitment", func() bool {
 		return bytes.Contains(store.Entry("a1"), []byte("w1"))
 	})
 }
 
-func TestPlannedStopIsTold(t *testing.T) {
+func TestPlannedStopIsAnnounced(t *testing.T) {
 	store := newStore()
 	nodes := startNodes(t, store, "a1", "b1", "c1")
-	nodes[0].agent.Farewell(t.Context(), fleet.StateLeaving)
+	nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeaving)
 	testwait.Eventually(t, "the others know that it leaves", func() bool {
 		for _, other := range nodes[1:] {
 			if node, _ := other.table.View().Node("a1"); node.State != fleet.StateLeaving {
@@ -394,6 +395,6 @@
 		}
 		return true
 	})
-	nodes[0].agent.Farewell(t.Context(), fleet.StateLeft)
+	nodes[0].agent.AnnounceStop(t.Context(), fleet.StateLeft)
 	testwait.Eventually(t, "its entry is gone", func() bool { return store.Entries() == 2 })
 }
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// messageBound bounds one message to another node.
+	// messageBound is the timeout of one message to another node.
 	messageBound = 700 * time.Millisecond
-	// idleMessages is how long an unused connection for messages is kept; the
-	// server keeps it longer.
+	// idleMessages is how long an unused connection for messages is kept open; the server keeps it
+	// longer.
 	idleMessages       = 20 * time.Second
 	idleServerMessages = 60 * time.Second
 	messageDialBound   = 400 * time.Millisecond
 )
 
-// Peers sends messages to other nodes and keeps what they answer.
+// Peers sends messages to other nodes and processes their answers.
 type Peers struct {
-	// started is when the process has started.
+	// started is when the process started.
 	started   time.Time
 	mesh      string
 	table     *fleet.Table
@@ -36,24 +36,24 @@
 	documents *Documents
 	events    Events
 	web       *http.Client
-	// former is called with what this node promised in former lives.
-	former func(merged fleet.Merged, promised []*exchangepb.Worker)
-	// remembered is set once a node has answered that knows a former life of this one.
-	remembered atomic.Bool
-	// spoken is set once a message went from or to another node.
-	spoken atomic.Bool
-	// relay hands on what other nodes have sent.
+	// onPrevious is called with the drain commitments of this node's previous incarnations.
+	onPrevious func(merged fleet.Merged, promised []*exchangepb.Worker)
+	// previousKnown is set once a node has answered that knows a previous incarnation of this one.
+	previousKnown atomic.Bool
+	// contacted is set once a message was exchanged with another node.
+	contacted atomic.Bool
+	// relay forwards what other nodes have sent.
 	relay *relay
-	// hub collects the news of the zone while this node is its hub.
+	// hub collects the updates of the zone while this node is its hub.
 	hub  *hub
 	sent messageCounters
-	// directory is read for the nodes of the zone that have just started.
+	// directory is read on behalf of the nodes of the zone that have just started.
 	directory sharedDirectory
-	// evidence takes what others know of requests that crash workers.
+	// evidence receives what other nodes know of requests that crash workers.
 	evidence *evidence
-	// rolloutNews is called when a record was taken that tells of a roll-out; nil where
-	// nobody orders any.
-	rolloutNews func()
+	// onRolloutRecord is called when a record with a roll-out was merged; nil where roll-outs are
+	// not used.
+	onRolloutRecord func()
 
 	mutex   sync.Mutex
 	clients map[string]exchangepb.Exchange
@@ -76,8 +76,8 @@
 			DisableCompression:  true,
 		}},
 	}
-	p.relay = newRelay(func(ctx context.Context, what news, part partKey) {
-		p.BroadcastOwnZone(ctx, what, part.after, part.until)
+	p.relay = newRelay(func(ctx context.Context, u update, part partKey) {
+		p.BroadcastOwnZone(ctx, u, part.after, part.until)
 	})
 	return p
 }
@@ -93,11 +93,10 @@
 	return client
 }
 
-// Sync compares what this node knows with another one. It reports whether the
-// other one answered. Where the records differ, only those of the differing
-// buckets travel.
+// Sync runs an anti-entropy exchange with another node. It reports whether that node answered.
+// Where the records differ, only those of the differing buckets are sent.
 func (p *Peers) Sync(ctx context.Context, node fleet.Node) bool {
-	response, answered := p.Greet(ctx, node)
+	response, answered := p.Handshake(ctx, node)
 	if !answered {
 		return false
 	}
@@ -109,9 +108,9 @@
 	return err == nil
 }
 
-// Greet is Sync without the records that differ: the other node tells what it knows of
-// former lives of this one, and the document. It reports whether the other one answered.
-func (p *Peers) Greet(ctx context.Context, node fleet.Node) (*exchangepb.SyncResponse, bool) {
+// Handshake is Sync without the differing records: the other node reports what it knows of previous
+// incarnations of this one, and the document. It reports whether that node answered.
+func (p *Peers) Handshake(ctx context.Context, node fleet.Node) (*exchangepb.SyncResponse, bool) {
 	view := p.table.View()
 	response, err := p.sync(ctx, node, &exchangepb.SyncRequest{
 		Mesh:            p.mesh,
@@ -123,8 +122,8 @@
 	return response, err == nil
 }
 
-// followUp returns what a node that has answered is to be told and asked; nil when
-// there is nothing.
+// followUp returns the request for what this node and the answering one lack; nil when they hold
+// the same.
 func (p *Peers) followUp(response *exchangepb.SyncResponse) *exchangepb.SyncRequest {
 	view := p.table.View()
 	request := &exchangepb.SyncRequest{
@@ -150,16 +149,16 @@
 	return request
 }
 
-// lackedBy returns the records of buckets that a node lacks which has told all its
-// own of them.
-func lackedBy(view *fleet.View, buckets []uint32, told []*exchangepb.Node) []*exchangepb.Node {
-	held := make(map[string]fleet.Node, len(told))
-	for _, n := range nodesOf(told...) {
+// lackedBy returns the records of buckets that a node lacks which has reported all its own records
+// of them.
+func lackedBy(view *fleet.View, buckets []uint32, reported []*exchangepb.Node) []*exchangepb.Node {
+	held := make(map[string]fleet.Node, len(reported))
+	for _, n := range nodesOf(reported...) {
 		held[n.ID] = n
 	}
 	var missing []*exchangepb.Node
 	for _, n := range view.InBuckets(buckets) {
-		if other, known := held[n.ID]; !known || n.NewerThan(other) {
+		if theirs, known := held[n.ID]; !known || n.NewerThan(theirs) {
 			missing = append(missing, nodeMessage(*n))
 		}
 	}
@@ -169,7 +168,7 @@
 func (p *Peers) sync(ctx context.Context, node fleet.Node, request *exchangepb.SyncRequest) (*exchangepb.SyncResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, messageBound)
 	defer cancel()
-	p.sent.comparisons.Add(1)
+	p.sent.exchanges.Add(1)
 	response, err := p.client(node.ControlAddress).Sync(ctx, request)
 	if err != nil {
 		p.noteFailure(node.ID, err)
@@ -181,24 +180,25 @@
 	p.evidence.take(response.GetEvidence())
 	p.evidence.takeDecisions(response.GetQuarantined())
 	if response.GetKnowsFormer() {
-		p.remembered.Store(true)
+		p.previousKnown.Store(true)
 	}
 	return response, nil
 }
 
-// merge takes records, and hands on what is told of former lives of this node.
+// merge merges records, and passes on what was reported of previous incarnations of this node.
 func (p *Peers) merge(nodes []fleet.Node, promised []*exchangepb.Worker) []fleet.Node {
 	merged := p.table.Merge(nodes)
 	for _, id := range merged.NewIncarnations {
-		// It was lost, and others have heard from it: it need not be tried first.
+		// The node was lost, and others have heard from its new incarnation: it need not be probed
+		// first.
 		p.noteContact(id)
 	}
-	if p.rolloutNews != nil && slices.ContainsFunc(merged.Updates, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
-		p.rolloutNews()
+	if p.onRolloutRecord != nil && slices.ContainsFunc(merged.Updates, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
+		p.onRolloutRecord()
 	}
 	p.evidence.takeRecords(merged.Updates)
 	if merged.PreviousSelf != nil || len(promised) > 0 {
-		p.former(merged, promised)
+		p.onPrevious(merged, promised)
 	}
 	return merged.Updates
 }
@@ -210,7 +210,7 @@
 }
 
 func (p *Peers) noteContact(id string) {
-	p.spoken.Store(true)
+	p.contacted.Store(true)
 	if p.contacts.Reached(id) {
 		p.events.NodeFound(id)
 	}
--- a/internal/sidecar/listener.go
+++ b/internal/sidecar/listener.go
@@ -10,17 +10,17 @@
 	"sync"
 )
 
-// server is what answers on a listener.
+// server answers requests on a listener.
 type server interface {
-	// Serve answers until the server is shut down or closed, when it returns
+	// Serve answers requests until the server is shut down or closed, when it returns
 	// http.ErrServerClosed.
 	Serve(l net.Listener) error
 	Shutdown(ctx context.Context) error
 	Close() error
 }
 
-// newServer returns a server for messages. Faults of single connections are no
-// events of the node.
+// newServer returns an HTTP server for a handler. It discards its error log, since faults
+// of single connections are no events of the node.
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
 }
@@ -31,27 +31,27 @@
 	network Network
 	server  server
 
-	mutex sync.Mutex
-	first net.Listener
-	// address is where it listens, and again when it is started again.
+	mutex   sync.Mutex
+	initial net.Listener
+	// address is where it listens, also after it was started again.
 	address string
 }
 
-// listen opens an address at once, so that a fault shows before anything runs.
+// listen opens an address at once, so that a fault is found before anything runs.
 func listen(network Network, name, address string, server server) (*listener, error) {
 	opened, err := network.Listen(address)
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "listener for %s", name)
 	}
-	return &listener{name: name, network: network, server: server, first: opened, address: opened.Addr().String()}, nil
+	return &listener{name: name, network: network, server: server, initial: opened, address: opened.Addr().String()}, nil
 }
 
-// String names the part in events.
+// String names the listener in events.
 func (l *listener) String() string { return l.name }
 
-// Serve answers until the context ends.
+// Serve answers requests until the context ends.
 func (l *listener) Serve(ctx context.Context) error {
-	opened, err := l.take()
+	opened, err := l.initialOrReopened()
 	if err != nil {
 		return err
 	}
@@ -65,11 +65,11 @@
 	return err
 }
 
-func (l *listener) take() (net.Listener, error) {
+func (l *listener) initialOrReopened() (net.Listener, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if opened := l.first; opened != nil {
-		l.first = nil
+	if opened := l.initial; opened != nil {
+		l.initial = nil
 		return opened, nil
 	}
 	return l.network.Listen(l.address)
--- a/internal/telemetry/hosted_metrics.go
+++ b/internal/telemetry/hosted_metrics.go
@@ -16,24 +16,25 @@
 	Version    uint64
 	LiveNodes  int
 	InFlight   int
-	// Running, Waiting and Slots are of the workers beside the node.
+	// Running, Waiting and Slots are the calls that run and wait at the workers beside the
+	// node, and the slots of these workers.
 	Running, Waiting, Slots int
 	// Slowness is how long work takes at the worker beside the node, relative to the usual,
-	// as it tells itself; zero when it does not.
+	// as it reports itself; zero when it does not.
 	Slowness float64
-	// Transfers and WaitingTransfers are the long bodies of other nodes that cross
+	// Transfers and WaitingTransfers are the long bodies that other nodes are sending
 	// to this one, and those that wait for their turn.
 	Transfers, WaitingTransfers int
-	// RefusedTransfers counts those that got no turn.
+	// RefusedTransfers counts the long bodies that got no turn.
 	RefusedTransfers uint64
 	// Quarantined are the requests that are known to crash workers and are run nowhere,
-	// Suspected those that have been in hand where a worker ended.
+	// Suspected those that were in flight at a worker when it ended.
 	Quarantined, Suspected int
-	// Returns is what the node has had to do with a store that came back from copies.
-	Returns hosted.StoreReturns
-	// Messages is what the node has sent to others.
+	// StoreRestores counts what the node has had to do with a store that was restored from copies.
+	StoreRestores hosted.StoreRestores
+	// Messages counts what the node has sent to others.
 	Messages hosted.Messages
-	// Quotas is what the node has and has decided of the limits of tenants.
+	// Quotas is what the node holds of the limits of tenants, and what it decided on requests.
 	Quotas hosted.QuotaReading
 }
 
@@ -50,8 +51,8 @@
 	}
 	registry.MustRegister(
 		collectors.NewGoCollector(),
-		gauge("ready", "1 while callers may come.", func(r HostedReading) float64 { return truth(r.Ready) }),
-		gauge("reads_store", "1 while the node reaches the platform's store, as far as it knows.", func(r HostedReading) float64 { return truth(r.ReadsStore) }),
+		gauge("ready", "1 while callers may come.", func(r HostedReading) float64 { return boolValue(r.Ready) }),
+		gauge("reads_store", "1 while the node reaches the platform's store, as far as it knows.", func(r HostedReading) float64 { return boolValue(r.ReadsStore) }),
 		gauge("version_in_force", "Number of the configuration version in force; 0 for none.", func(r HostedReading) float64 { return float64(r.Version) }),
 		gauge("live_nodes", "Nodes that this node knows to be live, itself among them.", func(r HostedReading) float64 { return float64(r.LiveNodes) }),
 		gauge("calls_in_flight", "Calls of callers and of other nodes in flight.", func(r HostedReading) float64 { return float64(r.InFlight) }),
@@ -64,22 +65,22 @@
 		counter("transfers_refused_total", "Long bodies that got no turn on the link of this node.", func(r HostedReading) uint64 { return r.RefusedTransfers }),
 		gauge("quarantined_requests", "Requests that are run nowhere any more, since they crash the workers that run them.", func(r HostedReading) float64 { return float64(r.Quarantined) }),
 		gauge("suspected_requests", "Requests that a worker had in hand when it ended, and that were neither cleared nor quarantined.", func(r HostedReading) float64 { return float64(r.Suspected) }),
-		gauge("store_era", "Times that the store came back from a copy, from one; 0 when it does not tell.", func(r HostedReading) float64 { return float64(r.Returns.Era) }),
-		counter("store_restores_total", "Returns of the store from a copy that this node has heard of.", func(r HostedReading) uint64 { return r.Returns.Restores }),
-		counter("documents_passed_over_total", "Documents of the store that were older than the one held.", func(r HostedReading) uint64 { return r.Returns.PassedOver }),
-		counter("rejected_writes_total", "Calls for workers, and entries in the store, that could not be used.", func(r HostedReading) uint64 { return r.Returns.Rejected }),
-		counter("comparisons_total", "Questions to other nodes whether they know the same.", func(r HostedReading) uint64 { return r.Messages.Comparisons }),
+		gauge("store_era", "Times that the store came back from a copy, from one; 0 when it does not tell.", func(r HostedReading) float64 { return float64(r.StoreRestores.Era) }),
+		counter("store_restores_total", "Returns of the store from a copy that this node has heard of.", func(r HostedReading) uint64 { return r.StoreRestores.Restores }),
+		counter("documents_passed_over_total", "Documents of the store that were older than the one held.", func(r HostedReading) uint64 { return r.StoreRestores.PassedOver }),
+		counter("rejected_writes_total", "Calls for workers, and entries in the store, that could not be used.", func(r HostedReading) uint64 { return r.StoreRestores.Rejected }),
+		counter("comparisons_total", "Questions to other nodes whether they know the same.", func(r HostedReading) uint64 { return r.Messages.Exchanges }),
 		counter("broadcasts_total", "Messages with news to other nodes.", func(r HostedReading) uint64 { return r.Messages.Broadcasts }),
-		counter("reader_questions_total", "Messages that ask nodes which read the store whether they are there.", func(r HostedReading) uint64 { return r.Messages.Questions }),
+		counter("reader_questions_total", "Messages that ask nodes which read the store whether they are there.", func(r HostedReading) uint64 { return r.Messages.Probes }),
 		newQuotaCollector(func() hosted.QuotaReading { return read().Quotas }),
-		counter("borrowings_total", "Messages to other nodes on the limits of tenants.", func(r HostedReading) uint64 { return r.Messages.Borrowings }),
+		counter("borrowings_total", "Messages to other nodes on the limits of tenants.", func(r HostedReading) uint64 { return r.Messages.QuotaRequests }),
 		counter("broadcast_records_total", "Records of nodes in messages with news.", func(r HostedReading) uint64 { return r.Messages.Records }),
 	)
 	return &Registry{registry: registry}
 }
 
 // NewStoreObserver registers the metrics of calls to the platform's store, and
-// returns what is to be told of each.
+// returns the function to call after each.
 func NewStoreObserver(registerer prometheus.Registerer) hosted.StoreObserver {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "store_calls_total",
