--- a/internal/lab/fuzz/fuzz_test.go
+++ b/internal/lab/fuzz/fuzz_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestViolationsAreAnError(t *testing.T) {
-	report := Report{Seed: 3, Steps: 10, Violations: []sim.Violation{{Invariant: sim.InvariantWhole, Step: 7, Seed: 3}}}
+	report := Report{Seed: 3, Steps: 10, Violations: []sim.Violation{{Invariant: sim.InvariantComplete, Step: 7, Seed: 3}}}
 	if err := verdict(report); !errorx.IsOfType(err, ErrViolations) {
 		t.Fatalf("error %v", err)
 	}
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -112,7 +112,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if _, before := l.promised[instance]; !before {
-		l.report.Promises++
+		l.report.DrainCommitments++
 		l.promised[instance] = now
 	}
 }
@@ -152,7 +152,7 @@
 			l.violate("request %s was refused for its key, after %d runs", id, l.runs[id])
 		}
 	case statusQuarantined:
-		l.report.Wronged++
+		l.report.QuarantinedWrongly++
 		l.violate("request %s was taken for one that crashes its workers", id)
 	default:
 		l.report.Unknown++
--- a/internal/lab/soak/options.go
+++ b/internal/lab/soak/options.go
@@ -70,16 +70,16 @@
 	Refused int    `json:"refused"`
 	Unknown int    `json:"unknown"`
 	// Unauthenticated are the tries that were refused for their key.
-	Unauthenticated int `json:"unauthenticated"`
-	Runs            int `json:"runs"`
-	Faults          int `json:"faults"`
-	Documents       int `json:"documents"`
-	Promises        int `json:"promises"`
+	Unauthenticated  int `json:"unauthenticated"`
+	Runs             int `json:"runs"`
+	Faults           int `json:"faults"`
+	Documents        int `json:"documents"`
+	DrainCommitments int `json:"promises"`
 	// Crashes are workers that ended under a request, Quarantined the tries of such
 	// requests that were refused for good.
 	Crashes     int `json:"crashes"`
 	Quarantined int `json:"quarantined"`
-	// Wronged are the tries of innocent requests that were.
-	Wronged    int      `json:"wronged"`
-	Violations []string `json:"violations"`
+	// QuarantinedWrongly are the tries of innocent requests that were.
+	QuarantinedWrongly int      `json:"wronged"`
+	Violations         []string `json:"violations"`
 }
--- a/internal/sim/broken_test.go
+++ b/internal/sim/broken_test.go
@@ -22,7 +22,7 @@
 		{"compare dropped", sim.Seams{Operations: withoutCompare}, sim.InvariantHead},
 		{"fencing dropped", sim.Seams{Participant: newForgetful}, sim.InvariantNeverBack},
 		{"floor dropped", sim.Seams{NoFloor: true}, sim.InvariantNeverBack},
-		{"partial swap", sim.Seams{Activation: partly}, sim.InvariantWhole},
+		{"partial swap", sim.Seams{Activation: partly}, sim.InvariantComplete},
 		{"unknown outcome repeated", sim.Seams{RepeatUnknown: true}, sim.InvariantOnce},
 		{"not-run said late", sim.Seams{LateNotRun: true}, sim.InvariantNotRun},
 	}
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -58,7 +58,7 @@
 	w := f.world
 	return []weightedFault{
 		{20, func() { w.Crash(pick(w.random, w.nodes)) }},
-		{4, w.CrashHerd},
+		{4, w.CrashMany},
 		{14, func() { w.Pause(pick(w.random, w.nodes)) }},
 		{6, w.PauseCoordinator},
 		{8, w.PauseRelay},
@@ -192,8 +192,8 @@
 // endNode stops a node's process at once. The worker beside it goes on.
 func (w *World) endNode(n *node) { n.process.end() }
 
-// CrashHerd ends many processes at once.
-func (w *World) CrashHerd() {
+// CrashMany ends many processes at once.
+func (w *World) CrashMany() {
 	w.faults.count("herd of crashes")
 	for _, n := range w.nodes {
 		if w.random.IntN(herdShare) == 0 {
--- a/internal/sim/oracle.go
+++ b/internal/sim/oracle.go
@@ -16,7 +16,7 @@
 const (
 	InvariantNeverBack   = "no node moves back"
 	InvariantClosed      = "no route without its service and secret"
-	InvariantWhole       = "a version is run whole"
+	InvariantComplete    = "a version is run whole"
 	InvariantNotRefused  = "a refused version is not run"
 	InvariantHead        = "the head moves by single allowed steps"
 	InvariantApply       = "a refused apply is not committed"
@@ -256,7 +256,7 @@
 func (o *oracle) checkWhole(a *agent, s *snapshot.Snapshot) {
 	applies := o.committed[s.Version()]
 	if len(applies) == 0 {
-		o.violate(InvariantWhole, a.node.id, fmt.Sprintf("version %d was never committed", s.Version()))
+		o.violate(InvariantComplete, a.node.id, fmt.Sprintf("version %d was never committed", s.Version()))
 		return
 	}
 	problem := ""
@@ -267,7 +267,7 @@
 			return
 		}
 	}
-	o.violate(InvariantWhole, a.node.id, fmt.Sprintf("version %d: %s", s.Version(), problem))
+	o.violate(InvariantComplete, a.node.id, fmt.Sprintf("version %d: %s", s.Version(), problem))
 }
 
 // needs lists the keys that a node must hold: everything if it holds a service
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -62,7 +62,7 @@
 		},
 		"apply":         func(*rapid.T) { w.Apply(nil) },
 		"crash":         func(t *rapid.T) { w.Crash(w.Node(node(t))) },
-		"herd":          func(*rapid.T) { w.CrashHerd() },
+		"herd":          func(*rapid.T) { w.CrashMany() },
 		"pause":         func(t *rapid.T) { w.Pause(w.Node(node(t))) },
 		"pause relay":   func(*rapid.T) { w.PauseRelay() },
 		"pause reader":  func(*rapid.T) { w.PauseCoordinator() },
