--- a/internal/sim/applies.go
+++ b/internal/sim/applies.go
@@ -32,7 +32,7 @@
 func (x *applies) schedule() {
 	delay := x.world.random.duration(2 * applyPeriod)
 	x.world.scheduler.after(delay, "operators", func() {
-		if !x.world.quiet && !x.world.oracle.restored {
+		if !x.world.settling && !x.world.oracle.restored {
 			for range 1 + x.world.random.IntN(maximumRacers) {
 				x.world.Apply(nil)
 			}
@@ -56,8 +56,8 @@
 // Apply has an operator apply a new file set on whatever is committed. known
 // is set to recover from a restored store.
 func (w *World) Apply(known *rollout.Head) {
-	poisoned := w.random.percent(poisonPercent)
-	w.applySet(newFileSet(w.random, w.applies.number+1, poisoned), known)
+	unsupported := w.random.percent(unsupportedPercent)
+	w.applySet(newFileSet(w.random, w.applies.number+1, unsupported), known)
 }
 
 func (w *World) applySet(set fileSet, known *rollout.Head) {
--- a/internal/sim/broken_test.go
+++ b/internal/sim/broken_test.go
@@ -20,9 +20,9 @@
 func brokenVariants() []brokenVariant {
 	return []brokenVariant{
 		{"compare dropped", sim.Seams{Operations: withoutCompare}, sim.InvariantHead},
-		{"fencing dropped", sim.Seams{Participant: newForgetful}, sim.InvariantNeverBack},
+		{"fencing dropped", sim.Seams{Participant: newUnfencedParticipant}, sim.InvariantNeverBack},
 		{"floor dropped", sim.Seams{NoFloor: true}, sim.InvariantNeverBack},
-		{"partial swap", sim.Seams{Activation: partly}, sim.InvariantComplete},
+		{"partial swap", sim.Seams{Activation: activatePartly}, sim.InvariantComplete},
 		{"unknown outcome repeated", sim.Seams{RepeatUnknown: true}, sim.InvariantOnce},
 		{"not-run said late", sim.Seams{LateNotRun: true}, sim.InvariantNotRun},
 	}
@@ -43,19 +43,19 @@
 	return written
 }
 
-// forgetful is a participant that believes every head, the latest to arrive
+// unfencedParticipant is a participant that believes every head, the latest to arrive
 // above all.
-type forgetful struct {
+type unfencedParticipant struct {
 	*rollout.Participant
 	options rollout.ParticipantOptions
 }
 
-func newForgetful(options rollout.ParticipantOptions) sim.Participant {
-	return &forgetful{rollout.NewParticipant(options), options}
+func newUnfencedParticipant(options rollout.ParticipantOptions) sim.Participant {
+	return &unfencedParticipant{rollout.NewParticipant(options), options}
 }
 
 // ObserveHead starts over when the head is an older one.
-func (f *forgetful) ObserveHead(head rollout.Head) []rollout.Action {
+func (f *unfencedParticipant) ObserveHead(head rollout.Head) []rollout.Action {
 	state := f.State()
 	if state.FloorKnown && head.Generation < state.Head.Generation {
 		f.Participant = rollout.NewParticipant(f.options)
@@ -64,8 +64,8 @@
 	return f.Participant.ObserveHead(head)
 }
 
-// partly puts the new version in force but leaves one resource of the old one.
-func partly(inForce, next *snapshot.Snapshot) *snapshot.Snapshot {
+// activatePartly puts the new version in force but leaves one resource of the old one.
+func activatePartly(inForce, next *snapshot.Snapshot) *snapshot.Snapshot {
 	if inForce == nil {
 		return next
 	}
@@ -86,10 +86,10 @@
 }
 
 // stepsToCatch returns the step at which the invariant was first broken.
-func stepsToCatch(variant brokenVariant, seed, most uint64) (uint64, bool) {
+func stepsToCatch(variant brokenVariant, seed, maximumSteps uint64) (uint64, bool) {
 	w := sim.New(sim.Options{Seed: seed, Seams: variant.seams})
 	defer w.Close()
-	for w.Steps() < most {
+	for w.Steps() < maximumSteps {
 		w.Step()
 		for _, violation := range w.Violations() {
 			if violation.Invariant == variant.invariant {
@@ -104,14 +104,14 @@
 const brokenSeeds = 12
 
 func TestBrokenVariantsAreCaught(t *testing.T) {
-	const most = 2_000_000
+	const maximumSteps = 2_000_000
 	for _, variant := range brokenVariants() {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= brokenSeeds; seed++ {
-				step, caught := stepsToCatch(variant, seed, most)
+				step, caught := stepsToCatch(variant, seed, maximumSteps)
 				if !caught {
-					t.Errorf("seed %d: not caught in %d steps", seed, most)
+					t.Errorf("seed %d: not caught in %d steps", seed, maximumSteps)
 				}
 				t.Logf("seed %d: caught at step %d", seed, step)
 			}
--- a/internal/sim/call_oracle.go
+++ b/internal/sim/call_oracle.go
@@ -16,7 +16,7 @@
 	if r.executions > 1 && !r.repeatable {
 		o.violate(InvariantOnce, id, fmt.Sprintf("request %d ran %d times", r.id, r.executions))
 	}
-	if r.told == outcome.NotRun {
+	if r.reported == outcome.NotRun {
 		o.violate(InvariantNotRun, id, fmt.Sprintf("request %d ran after its caller was told that it did not", r.id))
 	}
 	if s.leaving && o.world.scheduler.now-s.leavingSince > leavingGrace {
@@ -25,13 +25,13 @@
 }
 
 // observeOutcome is told what a caller was told.
-func (o *oracle) observeOutcome(r *request, told outcome.Outcome, body string) {
+func (o *oracle) observeOutcome(r *request, reported outcome.Outcome, body string) {
 	subject := fmt.Sprint("request ", r.id)
 	if r.ended {
 		o.violate(InvariantEnds, subject, "ended twice")
 	}
-	r.ended, r.told = true, told
-	switch told {
+	r.ended, r.reported = true, reported
+	switch reported {
 	case outcome.Answered:
 		o.summary.Answered++
 	case outcome.NotRun:
@@ -39,10 +39,10 @@
 	case outcome.Unknown:
 		o.summary.Unknown++
 	}
-	if told == outcome.NotRun && r.executions > 0 {
+	if reported == outcome.NotRun && r.executions > 0 {
 		o.violate(InvariantNotRun, subject, "it ran")
 	}
-	if told == outcome.Answered && (body != bodyOf(r.id) || r.executions == 0) {
+	if reported == outcome.Answered && (body != bodyOf(r.id) || r.executions == 0) {
 		o.violate(InvariantOwnAnswer, subject, fmt.Sprintf("got %q after %d executions", body, r.executions))
 	}
 }
@@ -52,7 +52,7 @@
 // sender, none should come.
 func (o *oracle) observeArrival(s *serving, entry *agent) {
 	now := o.world.scheduler.now
-	if !s.leaving || now-s.leavingSince <= leavingGrace || now-o.world.faults.lastAt < undisturbedBefore {
+	if !s.leaving || now-s.leavingSince <= leavingGrace || now-o.world.faults.lastInjectedAt < undisturbedBefore {
 		return
 	}
 	o.violate(InvariantLeaving, s.agent.node.id, "still sent requests by "+entry.node.id)
--- a/internal/sim/calls.go
+++ b/internal/sim/calls.go
@@ -15,16 +15,16 @@
 
 // Times and sizes of calls.
 const (
-	callPeriod        = 40 * time.Millisecond
-	callDeadline      = 2 * time.Second
-	longestService    = 600 * time.Millisecond
-	workerSlots       = 4
-	workerRefusal     = 3
-	leavingGrace      = 5 * time.Second
-	leavingFor        = 3 * time.Second
-	lateNotRunChance  = 5
-	repeatableShare   = 50
-	undisturbedBefore = longestCut + longestPause
+	callPeriod           = 40 * time.Millisecond
+	callDeadline         = 2 * time.Second
+	longestRunTime       = 600 * time.Millisecond
+	workerSlots          = 4
+	workerRefusalPercent = 3
+	leavingGrace         = 5 * time.Second
+	leavingNotice        = 3 * time.Second
+	lateNotRunPercent    = 5
+	repeatablePercent    = 50
+	undisturbedBefore    = longestCut + longestPause
 )
 
 // request is one call of a caller. The counts are kept by the oracle.
@@ -34,7 +34,7 @@
 	service    string
 	deadline   time.Duration
 	executions int
-	told       outcome.Outcome
+	reported   outcome.Outcome
 	ended      bool
 	// entry is the process that the caller talks to.
 	entry *process
@@ -53,7 +53,7 @@
 		c.open = make(map[int]*request)
 	}
 	c.world.scheduler.after(c.world.random.duration(2*callPeriod), "caller", func() {
-		if !c.world.quiet {
+		if !c.world.settling {
 			c.send()
 		}
 		c.schedule()
@@ -73,7 +73,7 @@
 	c.number++
 	r := &request{
 		id: c.number, service: service, entry: entry.process,
-		repeatable: c.world.random.percent(repeatableShare),
+		repeatable: c.world.random.percent(repeatablePercent),
 		deadline:   c.world.scheduler.now + callDeadline,
 	}
 	c.open[r.id] = r
@@ -171,18 +171,18 @@
 		answer(reply{reason: refusalOf(err), draining: s.leaving, load: s.gate.Load()})
 		return
 	}
-	if w.random.percent(workerRefusal) {
+	if w.random.percent(workerRefusalPercent) {
 		permit.Release(admission.Result{Refused: true})
 		answer(reply{reason: outcome.RefusedByOwnWorker, load: s.gate.Load()})
 		return
 	}
 	w.oracle.observeExecution(r, s)
 	s.executing++
-	took := w.random.duration(longestService)
+	took := w.random.duration(longestRunTime)
 	s.agent.process.after(took, "worker answers", func() {
 		s.executing--
 		permit.Release(admission.Result{Latency: took})
-		if w.options.Seams.LateNotRun && w.random.percent(lateNotRunChance) {
+		if w.options.Seams.LateNotRun && w.random.percent(lateNotRunPercent) {
 			answer(reply{reason: outcome.RefusedByOwnWorker})
 			return
 		}
@@ -213,7 +213,7 @@
 	a.announce(record)
 	a.upstream.drop()
 	a.serves.gate.Drain()
-	a.process.after(leavingFor, "stop", a.stopWhenIdle)
+	a.process.after(leavingNotice, "stop", a.stopWhenIdle)
 }
 
 func (a *agent) stopWhenIdle() {
--- a/internal/sim/content.go
+++ b/internal/sim/content.go
@@ -14,13 +14,13 @@
 	serviceCount = 4
 	secretCount  = 3
 	routeCount   = 6
-	// poisonPercent of the sets are refused by some nodes.
-	poisonPercent = 15
-	// poisonMark ends the number of slots of such a set's services.
-	poisonMark = 13
-	markModulo = 100
-	// pickyShare is one out of how many nodes refuses a poisoned set.
-	pickyShare = 3
+	// unsupportedPercent of the sets are refused by some nodes.
+	unsupportedPercent = 15
+	// unsupportedMark ends the number of slots of such a set's services.
+	unsupportedMark = 13
+	markModulo      = 100
+	// rejectOneOf is one out of how many nodes refuses a poisoned set.
+	rejectOneOf = 3
 )
 
 func serviceName(index int) string { return fmt.Sprint("service-", index) }
@@ -28,18 +28,18 @@
 
 // fileSet is what an operator applies.
 type fileSet struct {
-	resources []model.Resource
-	digests   map[model.Key]model.Digest
-	poisoned  bool
+	resources   []model.Resource
+	digests     map[model.Key]model.Digest
+	unsupported bool
 }
 
 // newFileSet makes a set that differs from all others. Some nodes refuse a
 // poisoned one.
-func newFileSet(r random, number int, poisoned bool) fileSet {
-	set := fileSet{digests: make(map[model.Key]model.Digest), poisoned: poisoned}
+func newFileSet(r random, number int, unsupported bool) fileSet {
+	set := fileSet{digests: make(map[model.Key]model.Digest), unsupported: unsupported}
 	mark := number * markModulo
-	if set.poisoned {
-		mark += poisonMark
+	if set.unsupported {
+		mark += unsupportedMark
 	}
 	for index := range serviceCount {
 		service := &model.Service{Slots: mark, Calls: []string{}}
@@ -82,24 +82,24 @@
 	}
 }
 
-// errPoisoned is why a picky node refuses a set.
-var errPoisoned = errors.New("the number of slots is not supported here")
+// errUnsupported is why a picky node refuses a set.
+var errUnsupported = errors.New("the number of slots is not supported here")
 
-// isPicky reports whether a node refuses poisoned sets.
-func isPicky(id string) bool {
+// rejectsUnsupported reports whether a node refuses poisoned sets.
+func rejectsUnsupported(id string) bool {
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(id))
-	return digest.Sum32()%pickyShare == 0
+	return digest.Sum32()%rejectOneOf == 0
 }
 
 // validateOn is the node's own check of a snapshot.
 func validateOn(id string, s *snapshot.Snapshot) error {
-	if !isPicky(id) {
+	if !rejectsUnsupported(id) {
 		return nil
 	}
 	for _, service := range s.Services() {
-		if service.Slots%markModulo == poisonMark {
-			return errPoisoned
+		if service.Slots%markModulo == unsupportedMark {
+			return errUnsupported
 		}
 	}
 	return nil
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -9,23 +9,23 @@
 
 // Times and chances of faults.
 const (
-	faultPeriod       = 700 * time.Millisecond
-	longestRestart    = 3 * time.Second
-	longestPause      = 15 * time.Second
-	longestCut        = 12 * time.Second
-	longestOutage     = 20 * time.Second
-	longestSlowness   = 10 * time.Second
-	longestHoldBack   = 3 * time.Second
-	longestUnnoticed  = 8 * time.Second
-	largestClockStep  = time.Hour
-	recoveryPatience  = 12 * time.Second
-	herdShare         = 2
-	backupPeriod      = 20 * time.Second
-	lostRequestChance = 15
-	lostAnswerChance  = 25
-	heldBackChance    = 15
-	rateLimitChance   = 10
-	refuseChance      = 10
+	faultPeriod           = 700 * time.Millisecond
+	longestRestart        = 3 * time.Second
+	longestPause          = 15 * time.Second
+	longestCut            = 12 * time.Second
+	longestOutage         = 20 * time.Second
+	longestSlowness       = 10 * time.Second
+	longestHoldBack       = 3 * time.Second
+	longestUnnoticedAlarm = 8 * time.Second
+	largestClockStep      = time.Hour
+	recoveryDelay         = 12 * time.Second
+	crashOneOf            = 2
+	backupPeriod          = 20 * time.Second
+	lostRequestPerMille   = 15
+	lostAnswerPerMille    = 25
+	heldBackPerMille      = 15
+	rateLimitPerMille     = 10
+	refusePerMille        = 10
 )
 
 // faults injects what may go wrong, and counts it.
@@ -34,11 +34,11 @@
 	counts      map[string]int
 	outageUntil time.Duration
 	slowUntil   time.Duration
-	// suspended lets the oracle read the store past all faults.
-	suspended bool
-	// lastAt is when the last fault was injected.
-	lastAt time.Duration
-	backup *memory.State
+	// bypassed lets the oracle read the store past all faults.
+	bypassed bool
+	// lastInjectedAt is when the last fault was injected.
+	lastInjectedAt time.Duration
+	backup         *memory.State
 }
 
 func newFaults(w *World) *faults { return &faults{world: w, counts: make(map[string]int)} }
@@ -76,19 +76,19 @@
 // schedule plans the next fault.
 func (f *faults) schedule() {
 	f.world.scheduler.after(f.world.random.duration(2*faultPeriod), "fault", func() {
-		if !f.world.quiet {
+		if !f.world.settling {
 			f.injectOne()
 		}
 		f.schedule()
 	})
 	if f.backup == nil {
-		f.world.scheduler.after(f.world.random.duration(backupPeriod), "backup", f.keepBackup)
+		f.world.scheduler.after(f.world.random.duration(backupPeriod), "backup", f.takeBackup)
 		f.backup = &memory.State{}
 	}
 }
 
 func (f *faults) injectOne() {
-	f.lastAt = f.world.scheduler.now
+	f.lastInjectedAt = f.world.scheduler.now
 	kinds := f.kinds()
 	total := 0
 	for _, kind := range kinds {
@@ -104,24 +104,24 @@
 	}
 }
 
-// keepBackup copies the store now and then, as its platform would.
-func (f *faults) keepBackup() {
+// takeBackup copies the store now and then, as its platform would.
+func (f *faults) takeBackup() {
 	state := f.world.memory.State()
 	f.backup = &state
-	f.world.scheduler.after(backupPeriod+f.world.random.duration(backupPeriod), "backup", f.keepBackup)
+	f.world.scheduler.after(backupPeriod+f.world.random.duration(backupPeriod), "backup", f.takeBackup)
 }
 
 // intercept answers the store's question about the fault of a request.
 func (w *World) intercept(memory.Request) memory.Fault {
-	if w.faults.suspended || w.running == nil {
+	if w.faults.bypassed || w.running == nil {
 		return memory.FaultNone
 	}
 	return w.running.fault
 }
 
-// disturbed draws whether a message is lost; none is while the world is quiet.
-func (w *World) disturbed(chance int) bool {
-	if w.quiet || w.options.Calm || !w.random.perMille(chance) {
+// losesMessage draws whether a message is lost; none is while the world is quiet.
+func (w *World) losesMessage(chance int) bool {
+	if w.settling || w.options.Calm || !w.random.perMille(chance) {
 		return false
 	}
 	w.faults.count("message lost")
@@ -134,7 +134,7 @@
 		w.faults.count("request during outage")
 		return memory.FaultRefuse
 	}
-	if w.quiet || w.options.Calm {
+	if w.settling || w.options.Calm {
 		return memory.FaultNone
 	}
 	drawn := w.random.IntN(1000)
@@ -143,11 +143,11 @@
 		fault  memory.Fault
 		name   string
 	}{
-		{lostRequestChance, memory.FaultLoseRequest, "request lost"},
-		{lostAnswerChance, memory.FaultLoseAnswer, "answer lost"},
-		{heldBackChance, memory.FaultHoldBack, "write held back"},
-		{rateLimitChance, memory.FaultRateLimit, "rate limited"},
-		{refuseChance, memory.FaultRefuse, "request refused"},
+		{lostRequestPerMille, memory.FaultLoseRequest, "request lost"},
+		{lostAnswerPerMille, memory.FaultLoseAnswer, "answer lost"},
+		{heldBackPerMille, memory.FaultHoldBack, "write held back"},
+		{rateLimitPerMille, memory.FaultRateLimit, "rate limited"},
+		{refusePerMille, memory.FaultRefuse, "request refused"},
 	} {
 		drawn -= candidate.chance
 		if drawn < 0 {
@@ -196,7 +196,7 @@
 func (w *World) CrashMany() {
 	w.faults.count("herd of crashes")
 	for _, n := range w.nodes {
-		if w.random.IntN(herdShare) == 0 {
+		if w.random.IntN(crashOneOf) == 0 {
 			w.Crash(n)
 		}
 	}
@@ -334,7 +334,7 @@
 
 // recoverLater has an operator apply a new set until one is committed.
 func (w *World) recoverLater() {
-	w.scheduler.after(recoveryPatience+w.random.duration(longestUnnoticed), "recover", func() {
+	w.scheduler.after(recoveryDelay+w.random.duration(longestUnnoticedAlarm), "recover", func() {
 		if w.oracle.restored {
 			w.Recover()
 			w.recoverLater()
--- a/internal/sim/forward.go
+++ b/internal/sim/forward.go
@@ -10,7 +10,7 @@
 func (s *serving) forward(r *request) {
 	s.forwarding++
 	balancer := s.balancer(r.service)
-	s.attempt(&forwarded{
+	s.attempt(&forwardedRequest{
 		request:  r,
 		balancer: balancer,
 		attempts: retry.NewAttempts(retry.AttemptsOptions{
@@ -21,15 +21,15 @@
 	})
 }
 
-// forwarded is a request on its way, through all its attempts.
-type forwarded struct {
+// forwardedRequest is a request on its way, through all its attempts.
+type forwardedRequest struct {
 	*request
 	balancer *balance.Balancer
 	attempts retry.Attempts
 	tried    []string
 }
 
-func (s *serving) attempt(f *forwarded) {
+func (s *serving) attempt(f *forwardedRequest) {
 	picked, err := f.balancer.Pick(f.tried...)
 	if err != nil {
 		s.giveUp(f)
@@ -54,7 +54,7 @@
 				result = answer.(reply)
 				picked.Done(balance.Result{Outcome: balanceOutcome(result.reason), Load: result.load, LoadKnown: true, Draining: result.draining})
 			}
-			s.attempted(f, result)
+			s.handleAttempt(f, result)
 		})
 }
 
@@ -65,9 +65,9 @@
 	return balance.Shed
 }
 
-// attempted ends a request that was answered, and makes a further attempt at
+// handleAttempt ends a request that was answered, and makes a further attempt at
 // one that was not if it may.
-func (s *serving) attempted(f *forwarded, result reply) {
+func (s *serving) handleAttempt(f *forwardedRequest, result reply) {
 	if result.reason == "" {
 		s.finish(f.request, outcome.Answered, result.body)
 		return
@@ -94,16 +94,16 @@
 
 // giveUp tells the caller why there is no answer. Without an attempt there was
 // no worker.
-func (s *serving) giveUp(f *forwarded) {
-	told := outcome.NotRun
+func (s *serving) giveUp(f *forwardedRequest) {
+	result := outcome.NotRun
 	if failure := f.attempts.Failure(); failure != nil {
-		told = outcome.Of(failure)
+		result = outcome.Of(failure)
 	}
-	s.finish(f.request, told, "")
+	s.finish(f.request, result, "")
 }
 
-func (s *serving) finish(r *request, told outcome.Outcome, body string) {
+func (s *serving) finish(r *request, result outcome.Outcome, body string) {
 	s.forwarding--
-	s.agent.world.oracle.observeOutcome(r, told, body)
+	s.agent.world.oracle.observeOutcome(r, result, body)
 	delete(s.agent.world.callers.open, r.id)
 }
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -15,13 +15,13 @@
 
 // Bounds of the time that a message takes.
 const (
-	inZoneDelay    = 500 * time.Microsecond
-	betweenZones   = 3 * time.Millisecond
-	slowDelay      = 400 * time.Millisecond
-	refusalDelay   = time.Millisecond
-	slowPercent    = 2
-	lossPerMille   = 3
-	answerPerMille = 3
+	inZoneDelay         = 500 * time.Microsecond
+	betweenZonesDelay   = 3 * time.Millisecond
+	slowDelay           = 400 * time.Millisecond
+	refusalDelay        = time.Millisecond
+	slowPercent         = 2
+	requestLossPerMille = 3
+	answerLossPerMille  = 3
 )
 
 // link is a direction between two zones.
@@ -36,7 +36,7 @@
 func (n *network) delay(from, to *node) time.Duration {
 	base := inZoneDelay
 	if from.zone != to.zone {
-		base = betweenZones
+		base = betweenZonesDelay
 	}
 	if n.world.random.percent(slowPercent) {
 		base += n.world.random.duration(slowDelay)
@@ -68,7 +68,7 @@
 		serve: serve, done: done,
 	}
 	e.fromProcess.after(timeout, name+" timeout", func() { e.finish(nil, errNoAnswer) })
-	lost := !n.passes(from, to) || n.world.disturbed(lossPerMille)
+	lost := !n.passes(from, to) || n.world.losesMessage(requestLossPerMille)
 	if lost {
 		return
 	}
@@ -104,7 +104,7 @@
 	if !server.alive || !n.passes(e.to, e.from) {
 		return
 	}
-	if n.world.disturbed(answerPerMille) {
+	if n.world.losesMessage(answerLossPerMille) {
 		e.fromProcess.after(n.delay(e.to, e.from), e.name+" broken", func() { e.finish(nil, errNoAnswer) })
 		return
 	}
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -128,11 +128,11 @@
 func (a *agent) tick() {
 	a.replan()
 	a.join()
-	a.keepWatching()
+	a.maintainWatch()
 	a.checkChildren()
 	a.checkUnreachable()
 	a.searchFloor()
-	a.keepReading()
+	a.maintainLease()
 	a.report()
 	a.coordinate()
 	a.serves.updateEndpoints()
@@ -148,10 +148,10 @@
 
 // learn takes in member records, among them what others hold of this node.
 func (a *agent) learn(records []membership.Record) {
-	news := false
+	updated := false
 	for _, record := range records {
 		if record.ID != a.node.id {
-			news = len(a.table.Merge(record)) > 0 || news
+			updated = len(a.table.Merge(record)) > 0 || updated
 			continue
 		}
 		own, verdict := a.self.Answer(record)
@@ -160,7 +160,7 @@
 			a.upstream.drop()
 		}
 	}
-	if news {
+	if updated {
 		a.changed()
 	}
 }
@@ -185,13 +185,13 @@
 	if seed == a.node {
 		return
 	}
-	told := []membership.Record{a.self}
+	records := []membership.Record{a.self}
 	if held, found := a.table.Get(seed.id); found {
-		told = append(told, held)
+		records = append(records, held)
 	}
 	a.world.network.call(a.node, seed, "members", callTimeout,
 		func(answer func(any)) {
-			seed.agent.learn(told)
+			seed.agent.learn(records)
 			records, _ := seed.agent.table.Since(0)
 			answer(records)
 		},
@@ -280,9 +280,9 @@
 }
 
 // receive takes in a whole snapshot of the node's scope.
-func (a *agent) receive(received *snapshot.Snapshot, whole bool) {
+func (a *agent) receive(received *snapshot.Snapshot, complete bool) {
 	delete(a.wanted, received.Version())
-	if whole {
+	if complete {
 		a.history.Add(received)
 	}
 	a.act(a.participant.Deliver(received))
--- a/internal/sim/node_floor.go
+++ b/internal/sim/node_floor.go
@@ -11,18 +11,18 @@
 
 // Times of the search for the floor.
 const (
-	floorRound    = 2 * time.Second
-	floorPatience = 600 * time.Millisecond
+	floorRound     = 2 * time.Second
+	floorWaitLimit = 600 * time.Millisecond
 )
 
 // floorSearch is a started node's search for the lowest version it may run.
 type floorSearch struct {
-	round   uint64
-	since   time.Duration
-	asked   int
-	answers []rollout.FloorAnswer
-	quorum  rollout.FloorQuorum
-	running bool
+	round     uint64
+	since     time.Duration
+	requested int
+	answers   []rollout.FloorAnswer
+	quorum    rollout.FloorQuorum
+	running   bool
 }
 
 // searchFloor asks the store and other nodes until the floor is known.
@@ -39,7 +39,7 @@
 		a.startFloorRound()
 		return
 	}
-	if now-a.floor.since >= floorPatience || len(a.floor.answers) == a.floor.asked {
+	if now-a.floor.since >= floorWaitLimit || len(a.floor.answers) == a.floor.requested {
 		a.decideFloor()
 	}
 }
@@ -52,28 +52,28 @@
 			a.floor.answers = append(a.floor.answers, answer)
 		}
 	}
-	a.floor.asked++
+	a.floor.requested++
 	a.confirmFloor(0, take)
-	a.floor.quorum.ZoneMembers, a.floor.quorum.Zones = a.countFor(a.node)
+	a.floor.quorum.ZoneMembers, a.floor.quorum.Zones = a.countOtherMembers(a.node)
 	for record := range a.table.View().All() {
 		if record.Zone == a.node.zone && record.ID != a.node.id {
-			a.askFloor(a.world.byID[record.ID], take)
+			a.requestFloor(a.world.byID[record.ID], take)
 		}
 	}
 	for _, relay := range a.relaysElsewhere() {
-		a.askFloor(a.world.byID[relay.ID], take)
+		a.requestFloor(a.world.byID[relay.ID], take)
 	}
 }
 
-// countFor counts the other members of a node's zone, and the other zones, that
+// countOtherMembers counts the other members of a node's zone, and the other zones, that
 // this node knows of, lost members included.
-func (a *agent) countFor(asking *node) (members, zones int) {
+func (a *agent) countOtherMembers(requester *node) (members, zones int) {
 	seen := make(map[string]bool)
 	for record := range a.table.View().All() {
 		switch {
-		case record.Zone != asking.zone:
+		case record.Zone != requester.zone:
 			seen[record.Zone] = true
-		case record.ID != asking.id:
+		case record.ID != requester.id:
 			members++
 		}
 	}
@@ -105,9 +105,9 @@
 	return relays
 }
 
-// askFloor asks a node for what it knows itself.
-func (a *agent) askFloor(peer *node, take func(rollout.FloorAnswer)) {
-	a.floor.asked++
+// requestFloor asks a node for what it knows itself.
+func (a *agent) requestFloor(peer *node, take func(rollout.FloorAnswer)) {
+	a.floor.requested++
 	a.world.network.call(a.node, peer, "floor", callTimeout,
 		func(answer func(any)) { answer(peer.agent.ownFloor(a.node)) },
 		func(reply any, err error) {
@@ -123,7 +123,7 @@
 
 // ownFloor is what this node knows without the store, and of the zone of the
 // node that asks.
-func (a *agent) ownFloor(asking *node) rollout.FloorAnswer {
+func (a *agent) ownFloor(requester *node) rollout.FloorAnswer {
 	state := a.participant.State()
 	below := a.readiness()
 	answer := rollout.FloorAnswer{
@@ -131,7 +131,7 @@
 		Committed: max(state.Head.Committed, state.Floor, below.Committed, a.reported.committed),
 		Staged:    max(state.Head.Proposed, below.Proposed, a.reported.proposed),
 	}
-	answer.ZoneMembers, answer.Zones = a.countFor(asking)
+	answer.ZoneMembers, answer.Zones = a.countOtherMembers(requester)
 	if state.InForce != nil {
 		answer.Committed = max(answer.Committed, state.InForce.Version())
 	}
--- a/internal/sim/node_reader.go
+++ b/internal/sim/node_reader.go
@@ -19,8 +19,8 @@
 	acquirePeriod = 2 * time.Second
 )
 
-// keepReading does what the node's part in reading the store asks for.
-func (a *agent) keepReading() {
+// maintainLease does what the node's part in reading the store asks for.
+func (a *agent) maintainLease() {
 	now := a.world.scheduler.now
 	r := &a.reader
 	switch {
@@ -110,11 +110,11 @@
 	a.reader.readAt = a.world.scheduler.now
 	a.process.store.run("head", func(ctx context.Context) func() {
 		head, _, err := a.reader.versions.ReadHead(ctx, true)
-		return func() { a.tookHead(head, err) }
+		return func() { a.handleHead(head, err) }
 	})
 }
 
-func (a *agent) tookHead(head rollout.Head, err error) {
+func (a *agent) handleHead(head rollout.Head, err error) {
 	if errorx.IsOfType(err, versionstore.ErrStoreRegressed) {
 		a.world.oracle.alarms++
 		head, found := versionstore.CurrentHead(err)
@@ -183,7 +183,7 @@
 		head, err := write(ctx)
 		return func() {
 			a.reader.deciding = false
-			a.tookHead(head, err)
+			a.handleHead(head, err)
 		}
 	})
 }
--- a/internal/sim/node_report.go
+++ b/internal/sim/node_report.go
@@ -83,13 +83,13 @@
 	for _, id := range sortedKeys(a.children) {
 		c := a.children[id]
 		record, _ := a.table.Get(id)
-		movedOn := record.Incarnation > c.incarnation || record.Attachment > c.attachment
-		silent := now-c.heardAt > watchHold+lostAfter
+		reattached := record.Incarnation > c.incarnation || record.Attachment > c.attachment
+		unresponsive := now-c.heardAt > watchHold+lostAfter
 		switch {
-		case movedOn:
+		case reattached:
 			delete(a.children, id)
 			a.changed()
-		case silent:
+		case unresponsive:
 			delete(a.children, id)
 			a.table.Merge(record.With(membership.StateLost))
 			a.changed()
--- a/internal/sim/node_watch.go
+++ b/internal/sim/node_watch.go
@@ -42,13 +42,13 @@
 }
 
 type watchRequest struct {
-	self       membership.Record
-	scope      snapshot.Scope
-	generation uint64
-	held       []heldVersion
-	wants      []rollout.Version
-	relay      uint64
-	cursor     uint64
+	self              membership.Record
+	scope             snapshot.Scope
+	generation        uint64
+	held              []heldVersion
+	requested         []rollout.Version
+	parentIncarnation uint64
+	cursor            uint64
 }
 
 // encodedDelta is a delta as it crosses the network.
@@ -68,13 +68,13 @@
 	reads       bool
 }
 
-// keepWatching takes a parent if there is none, and watches it.
-func (a *agent) keepWatching() {
+// maintainWatch takes a parent if there is none, and watches it.
+func (a *agent) maintainWatch() {
 	if a.upstream.parent != nil && !a.isParent(a.upstream.parent.id) {
 		a.upstream.drop()
 	}
 	if a.upstream.parent == nil {
-		a.takeParent()
+		a.chooseParent()
 	}
 	if a.upstream.parent != nil && !a.upstream.watching {
 		a.watch()
@@ -86,7 +86,7 @@
 	return slices.ContainsFunc(a.plan.Parents, func(peer topology.Peer) bool { return peer.ID == id })
 }
 
-func (a *agent) takeParent() {
+func (a *agent) chooseParent() {
 	if len(a.plan.Parents) == 0 {
 		return
 	}
@@ -102,8 +102,8 @@
 	state := a.participant.State()
 	request := watchRequest{
 		self: a.self, scope: a.scope(), generation: state.Head.Generation,
-		held: a.held(state), wants: a.missing(),
-		relay: a.upstream.parentIncarnation, cursor: a.upstream.cursor,
+		held: a.held(state), requested: a.missing(),
+		parentIncarnation: a.upstream.parentIncarnation, cursor: a.upstream.cursor,
 	}
 	generation := a.upstream.generation
 	a.upstream.watching = true
@@ -118,7 +118,7 @@
 				a.parentFailed(parent)
 				return
 			}
-			a.takeReply(parent, request, reply.(watchReply))
+			a.handleReply(parent, request, reply.(watchReply))
 		})
 }
 
@@ -140,7 +140,7 @@
 	}
 	a.upstream.drop()
 	a.replan()
-	a.keepWatching()
+	a.maintainWatch()
 }
 
 // checkUnreachable reports a former parent as lost that has not attached again.
@@ -160,8 +160,8 @@
 	}
 }
 
-// takeReply takes in what the parent answered and watches on.
-func (a *agent) takeReply(parent *node, request watchRequest, reply watchReply) {
+// handleReply takes in what the parent answered and watches on.
+func (a *agent) handleReply(parent *node, request watchRequest, reply watchReply) {
 	inLoop := slices.Contains(reply.path, a.node.id)
 	notReader := a.plan.MustBeReader(parent.id) && !reply.reads
 	if inLoop || notReader {
@@ -174,7 +174,7 @@
 	a.upstream.parentIncarnation, a.upstream.cursor = reply.incarnation, reply.cursor
 	generation := a.upstream.generation
 	a.learn(reply.members)
-	for _, version := range request.wants {
+	for _, version := range request.requested {
 		if !slices.ContainsFunc(reply.deltas, func(d encodedDelta) bool { return d.header.Target == version }) {
 			a.participant.FetchFailed(version)
 		}
@@ -183,7 +183,7 @@
 		a.observeHead(reply.head)
 	}
 	for _, delta := range reply.deltas {
-		a.takeDelta(delta, request.scope)
+		a.applyDelta(delta, request.scope)
 	}
 	if a.upstream.generation == generation && a.upstream.parent == parent {
 		a.process.after(inZoneDelay, "watch again", a.watchAgain)
@@ -196,7 +196,7 @@
 	}
 }
 
-func (a *agent) takeDelta(message encodedDelta, scope snapshot.Scope) {
+func (a *agent) applyDelta(message encodedDelta, scope snapshot.Scope) {
 	delta, err := snapshot.DecodeDelta(message.header, message.payload)
 	if err != nil {
 		a.world.oracle.violate(InvariantDelta, a.node.id, err.Error())
@@ -259,12 +259,12 @@
 	}
 }
 
-func (a *agent) answerParked(c *child, always bool) {
+func (a *agent) answerParked(c *child, evenWithoutUpdates bool) {
 	if c.parked == nil {
 		return
 	}
-	reply, news := a.replyTo(c.parked.request)
-	if !news && !always {
+	reply, hasUpdates := a.replyTo(c.parked.request)
+	if !hasUpdates && !evenWithoutUpdates {
 		return
 	}
 	answer := c.parked.answer
@@ -272,10 +272,10 @@
 	answer(reply)
 }
 
-func (a *agent) replyTo(request watchRequest) (reply watchReply, news bool) {
+func (a *agent) replyTo(request watchRequest) (reply watchReply, hasUpdates bool) {
 	state := a.participant.State()
 	cursor := request.cursor
-	if request.relay != a.node.incarnation {
+	if request.parentIncarnation != a.node.incarnation {
 		cursor = 0
 	}
 	reply = watchReply{
@@ -283,13 +283,13 @@
 		path: append([]string{a.node.id}, a.upstream.path...), reads: a.reader.holdsLease(),
 	}
 	reply.members, reply.cursor = a.table.Since(cursor)
-	for _, version := range request.wants {
+	for _, version := range request.requested {
 		if delta, found := a.deltaFor(request, version); found {
 			reply.deltas = append(reply.deltas, delta)
 		}
 	}
-	news = len(reply.members) > 0 || len(reply.deltas) > 0 || state.Head.Generation > request.generation
-	return reply, news
+	hasUpdates = len(reply.members) > 0 || len(reply.deltas) > 0 || state.Head.Generation > request.generation
+	return reply, hasUpdates
 }
 
 // deltaFor encodes the difference from what a child holds to a version.
@@ -300,11 +300,11 @@
 	}
 	base := snapshot.Empty()
 	for _, held := range request.held {
-		whole, known := a.history.Get(held.version)
+		complete, known := a.history.Get(held.version)
 		if !known {
 			continue
 		}
-		if restricted := whole.Restrict(request.scope); restricted.Digest() == held.digest {
+		if restricted := complete.Restrict(request.scope); restricted.Digest() == held.digest {
 			base = restricted
 		}
 	}
--- a/internal/sim/oracle.go
+++ b/internal/sim/oracle.go
@@ -110,8 +110,8 @@
 
 // storedHead reads the head past all faults.
 func (o *oracle) storedHead() rollout.Head {
-	o.world.faults.suspended = true
-	defer func() { o.world.faults.suspended = false }()
+	o.world.faults.bypassed = true
+	defer func() { o.world.faults.bypassed = false }()
 	record, _, err := o.world.memory.Get(context.Background(), "levertide/head", store.ReadOptions{})
 	var head rollout.Head
 	if err == nil {
@@ -192,7 +192,7 @@
 	o.world.log("%s puts version %d in force", a.node.id, s.Version())
 	o.checkOrder(a, s.Version())
 	o.checkClosed(a.node.id, s)
-	o.checkWhole(a, s)
+	o.checkComplete(a, s)
 	if validateOn(a.node.id, s) != nil {
 		o.violate(InvariantNotRefused, a.node.id, fmt.Sprint("runs version ", s.Version()))
 	}
@@ -227,8 +227,8 @@
 	o.restored, o.recoveredAt = false, o.world.scheduler.now
 	for _, n := range o.world.nodes {
 		before := o.ran[n.id]
-		runsIt := n.process.alive && before.incarnation == n.incarnation
-		if before.version > committed && !runsIt {
+		stillRuns := n.process.alive && before.incarnation == n.incarnation
+		if before.version > committed && !stillRuns {
 			o.forgotten++
 			o.ran[n.id] = ranVersion{version: committed}
 		}
@@ -252,8 +252,8 @@
 	}
 }
 
-// checkWhole compares a snapshot with the set that was committed under its number.
-func (o *oracle) checkWhole(a *agent, s *snapshot.Snapshot) {
+// checkComplete compares a snapshot with the set that was committed under its number.
+func (o *oracle) checkComplete(a *agent, s *snapshot.Snapshot) {
 	applies := o.committed[s.Version()]
 	if len(applies) == 0 {
 		o.violate(InvariantComplete, a.node.id, fmt.Sprintf("version %d was never committed", s.Version()))
--- a/internal/sim/settle.go
+++ b/internal/sim/settle.go
@@ -23,7 +23,7 @@
 // must be true then: the committed version is in force everywhere, nodes are
 // ready and agree on the members, and every request has ended.
 func (w *World) Settle() {
-	w.quiet = true
+	w.settling = true
 	w.endFaults()
 	w.RunFor(settleTime)
 	for range recoverAttempts {
@@ -42,7 +42,7 @@
 		w.oracle.violate(InvariantInForce, "store", fmt.Sprintf("a sound set was not committed within %v, head %s", convergenceTime, describe(w.oracle.head)))
 	}
 	w.checkSettled()
-	w.quiet = false
+	w.settling = false
 }
 
 func (w *World) endFaults() {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -14,7 +14,7 @@
 	Fatalf(format string, values ...any)
 }
 
-func requireSound(t reporter, w *sim.World) {
+func requireNoViolations(t reporter, w *sim.World) {
 	t.Helper()
 	for _, violation := range w.Violations() {
 		t.Fatalf("step %d: %s: %s: %s", violation.Step, violation.Invariant, violation.Subject, violation.Detail)
@@ -26,7 +26,7 @@
 	defer w.Close()
 	w.RunFor(60 * time.Second)
 	w.Settle()
-	requireSound(t, w)
+	requireNoViolations(t, w)
 	summary := w.Summary()
 	if summary.Committed == 0 || summary.Aborted == 0 || summary.Answered == 0 || summary.Unknown > 0 {
 		t.Fatalf("activity %+v", summary)
@@ -72,7 +72,7 @@
 		"leases lapsed": func(*rapid.T) { w.LapseLeases() },
 		"clock step":    func(t *rapid.T) { w.StepClock(w.Node(node(t))) },
 		"planned stop":  func(t *rapid.T) { w.Leave(w.Node(node(t))) },
-		"":              func(t *rapid.T) { requireSound(t, w) },
+		"":              func(t *rapid.T) { requireNoViolations(t, w) },
 	}
 }
 
@@ -83,7 +83,7 @@
 		w.RunFor(5 * time.Second)
 		t.Repeat(machine{w}.actions())
 		w.Settle()
-		requireSound(t, w)
+		requireNoViolations(t, w)
 	})
 }
 
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -84,8 +84,8 @@
 	applies applies
 	callers callers
 	steps   uint64
-	// quiet holds back faults, applies and calls while the world settles.
-	quiet bool
+	// settling holds back faults, applies and calls while the world settles.
+	settling bool
 }
 
 // epoch is the wall clock at the start of simulated time.
