--- a/internal/sim/applies.go
+++ b/internal/sim/applies.go
@@ -13,22 +13,22 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// Times between applies.
+// How often operators apply, and how many at once.
 const (
 	applyPeriod   = 4 * time.Second
 	maximumRacers = 3
 )
 
-// applies drives the operators.
+// applies simulates the operators, who apply file sets.
 type applies struct {
 	world     *World
 	number    int
 	processes []*process
 }
 
-// schedule plans the next race of one to three operators. While the store is
-// a restored one, of which the nodes raise an alarm, nobody applies but the
-// operator who recovers it.
+// schedule plans the next concurrent applies, of one to three operators. From a
+// restore of the store, about which the nodes raise an alarm, until its recovery
+// only the operator who recovers it applies.
 func (x *applies) schedule() {
 	delay := x.world.random.duration(2 * applyPeriod)
 	x.world.scheduler.after(delay, "operators", func() {
@@ -41,7 +41,7 @@
 	})
 }
 
-// underWay reports whether an operator's command runs.
+// underWay reports whether an operator's command is running.
 func (x *applies) underWay() bool {
 	x.processes = slices.DeleteFunc(x.processes, func(p *process) bool { return !p.alive })
 	return len(x.processes) > 0
@@ -53,8 +53,9 @@
 	}
 }
 
-// Apply has an operator apply a new file set on whatever is committed. known
-// is set to recover from a restored store.
+// Apply has an operator apply a new file set on top of the committed version.
+// known is nil except to recover from a restore of the store; it is then the
+// newest head that the nodes know of.
 func (w *World) Apply(known *rollout.Head) {
 	unsupported := w.random.percent(unsupportedPercent)
 	w.applySet(newFileSet(w.random, w.applies.number+1, unsupported), known)
@@ -102,8 +103,8 @@
 	p.end()
 }
 
-// certainlyNotWritten reports whether the operator was told that nothing was
-// written.
+// certainlyNotWritten reports whether the error tells the operator for certain
+// that nothing was written.
 func certainlyNotWritten(err error) bool {
 	return store.NotWritten(err) ||
 		errorx.IsOfType(err, versionstore.ErrConflict) ||
@@ -111,9 +112,9 @@
 		errorx.IsOfType(err, versionstore.ErrStoreRegressed)
 }
 
-// Recover brings a restored store past what the nodes know, as an operator does
-// after the alarm: with the newest head of a node for which the store has gone
-// back.
+// Recover applies a set that moves a restored store past every version that the
+// nodes know, as an operator does after the alarm. It starts from the newest head
+// of any node that has seen a newer one than the store now holds.
 func (w *World) Recover() {
 	w.faults.count("store recovered")
 	known := w.oracle.head
@@ -125,8 +126,8 @@
 	w.Apply(&known)
 }
 
-// raise returns the newer of a head and those that the node has seen, with the
-// highest numbers that the node knows of.
+// raise returns the newest of the given head and those that the node has seen,
+// with its version numbers raised to the highest that the node knows of.
 func (a *agent) raise(known rollout.Head) rollout.Head {
 	state := a.participant.State()
 	for _, seen := range []rollout.Head{state.Head, a.reader.versions.NewestHead()} {
--- a/internal/sim/broken_test.go
+++ b/internal/sim/broken_test.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// brokenVariant breaks one safeguard and says which invariant notices.
+// brokenVariant breaks one safeguard and names the invariant that must detect it.
 type brokenVariant struct {
 	name      string
 	seams     sim.Seams
@@ -28,7 +28,8 @@
 	}
 }
 
-// withoutCompare writes whatever is in the store.
+// withoutCompare drops the index checks of a transaction, so that it overwrites
+// whatever the store holds.
 func withoutCompare(_ string, operations []store.Operation) []store.Operation {
 	var written []store.Operation
 	for _, operation := range operations {
@@ -43,8 +44,8 @@
 	return written
 }
 
-// unfencedParticipant is a participant that believes every head, the latest to arrive
-// above all.
+// unfencedParticipant is a participant without the check of the generation: it
+// accepts every head, even one older than the head that it holds.
 type unfencedParticipant struct {
 	*rollout.Participant
 	options rollout.ParticipantOptions
@@ -54,7 +55,8 @@
 	return &unfencedParticipant{rollout.NewParticipant(options), options}
 }
 
-// ObserveHead starts over when the head is an older one.
+// ObserveHead accepts an older head by starting over as a new participant without
+// a floor.
 func (f *unfencedParticipant) ObserveHead(head rollout.Head) []rollout.Action {
 	state := f.State()
 	if state.FloorKnown && head.Generation < state.Head.Generation {
@@ -64,7 +66,7 @@
 	return f.Participant.ObserveHead(head)
 }
 
-// activatePartly puts the new version in force but leaves one resource of the old one.
+// activatePartly puts the new version in force but keeps one service of the old one.
 func activatePartly(inForce, next *snapshot.Snapshot) *snapshot.Snapshot {
 	if inForce == nil {
 		return next
@@ -100,7 +102,8 @@
 	return 0, false
 }
 
-// brokenSeeds is with how many seeds each broken variant must be caught.
+// brokenSeeds is the number of seeds, from 1 on, with each of which every broken
+// variant must be caught.
 const brokenSeeds = 12
 
 func TestBrokenVariantsAreCaught(t *testing.T) {
--- a/internal/sim/call_oracle.go
+++ b/internal/sim/call_oracle.go
@@ -9,7 +9,7 @@
 
 const leavingState = membership.StateLeaving
 
-// observeExecution is told that a worker begins to run a request.
+// observeExecution checks and records that a worker begins to run a request.
 func (o *oracle) observeExecution(r *request, s *serving) {
 	r.executions++
 	id := s.agent.node.id
@@ -24,7 +24,7 @@
 	}
 }
 
-// observeOutcome is told what a caller was told.
+// observeOutcome checks and records the outcome that a caller was given.
 func (o *oracle) observeOutcome(r *request, reported outcome.Outcome, body string) {
 	subject := fmt.Sprint("request ", r.id)
 	if r.ended {
@@ -47,9 +47,9 @@
 	}
 }
 
-// observeArrival is told that a request reached a worker's node. Once a node
-// has been leaving for some seconds, and nothing kept that news from the
-// sender, none should come.
+// observeArrival checks a request that has reached a worker's node. None should
+// come once the node has been leaving for longer than leavingGrace, unless a
+// recent fault may have kept the sender from learning of it.
 func (o *oracle) observeArrival(s *serving, entry *agent) {
 	now := o.world.scheduler.now
 	if !s.leaving || now-s.leavingSince <= leavingGrace || now-o.world.faults.lastInjectedAt < undisturbedBefore {
@@ -58,7 +58,8 @@
 	o.violate(InvariantLeaving, s.agent.node.id, "still sent requests by "+entry.node.id)
 }
 
-// observePlannedStop is told that a node's process ends as planned.
+// observePlannedStop checks that a planned stop of a node's process cuts off no
+// request.
 func (o *oracle) observePlannedStop(s *serving) {
 	if s.executing > 0 || s.forwarding > 0 {
 		o.violate(InvariantPlannedStop, s.agent.node.id, fmt.Sprintf("%d executing, %d forwarding", s.executing, s.forwarding))
--- a/internal/sim/calls.go
+++ b/internal/sim/calls.go
@@ -13,7 +13,9 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// Times and sizes of calls.
+// Times, sizes and chances of calls. undisturbedBefore is how long after a fault
+// nodes may still not have heard of a leaving node: as long as the longest cut and
+// pause together.
 const (
 	callPeriod           = 40 * time.Millisecond
 	callDeadline         = 2 * time.Second
@@ -27,7 +29,7 @@
 	undisturbedBefore    = longestCut + longestPause
 )
 
-// request is one call of a caller. The counts are kept by the oracle.
+// request is one call of a caller. The oracle maintains the counts and the outcome.
 type request struct {
 	id         int
 	repeatable bool
@@ -36,7 +38,7 @@
 	executions int
 	reported   outcome.Outcome
 	ended      bool
-	// entry is the process that the caller talks to.
+	// entry is the node process to which the caller sends the request.
 	entry *process
 }
 
@@ -44,7 +46,7 @@
 type callers struct {
 	world  *World
 	number int
-	// open holds the requests that have not ended.
+	// open holds the requests that have not ended, by number.
 	open map[int]*request
 }
 
@@ -60,7 +62,7 @@
 	})
 }
 
-// send hands a new request to some node that is ready.
+// send sends a new request to a random node, if that one is ready.
 func (c *callers) send() {
 	entry := pick(c.world.random, c.world.nodes)
 	if !entry.process.alive || entry.process.paused || !entry.agent.serves.ready() {
@@ -80,9 +82,9 @@
 	entry.agent.serves.forward(r)
 }
 
-// reply is what a worker's node answers.
+// reply is the answer of the node beside a worker.
 type reply struct {
-	// reason says why there is no answer; empty when there is one.
+	// reason is why the worker gave no answer; empty when it gave one.
 	reason   outcome.Reason
 	body     string
 	draining bool
@@ -91,15 +93,15 @@
 
 func bodyOf(id int) string { return fmt.Sprint("answer to ", id) }
 
-// serving is a node's part in calls: as the caller's node, and as the node
-// beside a worker.
+// serving is the call-forwarding state of a node, both as the node that a caller
+// sends to and as the node beside a worker.
 type serving struct {
 	agent     *agent
 	inForce   *snapshot.Snapshot
 	gate      *admission.Gate
 	balancers map[string]*balance.Balancer
 	budgets   map[string]*retry.Budget
-	// forwarding and executing count what a planned stop must wait for.
+	// forwarding and executing count the requests that a planned stop must wait for.
 	forwarding, executing int
 	leaving               bool
 	leavingSince          time.Duration
@@ -120,7 +122,7 @@
 	return s.inForce != nil && !s.leaving && s.agent.participant.State().Ready
 }
 
-// someService draws the service of one of the routes in force.
+// someService returns the service of a random route in force.
 func (s *serving) someService() (string, bool) {
 	var services []string
 	for _, route := range s.inForce.Routes() {
@@ -144,7 +146,7 @@
 	return s.balancers[service]
 }
 
-// updateEndpoints tells the balancers of the members known now.
+// updateEndpoints updates all balancers to the members that are known now.
 func (s *serving) updateEndpoints() {
 	for _, service := range sortedKeys(s.balancers) {
 		s.updateEndpointsOf(service)
@@ -190,7 +192,7 @@
 	})
 }
 
-// refusalOf returns the reason of a request that the gate refused.
+// refusalOf returns the outcome reason for an error of the gate.
 func refusalOf(err error) outcome.Reason {
 	if admission.ReasonOf(err) == admission.ReasonDraining {
 		return outcome.Draining
@@ -198,8 +200,8 @@
 	return outcome.Overloaded
 }
 
-// Leave has a node leave as planned: it is announced, takes nothing new, and
-// its process ends once nothing is in flight.
+// Leave stops a node as planned: the node announces that it is leaving, accepts no
+// new requests, and its process ends once none is in flight.
 func (w *World) Leave(n *node) {
 	if !n.process.alive || n.process.paused || n.agent.serves.leaving {
 		return
--- a/internal/sim/content.go
+++ b/internal/sim/content.go
@@ -9,17 +9,18 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// Sizes of the file sets that operators apply.
+// Contents of the file sets that operators apply.
 const (
 	serviceCount = 4
 	secretCount  = 3
 	routeCount   = 6
-	// unsupportedPercent of the sets are refused by some nodes.
+	// unsupportedPercent is the share of sets that some nodes reject.
 	unsupportedPercent = 15
-	// unsupportedMark ends the number of slots of such a set's services.
+	// unsupportedMark is the number of slots, modulo markModulo, of the services of
+	// such a set.
 	unsupportedMark = 13
 	markModulo      = 100
-	// rejectOneOf is one out of how many nodes refuses a poisoned set.
+	// rejectOneOf is how many nodes there are for each one that rejects such sets.
 	rejectOneOf = 3
 )
 
@@ -33,8 +34,8 @@
 	unsupported bool
 }
 
-// newFileSet makes a set that differs from all others. Some nodes refuse a
-// poisoned one.
+// newFileSet returns a set that differs from those of all other numbers. Some
+// nodes reject an unsupported one.
 func newFileSet(r random, number int, unsupported bool) fileSet {
 	set := fileSet{digests: make(map[model.Key]model.Digest), unsupported: unsupported}
 	mark := number * markModulo
@@ -82,17 +83,17 @@
 	}
 }
 
-// errUnsupported is why a picky node refuses a set.
+// errUnsupported is the error with which a node rejects an unsupported set.
 var errUnsupported = errors.New("the number of slots is not supported here")
 
-// rejectsUnsupported reports whether a node refuses poisoned sets.
+// rejectsUnsupported reports whether a node rejects unsupported sets.
 func rejectsUnsupported(id string) bool {
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(id))
 	return digest.Sum32()%rejectOneOf == 0
 }
 
-// validateOn is the node's own check of a snapshot.
+// validateOn is the validation of a snapshot by the given node.
 func validateOn(id string, s *snapshot.Snapshot) error {
 	if !rejectsUnsupported(id) {
 		return nil
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -7,7 +7,8 @@
 	"github.com/levertide/levertide/pkg/store/memory"
 )
 
-// Times and chances of faults.
+// Times and chances of faults. Each node crashes in CrashMany with the chance one
+// in crashOneOf.
 const (
 	faultPeriod           = 700 * time.Millisecond
 	longestRestart        = 3 * time.Second
@@ -28,15 +29,15 @@
 	refusePerMille        = 10
 )
 
-// faults injects what may go wrong, and counts it.
+// faults injects faults and counts them by kind.
 type faults struct {
 	world       *World
 	counts      map[string]int
 	outageUntil time.Duration
 	slowUntil   time.Duration
-	// bypassed lets the oracle read the store past all faults.
+	// bypassed exempts the oracle's own reads of the store from all faults.
 	bypassed bool
-	// lastInjectedAt is when the last fault was injected.
+	// lastInjectedAt is when the last scheduled fault was injected.
 	lastInjectedAt time.Duration
 	backup         *memory.State
 }
@@ -48,7 +49,7 @@
 	f.world.log("fault: %s", kind)
 }
 
-// weightedFault is one kind of fault and how often it is drawn.
+// weightedFault is one kind of fault and its weight in the random choice.
 type weightedFault struct {
 	weight int
 	inject func()
@@ -104,14 +105,14 @@
 	}
 }
 
-// takeBackup copies the store now and then, as its platform would.
+// takeBackup copies the store from time to time, as the platform that runs it would.
 func (f *faults) takeBackup() {
 	state := f.world.memory.State()
 	f.backup = &state
 	f.world.scheduler.after(backupPeriod+f.world.random.duration(backupPeriod), "backup", f.takeBackup)
 }
 
-// intercept answers the store's question about the fault of a request.
+// intercept returns the fault of the request that the store is about to carry out.
 func (w *World) intercept(memory.Request) memory.Fault {
 	if w.faults.bypassed || w.running == nil {
 		return memory.FaultNone
@@ -119,7 +120,7 @@
 	return w.running.fault
 }
 
-// losesMessage draws whether a message is lost; none is while the world is quiet.
+// losesMessage draws whether a message is lost; none is while the world settles.
 func (w *World) losesMessage(chance int) bool {
 	if w.settling || w.options.Calm || !w.random.perMille(chance) {
 		return false
@@ -128,7 +129,7 @@
 	return true
 }
 
-// chooseFault decides what becomes of a request to the store.
+// chooseFault draws the fault of a request to the store.
 func (w *World) chooseFault(request memory.Request) memory.Fault {
 	if w.scheduler.now < w.faults.outageUntil {
 		w.faults.count("request during outage")
@@ -159,7 +160,7 @@
 	return memory.FaultNone
 }
 
-// deliverLater plans the moment at which a held-back write takes effect.
+// deliverLater schedules the moment at which a held-back write takes effect.
 func (w *World) deliverLater(_ memory.Request, fault memory.Fault) {
 	if fault != memory.FaultHoldBack {
 		return
@@ -179,7 +180,7 @@
 	return requestDelay + w.random.duration(requestDelay)
 }
 
-// Crash ends a node's process and starts another one later.
+// Crash ends a node's process at once and starts a new one later.
 func (w *World) Crash(n *node) {
 	if !n.process.alive {
 		return
@@ -189,10 +190,10 @@
 	w.scheduler.after(w.random.duration(longestRestart), "restart "+n.id, func() { w.start(n) })
 }
 
-// endNode stops a node's process at once. The worker beside it goes on.
+// endNode stops a node's process at once. The worker beside it keeps running.
 func (w *World) endNode(n *node) { n.process.end() }
 
-// CrashMany ends many processes at once.
+// CrashMany crashes many nodes at once.
 func (w *World) CrashMany() {
 	w.faults.count("herd of crashes")
 	for _, n := range w.nodes {
@@ -202,7 +203,7 @@
 	}
 }
 
-// Pause stops a node's process for a time; it goes on with its old state.
+// Pause suspends a node's process for a time; it then continues with its old state.
 func (w *World) Pause(n *node) {
 	if !n.process.alive || n.process.paused {
 		return
@@ -217,9 +218,8 @@
 	w.scheduler.after(length, "resume "+n.id, paused.resume)
 }
 
-// PauseRelay pauses a node that has children. When it resumes, with what it
-// knew before, its zone is cut off, and its children have just been started
-// again.
+// PauseRelay pauses a node that has children. When it resumes, still with its old
+// state, its zone is cut off from all others and its children have just crashed.
 func (w *World) PauseRelay() {
 	relays := slices.DeleteFunc(w.liveNodes(), func(n *node) bool { return len(n.agent.children) == 0 })
 	if len(relays) == 0 {
@@ -238,7 +238,7 @@
 	})
 }
 
-// PauseCoordinator pauses a node that believes to coordinate.
+// PauseCoordinator pauses a node that takes itself for the coordinator.
 func (w *World) PauseCoordinator() {
 	for _, n := range w.liveNodes() {
 		if n.agent.coordinates() {
@@ -249,7 +249,8 @@
 	}
 }
 
-// Cut stops all messages from one zone to another, and back unless oneWay.
+// Cut drops all messages from one zone to another, and those in the other direction
+// unless oneWay.
 func (w *World) Cut(oneWay bool) {
 	from, to := pick(w.random, w.zones), pick(w.random, w.zones)
 	if from == to {
@@ -276,7 +277,7 @@
 	w.cut(links)
 }
 
-// cut cuts links for a time.
+// cut cuts links for a random time.
 func (w *World) cut(links []link) {
 	for _, l := range links {
 		w.network.cut[l] = true
@@ -294,7 +295,7 @@
 	w.faults.outageUntil = w.scheduler.now + w.random.duration(longestOutage)
 }
 
-// StoreSlow makes requests to the store take long for a time.
+// StoreSlow delays all requests to the store for a time.
 func (w *World) StoreSlow() {
 	w.faults.count("store slow")
 	w.faults.slowUntil = w.scheduler.now + w.random.duration(longestSlowness)
@@ -306,14 +307,14 @@
 	w.memory.LapseSessions()
 }
 
-// StepClock sets a node's clock wrong.
+// StepClock sets a node's clock off by up to largestClockStep in either direction.
 func (w *World) StepClock(n *node) {
 	w.faults.count("clock step")
 	n.clockStep = w.random.duration(2*largestClockStep) - largestClockStep
 }
 
-// RestoreStore puts an older copy in place of the store's content. An operator
-// recovers it later.
+// RestoreStore replaces the store's content by an older copy. An operator recovers
+// the store later.
 func (w *World) RestoreStore() {
 	if w.faults.backup == nil || w.faults.backup.Index == 0 || w.oracle.restored || w.applies.underWay() {
 		return
@@ -328,7 +329,7 @@
 		w.oracle.restored = true
 		w.oracle.restores++
 	}
-	w.log("restored: from %s to %s", describe(before), describe(w.oracle.head))
+	w.log("store restored: head from %s to %s", describe(before), describe(w.oracle.head))
 	w.recoverLater()
 }
 
--- a/internal/sim/forward.go
+++ b/internal/sim/forward.go
@@ -6,7 +6,7 @@
 	"github.com/levertide/levertide/pkg/retry"
 )
 
-// forward carries a request to a worker.
+// forward begins to forward a request to a worker.
 func (s *serving) forward(r *request) {
 	s.forwarding++
 	balancer := s.balancer(r.service)
@@ -21,7 +21,7 @@
 	})
 }
 
-// forwardedRequest is a request on its way, through all its attempts.
+// forwardedRequest is a request that is being forwarded, across all its attempts.
 type forwardedRequest struct {
 	*request
 	balancer *balance.Balancer
@@ -65,8 +65,8 @@
 	return balance.Shed
 }
 
-// handleAttempt ends a request that was answered, and makes a further attempt at
-// one that was not if it may.
+// handleAttempt ends a request that was answered, and makes another attempt
+// at one that was not if the retry rules allow it.
 func (s *serving) handleAttempt(f *forwardedRequest, result reply) {
 	if result.reason == "" {
 		s.finish(f.request, outcome.Answered, result.body)
@@ -92,8 +92,8 @@
 	})
 }
 
-// giveUp tells the caller why there is no answer. Without an attempt there was
-// no worker.
+// giveUp ends a request without an answer. If no attempt was made, there was no
+// worker to pick and the request has certainly not run.
 func (s *serving) giveUp(f *forwardedRequest) {
 	result := outcome.NotRun
 	if failure := f.attempts.Failure(); failure != nil {
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -7,13 +7,13 @@
 
 // Errors of a simulated call.
 var (
-	// errNotConnected tells that the request certainly did not arrive.
+	// errNotConnected is returned when the request has certainly not arrived.
 	errNotConnected = errors.New("no connection")
-	// errNoAnswer tells that the request may have arrived.
+	// errNoAnswer is returned when the request may have arrived.
 	errNoAnswer = errors.New("no answer")
 )
 
-// Bounds of the time that a message takes.
+// Delays of messages, and the chances that one is slow or lost.
 const (
 	inZoneDelay         = 500 * time.Microsecond
 	betweenZonesDelay   = 3 * time.Millisecond
@@ -24,7 +24,7 @@
 	answerLossPerMille  = 3
 )
 
-// link is a direction between two zones.
+// link is one direction of the connection between two zones.
 type link struct{ from, to string }
 
 // network carries messages between nodes, unless a link is cut.
@@ -48,7 +48,7 @@
 	return !n.cut[link{from.zone, to.zone}]
 }
 
-// exchange is one call from a node to another.
+// exchange is one call from one node to another.
 type exchange struct {
 	from, to    *node
 	fromProcess *process
@@ -60,7 +60,7 @@
 }
 
 // call sends a request. serve runs at the receiver, which answers at once or
-// later; done runs at the sender exactly once, unless its process ends.
+// later; done runs at the sender exactly once, or never if its process ends first.
 func (n *network) call(from, to *node, name string, timeout time.Duration,
 	serve func(answer func(reply any)), done func(reply any, err error)) {
 	e := &exchange{
@@ -87,8 +87,8 @@
 	})
 }
 
-// breakConnections tells the senders of what an ended process was serving that
-// no answer will come.
+// breakConnections ends the calls that a process was serving when it ended: their
+// senders learn that no answer will come, unless a cut hides it from them.
 func (n *network) breakConnections(server *process) {
 	for _, e := range server.serving {
 		if n.passes(e.to, e.from) {
@@ -98,7 +98,7 @@
 	server.serving = nil
 }
 
-// answer carries the reply back if the way back is open.
+// answer sends the reply back, unless the server has ended or the link back is cut.
 func (n *network) answer(e *exchange, server *process, reply any) {
 	server.forget(e)
 	if !server.alive || !n.passes(e.to, e.from) {
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// Times of the simulated node.
+// Times and sizes of the simulated node.
 const (
 	tickPeriod      = 200 * time.Millisecond
 	watchHold       = time.Second
@@ -23,18 +23,18 @@
 	historyCapacity = 4
 )
 
-// node is a machine: it outlives the processes that run on it.
+// node is a machine, which outlasts the processes that run on it.
 type node struct {
 	id, region, zone, service string
 	incarnation               uint64
-	// clockStep is how far the machine's clock is off.
+	// clockStep is the error of the machine's clock.
 	clockStep time.Duration
 	process   *process
 	agent     *agent
 }
 
-// Participant is the part of rollout.Participant that a node uses, so that a
-// test can put a broken one in its place.
+// Participant is the part of rollout.Participant that a node uses. It is an
+// interface so that a test can substitute a broken participant.
 type Participant interface {
 	LearnFloor(version rollout.Version) []rollout.Action
 	ObserveHead(head rollout.Head) []rollout.Action
@@ -43,7 +43,7 @@
 	State() rollout.ParticipantState
 }
 
-// agent is the volatile state of one process of a node.
+// agent is the state of one process of a node, which is lost when it ends.
 type agent struct {
 	world   *World
 	node    *node
@@ -53,21 +53,21 @@
 	table       *membership.Table
 	purgeBefore uint64
 	participant Participant
-	// history holds whole snapshots only.
+	// history holds complete snapshots only.
 	history *snapshot.History
 	wanted  map[rollout.Version]bool
 
 	plan     topology.Assignment
 	suspects map[string]time.Duration
 	joinedAt time.Duration
-	// unreachable holds since when a former parent has not been heard of.
+	// unreachable holds former parents that did not answer, by ID.
 	unreachable map[string]unreachableNode
 
 	upstream upstream
 	children map[string]*child
 
 	floor floorSearch
-	// reported is the highest that any child has ever reported.
+	// reported holds the highest versions that any child has ever reported.
 	reported reportedVersions
 	reader   reader
 	serves   serving
@@ -121,10 +121,10 @@
 	return rollout.NewParticipant(options)
 }
 
-// now is the time by the machine's own clock, which can be wrong.
+// now is the time of the machine's own clock, which can be wrong.
 func (a *agent) now() time.Time { return a.world.wallClock().Add(a.node.clockStep) }
 
-// tick does what is due.
+// tick runs the node's periodic tasks.
 func (a *agent) tick() {
 	a.replan()
 	a.join()
@@ -139,14 +139,15 @@
 	a.process.after(tickPeriod+a.world.random.duration(tickPeriod/4), "tick", a.tick)
 }
 
-// purge forgets tombstones that are older than a period.
+// purge removes the records of lost members that are older than one purgePeriod.
 func (a *agent) purge() {
 	a.table.PurgeLost(a.purgeBefore)
 	a.purgeBefore = a.table.Sequence()
 	a.process.after(purgePeriod, "purge", a.purge)
 }
 
-// learn takes in member records, among them what others hold of this node.
+// learn merges member records. Where they hold a wrong record of this node, it
+// announces one that refutes it.
 func (a *agent) learn(records []membership.Record) {
 	updated := false
 	for _, record := range records {
@@ -172,9 +173,10 @@
 	a.changed()
 }
 
-// join has a node that has no parent ask some other machine for members, and
-// tell it what it holds of it. So parts of the system that do not know, or
-// have given up, each other come together again.
+// join has a node without a parent exchange member records with a random machine:
+// it sends its own record and the one that it holds of that machine, and requests
+// all others. In this way parts of the system that do not know each other, or have
+// recorded each other as lost, merge again.
 func (a *agent) join() {
 	now := a.world.scheduler.now
 	if a.upstream.parent != nil || now-a.joinedAt < joinPeriod {
@@ -202,7 +204,8 @@
 		})
 }
 
-// replan works out the node's place from the members that are not suspected.
+// replan computes the node's place in the topology from the members that are not
+// suspects.
 func (a *agent) replan() {
 	now := a.world.scheduler.now
 	for id, until := range a.suspects {
@@ -223,7 +226,7 @@
 	return topology.Peer{ID: record.ID, Region: record.Region, Zone: record.Zone, ControlAddress: record.ControlAddress, Reader: record.Reader}
 }
 
-// act carries out what the participant asks for.
+// act carries out the actions that the participant has requested.
 func (a *agent) act(actions []rollout.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -248,13 +251,14 @@
 	a.world.oracle.observeActivation(a, next)
 }
 
-// changed marks that there is news for the parent and the children.
+// changed marks that there are updates for the parent, and sends them to the
+// children that watch.
 func (a *agent) changed() {
 	a.upstream.dirty = true
 	a.wakeChildren()
 }
 
-// scope is what the node holds of a version.
+// scope is the part of a version that the node holds.
 func (a *agent) scope() snapshot.Scope {
 	if a.plan.FullScope || a.reader.holdsLease() || a.node.service == "" {
 		return snapshot.Scope{All: true}
@@ -262,8 +266,8 @@
 	return snapshot.Scope{Service: a.node.service}
 }
 
-// missing lists the versions to be fetched: those that the participant wants,
-// and those that a relay needs for its children.
+// missing lists the versions to be fetched: those that the participant has
+// requested, and those that a relay needs for its children.
 func (a *agent) missing() []rollout.Version {
 	var versions []rollout.Version
 	head := a.participant.State().Head
@@ -279,7 +283,8 @@
 	return versions
 }
 
-// receive takes in a whole snapshot of the node's scope.
+// receive accepts a snapshot that covers the node's scope. complete reports that
+// it holds all resources of the version.
 func (a *agent) receive(received *snapshot.Snapshot, complete bool) {
 	delete(a.wanted, received.Version())
 	if complete {
@@ -289,7 +294,8 @@
 	a.wakeChildren()
 }
 
-// observeHead takes in a head from the store or from a parent.
+// observeHead processes a head from the store or from a parent, and no longer wants
+// versions that the head does not name.
 func (a *agent) observeHead(head rollout.Head) {
 	a.act(a.participant.ObserveHead(head))
 	accepted := a.participant.State().Head
@@ -300,7 +306,7 @@
 	}
 }
 
-// reader is a node's use of the store.
+// reader is the state of a node as a reader of the store.
 type reader struct {
 	versions    *versionstore.VersionStore
 	session     string
@@ -313,5 +319,5 @@
 	coordinator *rollout.Coordinator
 }
 
-// holdsLease reports whether the node believes to hold a lease.
+// holdsLease reports whether the node takes itself to hold a reader's lease.
 func (r *reader) holdsLease() bool { return r.slot != "" }
--- a/internal/sim/node_floor.go
+++ b/internal/sim/node_floor.go
@@ -9,13 +9,15 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Times of the search for the floor.
+// Times of the search for the floor: a round is repeated after floorRound, and the
+// decision waits at most floorWaitLimit for answers.
 const (
 	floorRound     = 2 * time.Second
 	floorWaitLimit = 600 * time.Millisecond
 )
 
-// floorSearch is a started node's search for the lowest version it may run.
+// floorSearch is the search of a node that has just started for the lowest version
+// that it may run.
 type floorSearch struct {
 	round     uint64
 	since     time.Duration
@@ -25,7 +27,7 @@
 	running   bool
 }
 
-// searchFloor asks the store and other nodes until the floor is known.
+// searchFloor queries the store and other nodes until the floor is known.
 func (a *agent) searchFloor() {
 	if a.participant.State().FloorKnown {
 		return
@@ -65,8 +67,8 @@
 	}
 }
 
-// countOtherMembers counts the other members of a node's zone, and the other zones, that
-// this node knows of, lost members included.
+// countOtherMembers counts the members of the requester's zone without itself, and
+// the other zones, as far as this node knows of them, lost members included.
 func (a *agent) countOtherMembers(requester *node) (members, zones int) {
 	seen := make(map[string]bool)
 	for record := range a.table.View().All() {
@@ -80,8 +82,8 @@
 	return members, len(seen)
 }
 
-// relaysElsewhere lists one node of each other zone: its relay, or any if all
-// of its members are taken to be lost.
+// relaysElsewhere lists one node of each other zone: its relay, or any of its
+// members if all of them are recorded as lost.
 func (a *agent) relaysElsewhere() []topology.Peer {
 	var relays []topology.Peer
 	for _, zone := range a.world.zones {
@@ -105,7 +107,7 @@
 	return relays
 }
 
-// requestFloor asks a node for what it knows itself.
+// requestFloor requests the answer of another node.
 func (a *agent) requestFloor(peer *node, take func(rollout.FloorAnswer)) {
 	a.floor.requested++
 	a.world.network.call(a.node, peer, "floor", callTimeout,
@@ -121,8 +123,8 @@
 		})
 }
 
-// ownFloor is what this node knows without the store, and of the zone of the
-// node that asks.
+// ownFloor is what this node knows about the floor without reading the store, with
+// its counts of members for the zone of the requester.
 func (a *agent) ownFloor(requester *node) rollout.FloorAnswer {
 	state := a.participant.State()
 	below := a.readiness()
@@ -138,10 +140,12 @@
 	return answer
 }
 
-// maximumForwards bounds how often the question is passed up the tree.
+// maximumForwards bounds how often a request to confirm the floor is forwarded up
+// the tree.
 const maximumForwards = 8
 
-// confirmFloor has the store read after this moment, here or by a node above.
+// confirmFloor reads the committed version from the store, here if this node holds
+// a lease, or else at a node further up the tree. The read begins after the call.
 func (a *agent) confirmFloor(forwards int, take func(rollout.FloorAnswer)) {
 	switch {
 	case a.reader.holdsLease():
@@ -176,7 +180,7 @@
 	if !decision.Decided {
 		return
 	}
-	a.world.log("%s has answers %+v to %+v", a.node.id, a.floor.answers, a.floor.quorum)
+	a.world.log("%s decides its floor by answers %+v and quorum %+v", a.node.id, a.floor.answers, a.floor.quorum)
 	a.world.oracle.observeFloor(a, decision.Floor)
 	a.act(a.participant.LearnFloor(decision.Floor))
 }
--- a/internal/sim/node_reader.go
+++ b/internal/sim/node_reader.go
@@ -19,7 +19,8 @@
 	acquirePeriod = 2 * time.Second
 )
 
-// maintainLease does what the node's part in reading the store asks for.
+// maintainLease acquires, renews or releases the reader's lease as the plan
+// demands, and reads the head while the lease is held.
 func (a *agent) maintainLease() {
 	now := a.world.scheduler.now
 	r := &a.reader
@@ -105,7 +106,7 @@
 	a.replan()
 }
 
-// readHead reads the head and then what is missing.
+// readHead reads the head and then loads the missing versions.
 func (a *agent) readHead() {
 	a.reader.readAt = a.world.scheduler.now
 	a.process.store.run("head", func(ctx context.Context) func() {
@@ -134,7 +135,7 @@
 	a.coordinate()
 }
 
-// load fetches a whole version from the store.
+// load fetches a complete version from the store.
 func (a *agent) load(version rollout.Version) {
 	if a.reader.loading[version] {
 		return
@@ -154,10 +155,11 @@
 	})
 }
 
-// coordinates reports whether no earlier reader can be reached.
+// coordinates reports whether this node coordinates rollouts: it is a reader, and
+// the plan gives it no parent, as no reader that precedes it can be reached.
 func (a *agent) coordinates() bool { return a.reader.holdsLease() && len(a.plan.Parents) == 0 }
 
-// coordinate decides about the proposed version.
+// coordinate commits or aborts the proposed version when a decision is due.
 func (a *agent) coordinate() {
 	if !a.coordinates() || a.reader.deciding {
 		return
--- a/internal/sim/node_report.go
+++ b/internal/sim/node_report.go
@@ -14,10 +14,10 @@
 	members     []membership.Record
 }
 
-// reportedVersions are the highest versions that were heard of from below.
+// reportedVersions are the highest versions that children have reported.
 type reportedVersions struct{ committed, proposed rollout.Version }
 
-// readiness sums up the node and its children.
+// readiness merges the readiness of the node and of its children.
 func (a *agent) readiness() rollout.Readiness {
 	state := a.participant.State()
 	var sum rollout.Readiness
@@ -30,7 +30,8 @@
 	return sum
 }
 
-// report hands the summary to the parent if something has changed.
+// report sends the merged readiness and changed member records to the parent if
+// something has changed.
 func (a *agent) report() {
 	parent := a.upstream.parent
 	if parent == nil || !a.upstream.dirty {
@@ -58,7 +59,8 @@
 		})
 }
 
-// serveReport tells whether the child is known under its attachment.
+// serveReport processes the report of a child. It returns whether the child is
+// attached here under the attachment number of the request.
 func (a *agent) serveReport(request reportRequest) (attached bool) {
 	a.learn(request.members)
 	known := a.children[request.node]
@@ -76,8 +78,8 @@
 	return true
 }
 
-// checkChildren answers watches that were held long enough, and drops children
-// that went elsewhere or are not heard of any more.
+// checkChildren answers watches that were held for watchHold, and removes children
+// that have attached elsewhere or do not report any more.
 func (a *agent) checkChildren() {
 	now := a.world.scheduler.now
 	for _, id := range sortedKeys(a.children) {
--- a/internal/sim/node_watch.go
+++ b/internal/sim/node_watch.go
@@ -14,14 +14,14 @@
 // upstream is a node's relation to its parent.
 type upstream struct {
 	parent *node
-	// parentIncarnation and cursor name a place in the parent's table.
+	// parentIncarnation and cursor name a position in the parent's table.
 	parentIncarnation uint64
 	cursor            uint64
-	// attached is the attachment number under which the parent was taken.
+	// attached is the attachment number under which the node attached to the parent.
 	attached uint64
 	path     []string
 	watching bool
-	// generation tells the answers of this parent from those of a former one.
+	// generation distinguishes the answers of this parent from those of a previous one.
 	generation     uint64
 	reportSequence uint64
 	reported       uint64
@@ -51,7 +51,7 @@
 	cursor            uint64
 }
 
-// encodedDelta is a delta as it crosses the network.
+// encodedDelta is a delta as it is sent over the network.
 type encodedDelta struct {
 	header  snapshot.Delta
 	payload []byte
@@ -68,7 +68,7 @@
 	reads       bool
 }
 
-// maintainWatch takes a parent if there is none, and watches it.
+// maintainWatch chooses a parent if there is none, and watches it.
 func (a *agent) maintainWatch() {
 	if a.upstream.parent != nil && !a.isParent(a.upstream.parent.id) {
 		a.upstream.drop()
@@ -81,7 +81,7 @@
 	}
 }
 
-// isParent reports whether the plan still lists a node near its top.
+// isParent reports whether the plan still lists a node as a possible parent.
 func (a *agent) isParent(id string) bool {
 	return slices.ContainsFunc(a.plan.Parents, func(peer topology.Peer) bool { return peer.ID == id })
 }
@@ -143,7 +143,8 @@
 	a.maintainWatch()
 }
 
-// checkUnreachable reports a former parent as lost that has not attached again.
+// checkUnreachable records a former parent as lost that has not attached again
+// within suspectFor.
 func (a *agent) checkUnreachable() {
 	for _, id := range sortedKeys(a.unreachable) {
 		missing := a.unreachable[id]
@@ -160,7 +161,9 @@
 	}
 }
 
-// handleReply takes in what the parent answered and watches on.
+// handleReply processes an answer of the parent and watches again. It leaves the
+// parent when the path shows a loop through this node, or when the parent must be a
+// reader and is none.
 func (a *agent) handleReply(parent *node, request watchRequest, reply watchReply) {
 	inLoop := slices.Contains(reply.path, a.node.id)
 	notReader := a.plan.MustBeReader(parent.id) && !reply.reads
@@ -210,7 +213,8 @@
 	a.receive(received, scope.All)
 }
 
-// base returns the snapshot that a delta starts from, if it is still held.
+// base returns the snapshot that a delta starts from if it is still held, and the
+// empty snapshot otherwise.
 func (a *agent) base(delta snapshot.Delta) *snapshot.Snapshot {
 	state := a.participant.State()
 	for _, s := range []*snapshot.Snapshot{state.InForce, state.Staged} {
@@ -221,14 +225,14 @@
 	return snapshot.Empty()
 }
 
-// child is a node that has this one as parent.
+// child is a node that has attached to this one.
 type child struct {
 	incarnation    uint64
 	attachment     uint64
 	heardAt        time.Duration
 	reportSequence uint64
 	readiness      rollout.Readiness
-	// parked is a watch that waits for news; nil when there is none.
+	// parked is a watch that waits for updates; nil when there is none.
 	parked *parkedWatch
 }
 
@@ -238,7 +242,8 @@
 	until   time.Duration
 }
 
-// serveWatch answers a child at once if there is news, or later.
+// serveWatch answers the watch of a child at once if there are updates, and
+// otherwise parks it until there are, for at most watchHold.
 func (a *agent) serveWatch(request watchRequest, answer func(any)) {
 	a.learn([]membership.Record{request.self})
 	known := a.children[request.self.ID]
@@ -252,7 +257,7 @@
 	a.answerParked(known, false)
 }
 
-// wakeChildren answers the watches for which there is news now.
+// wakeChildren answers the parked watches for which there are updates now.
 func (a *agent) wakeChildren() {
 	for _, id := range sortedKeys(a.children) {
 		a.answerParked(a.children[id], false)
@@ -292,7 +297,8 @@
 	return reply, hasUpdates
 }
 
-// deltaFor encodes the difference from what a child holds to a version.
+// deltaFor encodes the difference between a snapshot that a child holds and the
+// given version.
 func (a *agent) deltaFor(request watchRequest, version rollout.Version) (encodedDelta, bool) {
 	target, found := a.history.Get(version)
 	if !found {
--- a/internal/sim/operation.go
+++ b/internal/sim/operation.go
@@ -8,7 +8,8 @@
 	"github.com/levertide/levertide/pkg/store/memory"
 )
 
-// operationStopped ends the coroutine of an operation whose process has ended.
+// operationStopped is the panic value that ends the coroutine of an operation whose
+// process has ended.
 type operationStopped struct{}
 
 // operation is one use of the version store by one process. It runs in a
@@ -25,22 +26,23 @@
 	stop   func()
 	yield  func(memory.Request) bool
 	finish func()
-	// fault is what becomes of the request that is carried out now.
+	// fault is the fault of the request that is being carried out.
 	fault    memory.Fault
 	requests int
-	// settling is set while the last write was refused, when only reads follow.
+	// settling is set when the last write met a conflict, after which only reads follow.
 	settling bool
 }
 
-// Bounds of an operation.
+// Delays of requests to the store, and how many an operation may make before it is
+// cancelled.
 const (
 	requestDelay         = 2 * time.Millisecond
 	slowRequestDelay     = time.Second
 	requestsBeforeGiveUp = 24
 )
 
-// storeClient is the one connection of a process to the store. Its operations
-// run one after the other.
+// storeClient is a process's only connection to the store. Its operations run one
+// after the other.
 type storeClient struct {
 	process *process
 	current *operation
@@ -49,14 +51,14 @@
 
 func newStoreClient(p *process) *storeClient { return &storeClient{process: p} }
 
-// run queues an operation. body runs in a coroutine, and what it returns runs
-// in the process once the operation has ended.
+// run queues an operation. body runs in a coroutine, and the function that it
+// returns runs in the process once the operation has ended.
 func (c *storeClient) run(name string, body func(ctx context.Context) (finish func())) {
 	c.queue = append(c.queue, &operation{name: name, client: c, body: body})
 	c.startNext()
 }
 
-// busy reports whether an operation is under way.
+// busy reports whether an operation is running.
 func (c *storeClient) busy() bool { return c.current != nil }
 
 func (c *storeClient) startNext() {
@@ -102,7 +104,8 @@
 	c.startNext()
 }
 
-// carryOut decides what becomes of a request and lets the operation go on.
+// carryOut draws the fault of a request and resumes the operation. An operation with
+// more than requestsBeforeGiveUp requests is cancelled, unless it is settling.
 func (c *storeClient) carryOut(request memory.Request) {
 	op := c.current
 	op.requests++
@@ -114,7 +117,8 @@
 	c.advance()
 }
 
-// abandon ends the present operation without a trace and drops the others.
+// abandon stops the current operation without running its finish function, and drops
+// the queued ones.
 func (c *storeClient) abandon() {
 	c.queue = nil
 	if c.current == nil {
--- a/internal/sim/oracle.go
+++ b/internal/sim/oracle.go
@@ -42,50 +42,52 @@
 	Seed uint64 `json:"seed"`
 }
 
-// maximumViolations bounds what a report lists.
+// maximumViolations bounds how many violations a report lists.
 const maximumViolations = 100
 
-// oracle holds the model of what must be true. It learns of everything from
-// the outside: what is written to the store, what nodes put in force and what
-// callers and workers see.
+// oracle holds a simple model of the system and checks the invariants against it.
+// It observes the system from outside only: what is written to the store, what
+// nodes put in force, and what callers and workers see.
 type oracle struct {
 	world      *World
 	violations []Violation
 	alarms     int
 	summary    Summary
-	// head is the head in the store, and restored tells that the store went
-	// back to an older copy and no set was committed on top of it since.
+	// head is the head in the store. restored is set after the store was restored
+	// from an older copy until a set is committed on top of that copy.
+	// restores counts such restores.
 	head     rollout.Head
 	restored bool
 	restores int
-	// recoveredAt is when a set was committed on top of a restored copy last.
+	// recoveredAt is when a set was last committed on top of a restored copy.
 	recoveredAt time.Duration
-	// headAt is when the head was written last.
+	// headAt is when the head was last written.
 	headAt time.Duration
 	// sets holds every file set by the identifier of its apply.
 	sets map[string]*appliedSet
 	// committed lists the applies that were committed under a number. There is
 	// more than one only if the store was restored.
 	committed map[rollout.Version][]string
-	// ran is the highest version that each node has run.
+	// ran is the version that each node has put in force last.
 	ran map[string]ranVersion
-	// forgotten counts restarts below what a node ran, after the platform had
-	// lost that version.
+	// forgotten counts restarts of nodes below a version that they had run, because a
+	// restore of the store has lost that version.
 	forgotten int
 }
 
-// ranVersion is what a node ran last, and in which process.
+// ranVersion is the version that a node ran last, and the incarnation that ran it.
 type ranVersion struct {
 	version     rollout.Version
 	incarnation uint64
 }
 
-// appliedSet is what became of one apply.
+// appliedSet is a file set that an operator applied, and the result of that apply.
 type appliedSet struct {
 	fileSet
 	refused bool
 	aborted bool
-	// recovers counts the restores of the store that the apply brings it past.
+	// recovers is the number of restores so far when the apply recovers the store
+	// from the last of them; 0 for any other apply.
 	recovers int
 }
 
@@ -108,7 +110,7 @@
 	})
 }
 
-// storedHead reads the head past all faults.
+// storedHead reads the head from the store, exempt from all faults.
 func (o *oracle) storedHead() rollout.Head {
 	o.world.faults.bypassed = true
 	defer func() { o.world.faults.bypassed = false }()
@@ -157,7 +159,8 @@
 		head.Generation, head.Committed, head.Proposed, head.HighestUsed, head.ApplyID)
 }
 
-// allowed lists the three steps that a head may take.
+// allowed reports whether the head has made one of its three permitted steps:
+// propose, commit or abort.
 func (o *oracle) allowed(before, head rollout.Head) bool {
 	if head.Generation != before.Generation+1 {
 		return false
@@ -211,18 +214,18 @@
 	o.ran[a.node.id] = ranVersion{version: version, incarnation: a.node.incarnation}
 }
 
-// recentlyRestored reports whether a floor that is used now may have been read
-// from a restored store.
+// recentlyRestored reports whether a floor that a node uses now may have been read
+// from a restored store: the search for it takes up to longestSearch.
 func (o *oracle) recentlyRestored() bool {
 	const longestSearch = 10 * time.Second
 	sinceRecovery := o.world.scheduler.now - o.recoveredAt
 	return o.restored || (o.recoveredAt > 0 && sinceRecovery < longestSearch)
 }
 
-// recovered ends the time during which the store is a restored one. What a
-// node ran that the platform has lost since, and of which no process is left
-// that ran it, nobody can know any more. committed is what the store went on
-// from.
+// recovered ends the time from a restore of the store to its recovery. committed is
+// the version on top of which the store was recovered. No one can know any more that
+// a node ran a later version if the restore has lost that version and the process
+// that ran it has ended; such nodes count as forgotten.
 func (o *oracle) recovered(committed rollout.Version) {
 	o.restored, o.recoveredAt = false, o.world.scheduler.now
 	for _, n := range o.world.nodes {
@@ -252,7 +255,7 @@
 	}
 }
 
-// checkComplete compares a snapshot with the set that was committed under its number.
+// checkComplete compares a snapshot with the sets that were committed under its version.
 func (o *oracle) checkComplete(a *agent, s *snapshot.Snapshot) {
 	applies := o.committed[s.Version()]
 	if len(applies) == 0 {
@@ -270,8 +273,8 @@
 	o.violate(InvariantComplete, a.node.id, fmt.Sprintf("version %d: %s", s.Version(), problem))
 }
 
-// needs lists the keys that a node must hold: everything if it holds a service
-// that its own cannot reach, or what its own service can reach.
+// needs lists the keys that a node must hold: those that its own service can reach,
+// or all keys if it holds a service that its own cannot reach.
 func (s *appliedSet) needs(service string, held *snapshot.Snapshot) []model.Key {
 	var all, reachable []model.Key
 	reach := map[string]bool{service: true}
@@ -299,8 +302,8 @@
 	return reachable
 }
 
-// differs compares a snapshot with the set; empty when it is the set's and
-// holds all that is needed.
+// differs returns how a snapshot differs from the set. It is empty when each held
+// resource is that of the set and all needed keys are held.
 func (s *appliedSet) differs(held *snapshot.Snapshot, needed []model.Key) string {
 	for _, key := range held.Keys() {
 		digest, _ := held.ResourceDigest(key)
@@ -316,8 +319,8 @@
 	return ""
 }
 
-// observeFloor is told of each floor; the order of versions is checked when
-// they are put in force.
+// observeFloor records each floor that a node learns. It checks nothing: the order of
+// versions is checked when they are put in force.
 func (o *oracle) observeFloor(a *agent, floor rollout.Version) {
 	o.world.trace.record(o.world.scheduler.now, "floor "+a.node.id, fmt.Sprint(floor))
 	o.world.log("%s learns floor %d", a.node.id, floor)
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// process is a running program: a node or an operator's command. What it was
-// to do while it is paused happens when it resumes; what it was to do after
-// its end never happens.
+// process is a running program: a node or an operator's command. Actions that are
+// due while it is paused run when it resumes; those due after its end never run.
 type process struct {
 	world  *World
 	name   string
 	alive  bool
 	paused bool
-	// deferred holds what became due during a pause.
+	// deferred holds the actions that became due during a pause.
 	deferred []func()
 	store    *storeClient
-	// serving lists the calls that have arrived and were not answered.
+	// serving lists the calls that have arrived and are not answered yet.
 	serving []*exchange
 }
 
@@ -26,12 +25,12 @@
 	return p
 }
 
-// after plans something that the process does.
+// after schedules an action of the process.
 func (p *process) after(delay time.Duration, name string, run func()) {
 	p.world.scheduler.after(delay, name+" "+p.name, func() { p.do(run) })
 }
 
-// do runs something now, or at the end of the pause.
+// do runs an action now, or at the end of a pause; never once the process has ended.
 func (p *process) do(run func()) {
 	switch {
 	case !p.alive:
@@ -53,7 +52,7 @@
 	}
 }
 
-// forget drops a call that is answered.
+// forget removes an answered call from those being served.
 func (p *process) forget(answered *exchange) {
 	index := slices.Index(p.serving, answered)
 	if index >= 0 {
--- a/internal/sim/random.go
+++ b/internal/sim/random.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// random is the one source of chance of a world.
+// random is the only source of randomness of a world, so that the seed decides a run.
 type random struct{ *rand.Rand }
 
 func newRandom(seed uint64) random {
--- a/internal/sim/scheduler.go
+++ b/internal/sim/scheduler.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is something that happens at a moment of simulated time.
+// event is an action at a moment of simulated time.
 type event struct {
 	at       time.Duration
 	sequence uint64
@@ -13,7 +13,7 @@
 	run      func()
 }
 
-// eventQueue is a heap of events, ordered by time and then by their making.
+// eventQueue is a heap of events, ordered by time and then by when they were scheduled.
 type eventQueue []*event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -37,20 +37,20 @@
 	return item
 }
 
-// scheduler holds simulated time and what is to happen.
+// scheduler holds the simulated time and the events to come.
 type scheduler struct {
 	now      time.Duration
 	queue    eventQueue
 	sequence uint64
 }
 
-// after plans an event.
+// after schedules an event.
 func (s *scheduler) after(delay time.Duration, name string, run func()) {
 	s.sequence++
 	heap.Push(&s.queue, &event{at: s.now + delay, sequence: s.sequence, name: name, run: run})
 }
 
-// next takes the earliest event and moves time on to it.
+// next removes the earliest event and advances the time to it.
 func (s *scheduler) next() *event {
 	earliest := heap.Pop(&s.queue).(*event)
 	s.now = earliest.at
--- a/internal/sim/settle.go
+++ b/internal/sim/settle.go
@@ -8,19 +8,20 @@
 	"github.com/levertide/levertide/pkg/membership"
 )
 
-// settleTime is how long after the last fault everything must be in order.
+// settleTime is how long after the last fault all invariants of a settled world must
+// hold.
 const settleTime = 45 * time.Second
 
-// convergenceTime is how long a sound set takes at most to be in force
-// everywhere when nothing disturbs.
+// convergenceTime is how long a valid set may take to be in force on all nodes when
+// no faults are injected.
 const convergenceTime = 5 * time.Second
 
-// recoverAttempts is how often a settling world waits again for an operator to
-// recover a restored store: sets that are refused do not.
+// recoverAttempts is how many further times a settling world waits for an operator to
+// recover a restored store: an attempt fails when nodes reject its set.
 const recoverAttempts = 3
 
-// Settle ends all faults, lets the world run on for a while, and checks what
-// must be true then: the committed version is in force everywhere, nodes are
+// Settle ends all faults, runs the world for settleTime and longer, and checks what
+// must hold then: the committed version is in force everywhere, nodes are
 // ready and agree on the members, and every request has ended.
 func (w *World) Settle() {
 	w.settling = true
@@ -83,7 +84,7 @@
 	switch {
 	case head.Committed == 0 || refused:
 	case state.Floor > head.Committed && w.oracle.restores > 0:
-		w.oracle.forgotten++ // it waits for a version that the platform has lost
+		w.oracle.forgotten++ // it waits for a version that a restore has lost
 	case inForce == nil || inForce.Version() != head.Committed:
 		w.oracle.violate(InvariantInForce, n.id, fmt.Sprintf("version %d is committed: %s", head.Committed, w.describeNode(n)))
 	case !state.Ready:
@@ -98,7 +99,7 @@
 	}
 }
 
-// describeNode tells what a report on a node that lags needs.
+// describeNode describes the state of a node that has not converged.
 func (w *World) describeNode(n *node) string {
 	state := n.agent.participant.State()
 	version := uint64(0)
@@ -118,8 +119,8 @@
 	return fmt.Sprintf("%d.%d.%d", record.Incarnation, record.Attachment, record.State)
 }
 
-// checkOpen reports requests that have not ended although their deadline is
-// long over. Requests of a node that crashed end with it.
+// checkOpen reports requests that have not ended although their deadline has long
+// passed. Requests of a node that crashed end with it.
 func (o *oracle) checkOpen(open map[int]*request) {
 	for _, id := range sortedKeys(open) {
 		if open[id].entry.alive {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// reporter is what testing.T and rapid.T have in common.
+// reporter is the part of testing.T and rapid.T that the tests use.
 type reporter interface {
 	Helper()
 	Fatalf(format string, values ...any)
@@ -49,8 +49,8 @@
 	}
 }
 
-// machine is the state machine that rapid drives: it draws when which fault
-// comes, and shrinks to the faults that matter.
+// machine is the state machine that rapid drives: rapid draws the order and time of
+// faults, and shrinks a failing run to the faults that cause it.
 type machine struct{ world *sim.World }
 
 func (m machine) actions() map[string]func(*rapid.T) {
--- a/internal/sim/storage.go
+++ b/internal/sim/storage.go
@@ -13,12 +13,12 @@
 )
 
 // gatedStore is the store as one process sees it: each request suspends the
-// running operation and is carried out when the world says so.
+// running operation, and the scheduler decides when it is carried out.
 type gatedStore struct{ world *World }
 
 var _ store.Store = gatedStore{}
 
-// wait suspends the operation at a request.
+// wait suspends the running operation until its request is to be carried out.
 func (g gatedStore) wait(request memory.Request) *operation {
 	op := g.world.running
 	if op.ctx.Err() != nil {
@@ -98,8 +98,8 @@
 	return g.world.memory.Release(ctx, key, session)
 }
 
-// newVersionStore returns the real version store over the simulated store. It
-// never waits by the real clock for longer than a moment.
+// newVersionStore returns the real version store on top of the simulated store. Its
+// pauses are the shortest possible, since they would pass in real time.
 func (w *World) newVersionStore() *versionstore.VersionStore {
 	const unlimited = 1 << 30
 	return versionstore.New(versionstore.Config{
--- a/internal/sim/summary.go
+++ b/internal/sim/summary.go
@@ -1,6 +1,7 @@
 package sim
 
-// Summary counts what the world has done, to see that a run exercised it.
+// Summary counts what has happened in a world. It shows whether a run exercised the
+// system.
 type Summary struct {
 	Applies     int `json:"applies"`
 	Committed   int `json:"committed"`
@@ -11,8 +12,8 @@
 	NotRun      int `json:"not_run"`
 	Unknown     int `json:"unknown"`
 	Alarms      int `json:"alarms"`
-	// Forgotten counts nodes restarted below what they had run, after the
-	// platform had lost that version; see the oracle.
+	// Forgotten counts nodes that restarted below a version that they had run, because
+	// a restore of the store has lost that version; see oracle.recovered.
 	Forgotten int `json:"forgotten"`
 }
 
--- a/internal/sim/trace.go
+++ b/internal/sim/trace.go
@@ -7,8 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// trace sums up everything that happened in one hash, so that two runs can be
-// compared.
+// trace hashes everything that has happened, so that two runs can be compared.
 type trace struct {
 	digest *xxhash.Digest
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -17,34 +17,34 @@
 // Options shapes a world.
 type Options struct {
 	Seed uint64
-	// Regions, ZonesPerRegion and NodesPerZone give its size.
+	// Regions, ZonesPerRegion and NodesPerZone give the size of the world.
 	Regions, ZonesPerRegion, NodesPerZone int
 	// FanOut and Readers are those of topology.Options.
 	FanOut, Readers int
-	// Calm leaves out the faults that are otherwise drawn; those of the store's
-	// requests and of the network's messages included.
+	// Calm disables the faults that are otherwise drawn at random, including those of
+	// requests to the store and of messages on the network.
 	Calm bool
-	// Log, when set, is told of each write of the head, of each fault and of
-	// what nodes put in force.
+	// Log, when set, receives a line for each write of the head, each fault and each
+	// version that a node puts in force.
 	Log func(at time.Duration, step uint64, text string)
-	// Seams replaces parts by broken ones; only tests set it.
+	// Seams replaces parts of the system by broken ones; only tests set it.
 	Seams Seams
 }
 
-// Seams lets a test break one safeguard at a time, to see that the oracle
-// notices.
+// Seams lets a test break one safeguard at a time, to show that the oracle detects
+// it.
 type Seams struct {
 	// Participant replaces rollout.NewParticipant.
 	Participant func(rollout.ParticipantOptions) Participant
 	// Operations rewrites the operations of a transaction.
 	Operations func(operation string, operations []store.Operation) []store.Operation
-	// NoFloor lets restarted nodes run whatever they hear of first.
+	// NoFloor lets restarted nodes run the first version that they learn of.
 	NoFloor bool
 	// Activation replaces the snapshot that a node puts in force.
 	Activation func(inForce, next *snapshot.Snapshot) *snapshot.Snapshot
-	// RepeatUnknown sends a request again whose outcome is unknown.
+	// RepeatUnknown repeats requests whose outcome is unknown, even unrepeatable ones.
 	RepeatUnknown bool
-	// LateNotRun reports requests as not run that a worker has begun.
+	// LateNotRun reports some requests as not run that a worker has run.
 	LateNotRun bool
 }
 
@@ -84,7 +84,7 @@
 	applies applies
 	callers callers
 	steps   uint64
-	// settling holds back faults, applies and calls while the world settles.
+	// settling suppresses faults, applies and calls while the world settles.
 	settling bool
 }
 
@@ -137,7 +137,7 @@
 	}
 }
 
-// wallClock is the true time.
+// wallClock returns the true time, without the error of any node's clock.
 func (w *World) wallClock() time.Time { return epoch.Add(w.scheduler.now) }
 
 // Step carries out the next event.
@@ -152,7 +152,7 @@
 // Steps returns how many events were carried out.
 func (w *World) Steps() uint64 { return w.steps }
 
-// RunFor carries out the events of a stretch of simulated time.
+// RunFor carries out the events of the given span of simulated time.
 func (w *World) RunFor(duration time.Duration) {
 	end := w.scheduler.now + duration
 	for len(w.scheduler.queue) > 0 && w.scheduler.queue[0].at <= end {
@@ -161,10 +161,10 @@
 	w.scheduler.now = end
 }
 
-// TraceHash sums up everything that has happened.
+// TraceHash returns a hash of everything that has happened.
 func (w *World) TraceHash() uint64 { return w.trace.sum() }
 
-// Violations returns what the oracle has found so far.
+// Violations returns the violations that the oracle has found so far.
 func (w *World) Violations() []Violation { return w.oracle.violations }
 
 // Faults returns how often each kind of fault has happened.
@@ -193,21 +193,21 @@
 	return slices.Sorted(maps.Keys(items))
 }
 
-// log tells Options.Log, if there is one. It is no part of the trace.
+// log passes a line to Options.Log, if it is set. The line is not part of the trace.
 func (w *World) log(format string, values ...any) {
 	if w.options.Log != nil {
 		w.options.Log(w.scheduler.now, w.steps, fmt.Sprintf(format, values...))
 	}
 }
 
-// Elapsed returns how much simulated time has gone by.
+// Elapsed returns how much simulated time has passed.
 func (w *World) Elapsed() time.Duration { return w.scheduler.now }
 
-// Machine is one of the machines that nodes run on.
+// Machine is a machine on which a node runs.
 type Machine = *node
 
 // Nodes returns how many machines there are.
 func (w *World) Nodes() int { return len(w.nodes) }
 
-// Node returns one of them.
+// Node returns the machine with the given index, from 0 to Nodes()-1.
 func (w *World) Node(index int) Machine { return w.nodes[index] }
