--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -20,8 +20,8 @@
 	statusQuarantined = http.StatusBadRequest
 	// callerPause is how long a caller waits when a node cannot be reached.
 	callerPause = 20 * time.Millisecond
-	// callerTries is how often a read that is not served is sent, at most.
-	callerTries = 4
+	// callerAttempts is how often a read that is not served is sent, at most.
+	callerAttempts = 4
 	// popularShare is the share of the reads that others send, too, in the same words;
 	// popularPaths is how many of these there are.
 	popularShare = 0.5
@@ -39,18 +39,18 @@
 	if repeatable && rand.Float64() < popularShare {
 		path = fmt.Sprintf("%spopular-%d", safePrefix, rand.IntN(popularPaths))
 	}
-	if rand.Float64() < strangerShare {
-		id = strangerPrefix + id
+	if rand.Float64() < unknownCallerShare {
+		id = unknownCallerPrefix + id
 	}
-	for try := range callerTries {
-		tryID := fmt.Sprintf("%s-%d", id, try)
-		l.began(tryID, repeatable)
-		status, body, err := send(ctx, client, machines[rand.IntN(len(machines))], method, path, tryID)
+	for attempt := range callerAttempts {
+		attemptID := fmt.Sprintf("%s-%d", id, attempt)
+		l.recordCall(attemptID, repeatable)
+		status, body, err := send(ctx, client, machines[rand.IntN(len(machines))], method, path, attemptID)
 		if err != nil {
 			status = 0
 			time.Sleep(callerPause)
 		}
-		l.told(tryID, status, body)
+		l.recordOutcome(attemptID, status, body)
 		if status == statusServed || status == statusUnauthenticated || !repeatable {
 			return
 		}
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -17,59 +17,59 @@
 	// shortestDown and longestDown bound how long a worker that has crashed is away.
 	shortestDown = 500 * time.Millisecond
 	longestDown  = 2 * time.Second
-	// shortestReturn and longestReturn bound the time after which such a request comes
+	// shortestRetryPause and longestReturn bound the time after which such a request comes
 	// again, and crashingTime is for how long it does.
-	shortestReturn = 50 * time.Millisecond
-	longestReturn  = 400 * time.Millisecond
-	crashingTime   = 8 * time.Second
+	shortestRetryPause = 50 * time.Millisecond
+	longestRetryPause  = 400 * time.Millisecond
+	crashingTime       = 8 * time.Second
 	// toleratedCrashes is how many workers such a request may crash before it is known,
 	// and crashContact how long after the last of them it may still reach workers
 	// without a bound: until all nodes have heard. Later it may reach no more than
 	// toleratedReturns.
-	toleratedCrashes = 3
-	crashContact     = 3 * time.Second
-	toleratedReturns = 3
+	toleratedCrashes  = 3
+	crashReportTime   = 3 * time.Second
+	toleratedLateRuns = 3
 )
 
-func crashes(path string) bool { return strings.HasPrefix(path, crashingPrefix) }
+func isCrashing(path string) bool { return strings.HasPrefix(path, crashingPrefix) }
 
-// crashing is what one request that crashes its workers has done.
-type crashing struct {
-	ended   int
-	known   time.Time // when the last tolerated worker has ended
-	returns int       // runs later than crashContact after that
+// crashingRequest is what one request that crashes its workers has done.
+type crashingRequest struct {
+	crashedWorkers int
+	quarantineDue  time.Time // when the last tolerated worker has ended
+	lateRuns       int       // runs later than crashContact after that
 }
 
-// beganCrashing records that a worker has begun a request that will crash it.
-func (l *ledger) beganCrashing(path string, now time.Time) {
+// recordCrashingRun records that a worker has begun a request that will crash it.
+func (l *ledger) recordCrashingRun(path string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	c, known := l.crashing[path]
 	if !known {
-		c = &crashing{}
+		c = &crashingRequest{}
 		l.crashing[path] = c
 	}
-	if c.known.IsZero() || now.Sub(c.known) < crashContact {
+	if c.quarantineDue.IsZero() || now.Sub(c.quarantineDue) < crashReportTime {
 		return
 	}
-	if c.returns++; c.returns > toleratedReturns {
+	if c.lateRuns++; c.lateRuns > toleratedLateRuns {
 		l.violate("request %s reached workers %d times, %v after it had crashed %d; %d have ended in all",
-			path, c.returns, now.Sub(c.known), toleratedCrashes, c.ended)
+			path, c.lateRuns, now.Sub(c.quarantineDue), toleratedCrashes, c.crashedWorkers)
 	}
 }
 
-// crashed records that a worker has ended under a request.
-func (l *ledger) crashed(path string, now time.Time) {
+// recordCrash records that a worker has ended under a request.
+func (l *ledger) recordCrash(path string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.report.Crashes++
 	c, known := l.crashing[path]
 	if !known {
-		c = &crashing{}
+		c = &crashingRequest{}
 		l.crashing[path] = c
 	}
-	if c.ended++; c.ended == toleratedCrashes {
-		c.known = now
+	if c.crashedWorkers++; c.crashedWorkers == toleratedCrashes {
+		c.quarantineDue = now
 	}
 }
 
@@ -98,44 +98,44 @@
 		defer cancel()
 		for number := 0; bounded.Err() == nil; number++ {
 			id := fmt.Sprintf("crashing-%s-%d", name, number)
-			f.ledger.began(id, true)
+			f.ledger.recordCall(id, true)
 			m := f.machines[random.IntN(len(f.machines))]
 			status, body, err := send(context.WithoutCancel(ctx), client, m, http.MethodGet, crashingPrefix+name, id)
 			if err != nil {
 				status = 0
 			}
-			f.ledger.toldCrashing(id, status, body)
-			wait(bounded, shortestReturn+time.Duration(random.Int64N(int64(longestReturn-shortestReturn))))
+			f.ledger.recordCrashingOutcome(id, status, body)
+			wait(bounded, shortestRetryPause+time.Duration(random.Int64N(int64(longestRetryPause-shortestRetryPause))))
 		}
 	})
 }
 
-// toldCrashing records what the caller of such a request was told.
-func (l *ledger) toldCrashing(id string, status int, body string) {
+// recordCrashingOutcome records what the caller of such a request was told.
+func (l *ledger) recordCrashingOutcome(id string, status int, body string) {
 	if status == statusQuarantined {
 		l.count(&l.report.Quarantined)
 		return
 	}
-	l.told(id, status, body)
+	l.recordOutcome(id, status, body)
 }
 
-// bringBack starts the next life of a worker that has crashed, after a time.
-func (f *faults) bringBack(m *machine) {
+// restartCrashedLater starts the next life of a worker that has crashed, after a time.
+func (f *faults) restartCrashedLater(m *machine) {
 	f.mutex.Lock()
 	down := shortestDown + time.Duration(f.downtimes.Int64N(int64(longestDown-shortestDown)))
 	f.mutex.Unlock()
 	f.running.Go(func() {
 		time.Sleep(down)
-		for !f.onMachine(m, "return of the worker", func() { f.startCrashed(m) }) {
+		for !f.onMachine(m, "return of the worker", func() { f.restartCrashed(m) }) {
 			time.Sleep(settleInterval)
 		}
 	})
 }
 
-// startCrashed starts the next life of a worker, unless another fault has replaced it.
-func (f *faults) startCrashed(m *machine) {
+// restartCrashed starts the next life of a worker, unless another fault has replaced it.
+func (f *faults) restartCrashed(m *machine) {
 	if m.worker.crashed.Load() {
-		_, err := m.renewWorker()
-		f.note(err)
+		_, err := m.startNextWorker()
+		f.recordError(err)
 	}
 }
--- a/internal/lab/soak/crashing_test.go
+++ b/internal/lab/soak/crashing_test.go
@@ -44,9 +44,9 @@
 				if err := run.start(); err != nil {
 					t.Fatal(err)
 				}
-				striking := run.faults()
-				striking.sendCrashing(t.Context(), 12*time.Second)
-				run.callWhile(t.Context(), striking.running.Wait)
+				injector := run.faults()
+				injector.sendCrashing(t.Context(), 12*time.Second)
+				run.callWhile(t.Context(), injector.running.Wait)
 				report := run.ledger.result()
 				for _, violation := range report.Violations {
 					t.Error(violation)
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -26,8 +26,8 @@
 	version  uint64
 	// saved is the copy from which the store comes back next.
 	saved *hostedstore.Copy
-	// returned is when the store came back from a copy last, under the mutex.
-	returned time.Time
+	// restoredAt is when the store came back from a copy last, under the mutex.
+	restoredAt time.Time
 	// requests counts the requests that crash their workers.
 	requests int
 	// downtimes decides how long workers that have crashed are away, under the mutex.
@@ -36,7 +36,7 @@
 	mutex   sync.Mutex
 	busy    map[*machine]bool
 	running sync.WaitGroup
-	broken  error
+	err     error
 }
 
 // run lets faults strike until the context ends, and waits for the last to be over.
@@ -44,23 +44,23 @@
 	for ctx.Err() == nil {
 		pause := shortestFaultPause + time.Duration(f.random.Int64N(int64(longestFaultPause-shortestFaultPause)))
 		wait(ctx, pause)
-		f.strike(ctx)
+		f.inject(ctx)
 	}
 	f.running.Wait()
 }
 
-func (f *faults) strike(ctx context.Context) {
+func (f *faults) inject(ctx context.Context) {
 	duration := time.Duration(f.random.Int64N(int64(longestFault)))
 	target := f.machines[f.random.IntN(len(f.machines))]
-	f.strikeWith(ctx, f.random.IntN(faultKinds), target, duration)
+	f.injectKind(ctx, f.random.IntN(faultKinds), target, duration)
 }
 
 // faultKinds is how many kinds of faults there are.
 const faultKinds = 20
 
-// strikeWith has a fault of the given kind strike.
-func (f *faults) strikeWith(ctx context.Context, kind int, target *machine, duration time.Duration) {
-	f.ledger.fault()
+// injectKind has a fault of the given kind strike.
+func (f *faults) injectKind(ctx context.Context, kind int, target *machine, duration time.Duration) {
+	f.ledger.countFault()
 	switch kind {
 	case 0, 1, 2:
 		f.change()
@@ -73,17 +73,17 @@
 	case 6:
 		f.crashWorker(ctx, target)
 	case 7:
-		f.strikeStore(ctx, target, duration)
+		f.disturbStore(ctx, target, duration)
 	case 8:
 		f.loseAnswers(ctx, target, duration)
 	case 9:
-		f.onMachine(target, "leave of the worker, and crash of the node that acknowledged it", func() { f.crashAfterPromise(ctx, target) })
+		f.onMachine(target, "leave of the worker, and crash of the node that acknowledged it", func() { f.crashAfterDrainCommitment(ctx, target) })
 	case 10:
-		f.herd(ctx, duration)
+		f.crashMany(ctx, duration)
 	case 11:
 		f.cutOff(ctx, target, duration)
 	case 12:
-		f.options.Network.Reset(f.number(target))
+		f.options.Network.Reset(f.indexOf(target))
 	case 13:
 		f.sendCrashing(ctx, crashingTime)
 	case 14:
@@ -93,11 +93,11 @@
 	case 16:
 		f.restoreStore(ctx, duration)
 	case 17:
-		f.onMachine(target, "late heartbeats of a worker's former life", func() { f.hauntWorker(ctx, target) })
+		f.onMachine(target, "late heartbeats of a worker's former life", func() { f.restartWithLateHeartbeats(ctx, target) })
 	case 18:
 		f.foreignEntries()
 	case 19:
-		f.onMachine(target, "leave of the worker, return of the store from a copy, and crash of all nodes", func() { f.losePromise(ctx, target) })
+		f.onMachine(target, "leave of the worker, return of the store from a copy, and crash of all nodes", func() { f.loseDrainCommitment(ctx, target) })
 	}
 }
 
@@ -106,13 +106,13 @@
 	f.onMachine(m, "crash of the worker", func() { f.replaceWorker(ctx, m, true) })
 }
 
-// crashAfterPromise lets a worker leave, kills the node that has acknowledged it,
+// crashAfterDrainCommitment lets a worker leave, kills the node that has acknowledged it,
 // and lets an old heartbeat be the first that the next life of the node hears.
-func (f *faults) crashAfterPromise(ctx context.Context, m *machine) {
+func (f *faults) crashAfterDrainCommitment(ctx context.Context, m *machine) {
 	leaving := m.worker
 	leaving.draining.Store(true)
-	wait(ctx, promiseSlack+heartbeatInterval)
-	leaving.mute.Store(true)
+	wait(ctx, drainSlack+heartbeatInterval)
+	leaving.heartbeatsPaused.Store(true)
 	f.restartUnderLeaving(ctx, m, leaving)
 }
 
@@ -120,19 +120,19 @@
 // first that its next life hears. The worker is replaced then.
 func (f *faults) restartUnderLeaving(ctx context.Context, m *machine, leaving *worker) {
 	m.endNode(false)
-	f.note(m.startNode())
+	f.recordError(m.startNode())
 	for range lateHeartbeats {
 		leaving.send(ctx, m, leaving.sequence.Load()-1, false)
 		wait(ctx, heartbeatInterval)
 	}
 	leaving.kill()
-	_, err := m.renewWorker()
-	f.note(err)
+	_, err := m.startNextWorker()
+	f.recordError(err)
 }
 
-// herd crashes most nodes at the same moment.
-func (f *faults) herd(ctx context.Context, down time.Duration) {
-	f.losesMemory()
+// crashMany crashes most nodes at the same moment.
+func (f *faults) crashMany(ctx context.Context, down time.Duration) {
+	f.forgetIfRestored()
 	for _, m := range f.machines {
 		if f.random.IntN(4) > 0 {
 			f.onMachine(m, "crash of the node, in a herd", func() { f.restart(ctx, m, false, down) })
@@ -146,22 +146,22 @@
 	cut := false
 	for n, other := range f.machines {
 		if other != m && f.random.IntN(2) == 0 {
-			cut = f.options.Network.Cut(f.number(m), n) || cut
+			cut = f.options.Network.Cut(f.indexOf(m), n) || cut
 		}
 	}
 	if !cut {
 		return
 	}
 	f.options.Log("%s: cut off from some others", m.id)
-	silent := f.random.IntN(2) == 0
-	if silent {
+	storeUnresponsive := f.random.IntN(2) == 0
+	if storeUnresponsive {
 		f.store.SetFaults(m.id, hostedstore.Faults{Silent: true})
 	}
 	f.running.Go(func() {
 		wait(ctx, duration)
-		f.ledger.holdsUp(time.Now())
+		f.ledger.recordDisturbance(time.Now())
 		f.options.Network.Heal()
-		if silent {
+		if storeUnresponsive {
 			f.store.SetFaults(m.id, hostedstore.Faults{})
 		}
 	})
@@ -173,13 +173,13 @@
 	f.onMachine(m, "suspension of the node", func() {
 		for n, other := range f.machines {
 			if other != m {
-				f.options.Network.Cut(f.number(m), n)
+				f.options.Network.Cut(f.indexOf(m), n)
 			}
 		}
 		f.store.SetFaults(m.id, hostedstore.Faults{Silent: true})
 		wait(ctx, duration)
-		f.ledger.holdsUp(time.Now())
-		m.suspended.Store(&suspension{until: time.Now(), lasted: duration})
+		f.ledger.recordDisturbance(time.Now())
+		m.suspended.Store(&suspension{until: time.Now(), duration: duration})
 		f.options.Network.Heal()
 		f.store.SetFaults(m.id, hostedstore.Faults{})
 	})
@@ -198,14 +198,14 @@
 	}
 }
 
-// number returns the place of a machine.
-func (f *faults) number(m *machine) int { return slices.Index(f.machines, m) }
+// indexOf returns the place of a machine.
+func (f *faults) indexOf(m *machine) int { return slices.Index(f.machines, m) }
 
 // change writes the next document.
 func (f *faults) change() {
 	f.version += 1 + uint64(f.random.IntN(3))
 	f.store.Put(document{Version: f.version}.encode())
-	f.ledger.document()
+	f.ledger.countDocument()
 	if f.random.IntN(4) == 0 {
 		f.store.Forget()
 	}
@@ -216,14 +216,14 @@
 
 // onMachine runs a fault of a machine, unless one is under way there. It reports
 // whether it does.
-func (f *faults) onMachine(m *machine, what string, fault func()) bool {
+func (f *faults) onMachine(m *machine, description string, fault func()) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.busy[m] {
 		return false
 	}
 	f.busy[m] = true
-	f.options.Log("%s: %s", m.id, what)
+	f.options.Log("%s: %s", m.id, description)
 	f.running.Go(func() {
 		fault()
 		f.mutex.Lock()
@@ -236,7 +236,7 @@
 func (f *faults) restart(ctx context.Context, m *machine, planned bool, down time.Duration) {
 	m.endNode(planned)
 	wait(ctx, down)
-	f.note(m.startNode())
+	f.recordError(m.startNode())
 }
 
 func (f *faults) replaceWorker(ctx context.Context, m *machine, crash bool) {
@@ -245,19 +245,19 @@
 	} else {
 		m.worker.leave(ctx)
 	}
-	_, err := m.renewWorker()
-	f.note(err)
+	_, err := m.startNextWorker()
+	f.recordError(err)
 }
 
-func (f *faults) strikeStore(ctx context.Context, m *machine, duration time.Duration) {
+func (f *faults) disturbStore(ctx context.Context, m *machine, duration time.Duration) {
 	kinds := []hostedstore.Faults{{Refuse: true}, {Silent: true}, {LoseAnswers: true}, {Delay: 300 * time.Millisecond}}
 	node := m.id
 	if f.random.IntN(2) == 0 {
 		node = ""
 	}
-	struck := kinds[f.random.IntN(len(kinds))]
-	f.options.Log("store for %q: %+v", node, struck)
-	f.store.SetFaults(node, struck)
+	injected := kinds[f.random.IntN(len(kinds))]
+	f.options.Log("store for %q: %+v", node, injected)
+	f.store.SetFaults(node, injected)
 	f.running.Go(func() {
 		wait(ctx, duration)
 		f.store.SetFaults(node, hostedstore.Faults{})
@@ -266,20 +266,20 @@
 
 func (f *faults) loseAnswers(ctx context.Context, m *machine, duration time.Duration) {
 	f.onMachine(m, "answers of the worker are lost", func() {
-		m.worker.breaking.Store(30)
+		m.worker.lostAnswerPercent.Store(30)
 		wait(ctx, duration)
-		m.worker.breaking.Store(0)
+		m.worker.lostAnswerPercent.Store(0)
 	})
 }
 
-// note keeps a fault of the soak itself.
-func (f *faults) note(err error) {
+// recordError keeps a fault of the soak itself.
+func (f *faults) recordError(err error) {
 	if err == nil {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.broken = err
+	f.err = err
 }
 
 func wait(ctx context.Context, duration time.Duration) {
--- a/internal/lab/soak/innocent_test.go
+++ b/internal/lab/soak/innocent_test.go
@@ -28,19 +28,19 @@
 		callers  = 48 // as many as the slots of all workers
 		runTime  = 40 * time.Millisecond
 	)
-	for name, strike := range map[string]func(ctx context.Context, f *faults, m *machine){
+	for name, inject := range map[string]func(ctx context.Context, f *faults, m *machine){
 		"workers crash": func(ctx context.Context, f *faults, m *machine) { f.crashWorker(ctx, m) },
 		"workers crash together": func(ctx context.Context, f *faults, m *machine) {
 			for n := range machines / 3 {
-				f.crashWorker(ctx, f.machines[(f.number(m)+n)%machines])
+				f.crashWorker(ctx, f.machines[(f.indexOf(m)+n)%machines])
 			}
 		},
 		"machines lose power": func(ctx context.Context, f *faults, m *machine) {
 			f.onMachine(m, "power", func() {
 				m.worker.kill()
 				f.restart(ctx, m, false, time.Second)
-				_, err := m.renewWorker()
-				f.note(err)
+				_, err := m.startNextWorker()
+				f.recordError(err)
 			})
 		},
 		"workers are replaced": func(ctx context.Context, f *faults, m *machine) {
@@ -67,12 +67,12 @@
 				if err := run.start(); err != nil {
 					t.Fatal(err)
 				}
-				striking := run.faults()
+				injector := run.faults()
 				run.callWhile(t.Context(), func() {
 					for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(pause) {
-						strike(t.Context(), striking, striking.machines[striking.random.IntN(machines)])
+						inject(t.Context(), injector, injector.machines[injector.random.IntN(machines)])
 					}
-					striking.running.Wait()
+					injector.running.Wait()
 				})
 				report := run.ledger.result()
 				for _, violation := range report.Violations {
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -11,9 +11,9 @@
 const (
 	// maximumViolations bounds how many violations are kept.
 	maximumViolations = 20
-	// promiseSlack is how long after an acknowledged leave a request that was on
+	// drainSlack is how long after an acknowledged leave a request that was on
 	// its way may still arrive.
-	promiseSlack = 2 * time.Second
+	drainSlack = 2 * time.Second
 	// timeSlack is by how much a further worker may be given time for longer than the
 	// first.
 	timeSlack = 500 * time.Millisecond
@@ -26,23 +26,23 @@
 	runs       map[string]int
 	refused    map[string]bool
 	repeatable map[string]bool
-	// heldUp is until when a machine was suspended or cut off last: what had been sent to it
+	// disturbedAt is until when a machine was suspended or cut off last: what had been sent to it
 	// came later, with the time that was left when it was sent.
-	heldUp time.Time
-	// ends is until when the first worker was given a request.
-	ends map[string]time.Time
-	// promised is when a worker's leave was acknowledged.
-	promised map[string]time.Time
+	disturbedAt time.Time
+	// firstDeadlines is until when the first worker was given a request.
+	firstDeadlines map[string]time.Time
+	// drainCommitted is when a worker's leave was acknowledged.
+	drainCommitted map[string]time.Time
 	// crashing are the requests that crash their workers, by path.
-	crashing map[string]*crashing
+	crashing map[string]*crashingRequest
 }
 
 func newLedger(seed uint64) *ledger {
 	return &ledger{
 		report: Report{Seed: seed, Violations: []string{}},
 		runs:   map[string]int{}, refused: map[string]bool{}, repeatable: map[string]bool{},
-		ends:     map[string]time.Time{},
-		promised: map[string]time.Time{}, crashing: map[string]*crashing{},
+		firstDeadlines: map[string]time.Time{},
+		drainCommitted: map[string]time.Time{}, crashing: map[string]*crashingRequest{},
 	}
 }
 
@@ -53,41 +53,41 @@
 	}
 }
 
-// began records that a caller sends a request.
-func (l *ledger) began(id string, repeatable bool) {
+// recordCall records that a caller sends a request.
+func (l *ledger) recordCall(id string, repeatable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.report.Calls++
 	l.repeatable[id] = repeatable
 }
 
-// holdsUp records that a machine was suspended or cut off until now.
-func (l *ledger) holdsUp(now time.Time) {
+// recordDisturbance records that a machine was suspended or cut off until now.
+func (l *ledger) recordDisturbance(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.heldUp = now
+	l.disturbedAt = now
 }
 
-// given records the time that a worker was given for a request, in milliseconds. A node
+// recordTimeLimit records the time that a worker was recordTimeLimit for a request, in milliseconds. A node
 // counts from when it has read the request, which the first worker's time shows.
-func (l *ledger) given(id, milliseconds string, now time.Time) {
+func (l *ledger) recordTimeLimit(id, milliseconds string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	count, err := strconv.ParseInt(milliseconds, 10, 64)
 	end := now.Add(time.Duration(count) * time.Millisecond)
-	first, again := l.ends[id]
-	undisturbed := now.Sub(l.heldUp) > callBound
+	first, again := l.firstDeadlines[id]
+	undisturbed := now.Sub(l.disturbedAt) > callBound
 	if !again && undisturbed {
 		// A machine that takes itself to have been suspended gives less.
-		l.ends[id] = end
+		l.firstDeadlines[id] = end
 	}
 	if err != nil || count > callBound.Milliseconds() || again && undisturbed && end.After(first.Add(timeSlack)) {
 		l.violate("a worker was given %q ms for request %s, the first one until %v before", milliseconds, id, end.Sub(first))
 	}
 }
 
-// ran records that a worker has begun a request.
-func (l *ledger) ran(id, instance string, now time.Time) {
+// recordRun records that a worker has begun a request.
+func (l *ledger) recordRun(id, instance string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.report.Runs++
@@ -102,32 +102,32 @@
 	if l.refused[id] {
 		l.violate("request %s ran after its caller was told that it would not", id)
 	}
-	if at, leaving := l.promised[instance]; leaving && now.Sub(at) > promiseSlack {
+	if at, leaving := l.drainCommitted[instance]; leaving && now.Sub(at) > drainSlack {
 		l.violate("worker %s got request %s %v after its leave was acknowledged", instance, id, now.Sub(at))
 	}
 }
 
-// acknowledged records that a worker was told that it gets nothing new.
-func (l *ledger) acknowledged(instance string, now time.Time) {
+// recordDrainCommitment records that a worker was told that it gets nothing new.
+func (l *ledger) recordDrainCommitment(instance string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, before := l.promised[instance]; !before {
+	if _, before := l.drainCommitted[instance]; !before {
 		l.report.DrainCommitments++
-		l.promised[instance] = now
+		l.drainCommitted[instance] = now
 	}
 }
 
-// forgetTold forgets what nodes were told before, and nobody knows any more: promises, and which
+// forgetReported forgets what nodes were told before, and nobody knows any more: promises, and which
 // requests crash their workers.
-func (l *ledger) forgetTold() {
+func (l *ledger) forgetReported() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	clear(l.promised)
+	clear(l.drainCommitted)
 	clear(l.crashing)
 }
 
-// told records what a caller was told.
-func (l *ledger) told(id string, status int, body string) {
+// recordOutcome records what a caller was recordOutcome.
+func (l *ledger) recordOutcome(id string, status int, body string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch status {
@@ -148,7 +148,7 @@
 	case statusUnauthenticated:
 		l.report.Unauthenticated++
 		l.refused[id] = true
-		if !strings.HasPrefix(id, strangerPrefix) || l.runs[id] > 0 {
+		if !strings.HasPrefix(id, unknownCallerPrefix) || l.runs[id] > 0 {
 			l.violate("request %s was refused for its key, after %d runs", id, l.runs[id])
 		}
 	case statusQuarantined:
@@ -159,8 +159,8 @@
 	}
 }
 
-func (l *ledger) fault()    { l.count(&l.report.Faults) }
-func (l *ledger) document() { l.count(&l.report.Documents) }
+func (l *ledger) countFault()    { l.count(&l.report.Faults) }
+func (l *ledger) countDocument() { l.count(&l.report.Documents) }
 
 func (l *ledger) count(counter *int) {
 	l.mutex.Lock()
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -43,14 +43,14 @@
 	control, call   string
 	callers, probes string
 
-	mutex     sync.Mutex
-	node      *sidecar.Node
-	stop      context.CancelFunc
-	ended     chan struct{}
-	registrar sidecar.Registrar
-	worker    *worker
-	lives     int
-	lowest    uint64 // version seen in force in this life
+	mutex        sync.Mutex
+	node         *sidecar.Node
+	stop         context.CancelFunc
+	ended        chan struct{}
+	registrar    sidecar.Registrar
+	worker       *worker
+	incarnations int
+	lowest       uint64 // version seen in force in this life
 	// suspended is the last time for which the machine was; nil when it never was.
 	suspended atomic.Pointer[suspension]
 	// workerCrashed is called when the worker has crashed by itself.
@@ -59,8 +59,8 @@
 
 // suspension is a time for which a machine stood still.
 type suspension struct {
-	until  time.Time
-	lasted time.Duration
+	until    time.Time
+	duration time.Duration
 }
 
 // suspendedSince returns for how long the machine was suspended since a moment.
@@ -69,7 +69,7 @@
 	if last == nil || since.After(last.until) {
 		return 0
 	}
-	return last.lasted
+	return last.duration
 }
 
 // newMachine reserves the addresses of a machine, which outlast its processes.
@@ -109,13 +109,13 @@
 			})
 		},
 	}
-	lines := telemetry.NewQueue(io.Discard)
+	logQueue := telemetry.NewQueue(io.Discard)
 	node, err := sidecar.New(settings.Settings{
 		NodeID: m.id, Region: "region", Zone: m.zone, Service: serviceName, Mode: settings.ModeHosted,
 		CallerAddress: m.callers, CallAddress: m.call, ControlAddress: m.control, ReadinessAddress: m.probes, AdminAddress: m.network.AnyPort(),
 		StoreAddresses: []string{"in memory"}, DrainBound: stopBound, StopNotice: 200 * time.Millisecond,
 		HeartbeatInterval: heartbeatInterval, RetryRatio: 0.2, RetrySlack: 64, RetryWindow: 10 * time.Second,
-	}, adapter, m.network, telemetry.NewLog(lines, m.id, telemetry.LevelError), lines)
+	}, adapter, m.network, telemetry.NewLog(logQueue, m.id, telemetry.LevelError), logQueue)
 	if err != nil {
 		return err
 	}
@@ -157,13 +157,13 @@
 	return m.registrar
 }
 
-// renewWorker starts the next life of the worker and returns the one before.
-func (m *machine) renewWorker() (*worker, error) {
-	m.lives++
+// startNextWorker starts the next life of the worker and returns the one before.
+func (m *machine) startNextWorker() (*worker, error) {
+	m.incarnations++
 	before := m.worker
-	name := workers.Incarnation{Instance: instanceName(m.id, m.lives), StartedAt: time.Now().UnixMilli()}
+	name := workers.Incarnation{Instance: instanceName(m.id, m.incarnations), StartedAt: time.Now().UnixMilli()}
 	if before != nil {
-		name.StartedAt = max(name.StartedAt, before.name.StartedAt+1)
+		name.StartedAt = max(name.StartedAt, before.incarnation.StartedAt+1)
 	}
 	next, err := startWorker(name, m.ledger, m)
 	if err != nil {
--- a/internal/lab/soak/restored.go
+++ b/internal/lab/soak/restored.go
@@ -12,8 +12,8 @@
 	// longestRewrite bounds how long operators take to write again what a store lacks that
 	// came back from a copy.
 	longestRewrite = 2 * time.Second
-	// promiseRestored is how long nodes have to write their entries again.
-	promiseRestored = 3 * time.Second
+	// rewriteTime is how long nodes have to write their entries again.
+	rewriteTime = 3 * time.Second
 )
 
 // restoreStore has the store away for a moment and come back from a copy, twice at times; the
@@ -39,38 +39,38 @@
 // restore has the store come back from a copy.
 func (f *faults) restore(saved *hostedstore.Copy) {
 	f.mutex.Lock()
-	f.returned = time.Now()
+	f.restoredAt = time.Now()
 	several := len(f.busy) > 1
 	f.mutex.Unlock()
 	f.store.Restore(saved)
 	if several {
-		f.losesMemory()
+		f.forgetIfRestored()
 	}
 }
 
-// losesMemory tells the ledger of a crash of several nodes while the store lacks what they
+// forgetIfRestored tells the ledger of a crash of several nodes while the store lacks what they
 // knew: what they were told before is known to nobody any more, but to the workers.
-func (f *faults) losesMemory() {
+func (f *faults) forgetIfRestored() {
 	f.mutex.Lock()
-	lacking := time.Since(f.returned) < promiseRestored
+	lacking := time.Since(f.restoredAt) < rewriteTime
 	f.mutex.Unlock()
 	if lacking {
 		f.options.Log("what nodes were told is lost: the store came back from a copy while several nodes crashed")
-		f.ledger.forgetTold()
+		f.ledger.forgetReported()
 	}
 }
 
-// hauntWorker has the worker crash and start again, and heartbeats of its former life come
+// restartWithLateHeartbeats has the worker crash and start again, and heartbeats of its former life come
 // after those of the new one.
-func (f *faults) hauntWorker(ctx context.Context, m *machine) {
+func (f *faults) restartWithLateHeartbeats(ctx context.Context, m *machine) {
 	m.worker.kill()
-	former, err := m.renewWorker()
+	previous, err := m.startNextWorker()
 	if err != nil {
-		f.note(err)
+		f.recordError(err)
 		return
 	}
 	wait(ctx, 2*heartbeatInterval)
-	former.haunt(ctx, m)
+	previous.sendLateHeartbeats(ctx, m)
 }
 
 // foreignEntries has another program write where nodes keep their entries.
@@ -81,18 +81,18 @@
 	}
 }
 
-// losePromise lets a worker leave, has the store come back from a copy that lacks the promise,
+// loseDrainCommitment lets a worker leave, has the store come back from a copy that lacks the promise,
 // and then crashes all nodes: what nodes have written again is all that is left of it.
-func (f *faults) losePromise(ctx context.Context, m *machine) {
+func (f *faults) loseDrainCommitment(ctx context.Context, m *machine) {
 	saved := f.store.Copy()
 	leaving := m.worker
 	leaving.draining.Store(true)
 	wait(ctx, 2*heartbeatInterval)
 	f.restore(saved)
 	f.store.Rewrite()
-	wait(ctx, promiseRestored)
-	leaving.mute.Store(true)
-	f.losesMemory()
+	wait(ctx, rewriteTime)
+	leaving.heartbeatsPaused.Store(true)
+	f.forgetIfRestored()
 	for _, other := range f.machines {
 		if other != m {
 			f.onMachine(other, "crash of the node, with all others", func() { f.restart(ctx, other, false, 0) })
--- a/internal/lab/soak/slowness.go
+++ b/internal/lab/soak/slowness.go
@@ -15,11 +15,11 @@
 	// relative to the usual.
 	fastWorker = 0.5
 	slowWorker = 1.25
-	// spellTime, spellShare and spellFactor are how long a worker is slower than its own
+	// slowPeriod, spellShare and spellFactor are how long a worker is slower than its own
 	// usual at a time, in which share of the times and how much.
-	spellTime   = 600 * time.Millisecond
-	spellShare  = 0.15
-	spellFactor = 2.5
+	slowPeriod       = 600 * time.Millisecond
+	slowPeriodShare  = 0.15
+	slowPeriodFactor = 2.5
 	// slownessHeader carries a worker's slowness, in hundredths.
 	slownessHeader = "X-Slowness"
 	slownessUnits  = 100
@@ -28,8 +28,8 @@
 // slowness is how long work takes at a worker.
 type slowness struct {
 	usual float64
-	// told is whether the worker tells it.
-	told bool
+	// reported is whether the worker tells it.
+	reported bool
 
 	mu     sync.Mutex
 	factor float64
@@ -38,7 +38,7 @@
 
 // newSlowness draws the kind of a worker. One of four tells nothing.
 func newSlowness() *slowness {
-	s := &slowness{usual: slowWorker, told: rand.IntN(4) > 0}
+	s := &slowness{usual: slowWorker, reported: rand.IntN(4) > 0}
 	if rand.IntN(2) == 0 {
 		s.usual = fastWorker
 	}
@@ -50,23 +50,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.After(s.until) {
-		s.factor, s.until = 1, now.Add(spellTime)
-		if rand.Float64() < spellShare {
-			s.factor = spellFactor
+		s.factor, s.until = 1, now.Add(slowPeriod)
+		if rand.Float64() < slowPeriodShare {
+			s.factor = slowPeriodFactor
 		}
 	}
 	return s.usual * s.factor
 }
 
-// tell writes the slowness into an answer.
-func (s *slowness) tell(header http.Header, now time.Time) {
-	if s.told {
+// report writes the slowness into an answer.
+func (s *slowness) report(header http.Header, now time.Time) {
+	if s.reported {
 		header.Set(slownessHeader, strconv.Itoa(int(slownessUnits*s.at(now))))
 	}
 }
 
 // workerLoad reads what workers of the soak tell of themselves.
 func workerLoad(header http.Header) (slotqueue.Load, bool) {
-	told, err := strconv.Atoi(header.Get(slownessHeader))
-	return slotqueue.Load{Slots: workerSlots, Slowness: float64(told) / slownessUnits}, err == nil
+	hundredths, err := strconv.Atoi(header.Get(slownessHeader))
+	return slotqueue.Load{Slots: workerSlots, Slowness: float64(hundredths) / slownessUnits}, err == nil
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -29,13 +29,13 @@
 	if err := run.start(); err != nil {
 		return Report{}, err
 	}
-	striking := run.faults()
-	run.play(ctx, striking)
-	if striking.broken != nil {
-		return Report{}, striking.broken
+	injector := run.faults()
+	run.play(ctx, injector)
+	if injector.err != nil {
+		return Report{}, injector.err
 	}
-	run.checkWhole(striking.version)
-	run.checkReturn(striking)
+	run.checkSettled(injector.version)
+	run.checkRestore(injector)
 	return run.ledger.result(), nil
 }
 
@@ -65,7 +65,7 @@
 		store: s.store, saved: s.store.Copy(), ledger: s.ledger, version: 1, busy: map[*machine]bool{},
 	}
 	for _, m := range s.machines {
-		crashed := func() { f.bringBack(m) }
+		crashed := func() { f.restartCrashedLater(m) }
 		m.workerCrashed.Store(&crashed)
 	}
 	return f
@@ -82,7 +82,7 @@
 			return err
 		}
 		s.machines = append(s.machines, m)
-		if _, err := m.renewWorker(); err != nil {
+		if _, err := m.startNextWorker(); err != nil {
 			return err
 		}
 	}
@@ -93,11 +93,11 @@
 }
 
 // play lets callers call and faults strike for the length of the run.
-func (s *soak) play(ctx context.Context, striking *faults) {
+func (s *soak) play(ctx context.Context, injector *faults) {
 	s.callWhile(ctx, func() {
 		bounded, cancel := context.WithTimeout(ctx, s.options.Duration)
 		defer cancel()
-		striking.run(bounded)
+		injector.run(bounded)
 	})
 }
 
@@ -135,9 +135,9 @@
 	m.lowest = max(m.lowest, version)
 }
 
-// checkWhole checks that after the last fault each node has the last version in
+// checkSettled checks that after the last fault each node has the last version in
 // force and serves calls.
-func (s *soak) checkWhole(version uint64) {
+func (s *soak) checkSettled(version uint64) {
 	s.options.Network.Heal()
 	s.store.SetFaults("", hostedstore.Faults{})
 	for _, m := range s.machines {
@@ -150,21 +150,21 @@
 		if !s.within(func() bool { return s.serves(m, version) }) {
 			s.ledger.fail("%s does not serve version %d after the last fault", m.id, version)
 		}
-		if !s.within(func() bool { return s.keysFollow(m, version) }) {
+		if !s.within(func() bool { return s.acceptsOnlyCurrentKey(m, version) }) {
 			s.ledger.fail("%s does not take the keys of version %d alone after the last fault", m.id, version)
 		}
 	}
 	for _, m := range s.machines {
 		before := m.worker.runs.Load()
-		if !s.within(func() bool { s.crowd(m, version); return m.worker.runs.Load() > before }) {
-			s.ledger.fail("worker %s gets no request after the last fault", m.worker.name)
+		if !s.within(func() bool { s.saturate(m, version); return m.worker.runs.Load() > before }) {
+			s.ledger.fail("worker %s gets no request after the last fault", m.worker.incarnation)
 		}
 	}
 }
 
-// crowd sends one machine more requests at a time than the slots of all workers but one can take:
+// saturate sends one machine more requests at a time than the slots of all workers but one can take:
 // one at a time, its node may take another worker for the faster one each time.
-func (s *soak) crowd(m *machine, version uint64) {
+func (s *soak) saturate(m *machine, version uint64) {
 	var requests sync.WaitGroup
 	for range len(s.machines) * workerSlots * 2 {
 		requests.Go(func() { s.serves(m, version) })
@@ -172,15 +172,15 @@
 	requests.Wait()
 }
 
-// checkReturn has the store come back from a copy once more, and checks that the operators' next
+// checkRestore has the store come back from a copy once more, and checks that the operators' next
 // document is in force on each node.
-func (s *soak) checkReturn(striking *faults) {
-	s.store.Restore(striking.saved)
+func (s *soak) checkRestore(injector *faults) {
+	s.store.Restore(injector.saved)
 	s.store.Rewrite()
-	striking.change()
+	injector.change()
 	for _, m := range s.machines {
-		if !s.within(func() bool { return s.serves(m, striking.version) }) {
-			s.ledger.fail("%s does not serve version %d after the store came back from a copy", m.id, striking.version)
+		if !s.within(func() bool { return s.serves(m, injector.version) }) {
+			s.ledger.fail("%s does not serve version %d after the store came back from a copy", m.id, injector.version)
 		}
 	}
 }
--- a/internal/lab/soak/tenants.go
+++ b/internal/lab/soak/tenants.go
@@ -15,14 +15,14 @@
 const (
 	// statusUnauthenticated is what a caller is told whose key no tenant holds.
 	statusUnauthenticated = http.StatusUnauthorized
-	// strangerPrefix begins the ids of requests whose callers have no key that any version knows.
-	strangerPrefix = "stranger-"
-	strangersKey   = "key-of-nobody"
-	// strangerShare is the share of the requests that come from them, and nestedShare the
+	// unknownCallerPrefix begins the ids of requests whose callers have no key that any version knows.
+	unknownCallerPrefix = "stranger-"
+	unknownKey          = "key-of-nobody"
+	// unknownCallerShare is the share of the requests that come from them, and nestedShare the
 	// share of the runs in which a worker calls another one.
-	strangerShare = 0.05
-	nestedShare   = 0.1
-	nestedSuffix  = "/nested"
+	unknownCallerShare = 0.05
+	nestedShare        = 0.1
+	nestedSuffix       = "/nested"
 )
 
 // tenantNames are the tenants of all versions. The first one has a key of its own in each
@@ -59,8 +59,8 @@
 // keyOf returns the key that the caller of a request gives; workers give none.
 func keyOf(path, id string) string {
 	switch {
-	case strings.HasPrefix(id, strangerPrefix):
-		return strangersKey
+	case strings.HasPrefix(id, unknownCallerPrefix):
+		return unknownKey
 	case strings.HasSuffix(path, nestedSuffix):
 		return ""
 	default:
@@ -70,15 +70,15 @@
 
 // checkTenant checks what a worker sees of the caller.
 func (w *worker) checkTenant(r *http.Request) {
-	id, told := r.Header.Get(dialect.RequestID), r.Header[dialect.Tenant]
-	if strings.HasPrefix(id, strangerPrefix) {
-		w.ledger.fail("worker %s ran request %s, whose key no version has held", w.name, id)
+	id, reported := r.Header.Get(dialect.RequestID), r.Header[dialect.Tenant]
+	if strings.HasPrefix(id, unknownCallerPrefix) {
+		w.ledger.fail("worker %s ran request %s, whose key no version has held", w.incarnation, id)
 	}
-	if !slices.Equal(told, []string{tenantOf(r.URL.Path)}) {
-		w.ledger.fail("worker %s was told that request %s is of %q, and it is of %s", w.name, id, told, tenantOf(r.URL.Path))
+	if !slices.Equal(reported, []string{tenantOf(r.URL.Path)}) {
+		w.ledger.fail("worker %s was told that request %s is of %q, and it is of %s", w.incarnation, id, reported, tenantOf(r.URL.Path))
 	}
 	if len(r.Header[dialect.Key.Header]) > 0 {
-		w.ledger.fail("worker %s was given the key of request %s", w.name, id)
+		w.ledger.fail("worker %s was given the key of request %s", w.incarnation, id)
 	}
 }
 
@@ -86,28 +86,28 @@
 func (w *worker) callNested(ctx context.Context, m *machine, r *http.Request) {
 	began := time.Now()
 	id := fmt.Sprintf("%s/%d", r.Header.Get(dialect.RequestID), w.runs.Load())
-	w.ledger.began(id, true)
+	w.ledger.recordCall(id, true)
 	status, body, err := send(ctx, w.client, m, http.MethodGet, r.URL.Path+nestedSuffix, id)
 	if err != nil {
 		status = 0
 	}
 	if status == statusUnauthenticated && time.Since(began) < callBound/2 {
-		w.ledger.fail("%s asked worker %s for a key for request %s, whose parent it runs", m.id, w.name, id)
+		w.ledger.fail("%s asked worker %s for a key for request %s, whose parent it runs", m.id, w.incarnation, id)
 		return
 	}
-	w.ledger.told(id, status, body)
+	w.ledger.recordOutcome(id, status, body)
 }
 
-// keysFollow reports whether a machine takes the key of a version and refuses that of the one before.
-func (s *soak) keysFollow(m *machine, version uint64) bool {
-	ask := func(key string) int {
+// acceptsOnlyCurrentKey reports whether a machine takes the key of a version and refuses that of the one before.
+func (s *soak) acceptsOnlyCurrentKey(m *machine, version uint64) bool {
+	statusWithKey := func(key string) int {
 		id := fmt.Sprintf("key-%s-%d", m.id, s.checks.Add(1))
-		s.ledger.began(id, true)
+		s.ledger.recordCall(id, true)
 		status, _, err := sendWith(context.Background(), s.probe, m, http.MethodGet, versionPrefix(version), id, key)
 		if err != nil {
 			return 0
 		}
 		return status
 	}
-	return ask(versionKey(version)) == statusServed && ask(versionKey(version-1)) == statusUnauthenticated
+	return statusWithKey(versionKey(version)) == statusServed && statusWithKey(versionKey(version-1)) == statusUnauthenticated
 }
--- a/internal/lab/soak/worker.go
+++ b/internal/lab/soak/worker.go
@@ -21,8 +21,8 @@
 	// lateHeartbeats is how many heartbeats of a worker that leaves are sent after
 	// the time in which requests may still arrive.
 	lateHeartbeats = 10
-	// staleHeartbeats is how often an old heartbeat is sent again.
-	staleHeartbeats = 0.1
+	// staleHeartbeatShare is how often an old heartbeat is sent again.
+	staleHeartbeatShare = 0.1
 )
 
 // answerTo is the whole answer to a request.
@@ -30,64 +30,64 @@
 
 // worker is one life of a worker.
 type worker struct {
-	// name is that of this life. The next one may have the same instance.
-	name     workers.Incarnation
-	runTime  time.Duration
-	slowness *slowness
-	ledger   *ledger
-	server   *http.Server
-	address  string
-	sequence atomic.Uint64
-	draining atomic.Bool
-	// mute holds back heartbeats.
-	mute atomic.Bool
+	// incarnation is that of this life. The next one may have the same instance.
+	incarnation workers.Incarnation
+	runTime     time.Duration
+	slowness    *slowness
+	ledger      *ledger
+	server      *http.Server
+	address     string
+	sequence    atomic.Uint64
+	draining    atomic.Bool
+	// heartbeatsPaused holds back heartbeats.
+	heartbeatsPaused atomic.Bool
 	// crashed is set when the worker has crashed by itself, and tellCrash is called then.
-	crashed   atomic.Bool
-	tellCrash func()
+	crashed     atomic.Bool
+	reportCrash func()
 	// machine is where the worker runs, client what it calls others with.
 	machine *machine
 	client  *http.Client
 	// runs counts the requests that the worker has begun.
 	runs atomic.Uint64
-	// breaking is the share of answers that are lost after the run.
-	breaking atomic.Uint32
-	end      context.CancelFunc
-	ended    sync.WaitGroup
+	// lostAnswerPercent is the share of answers that are lost after the run.
+	lostAnswerPercent atomic.Uint32
+	end               context.CancelFunc
+	ended             sync.WaitGroup
 }
 
 // startWorker starts a life of the worker beside a machine, whose node is asked
 // for at each heartbeat.
-func startWorker(name workers.Incarnation, l *ledger, m *machine) (*worker, error) {
+func startWorker(incarnation workers.Incarnation, l *ledger, m *machine) (*worker, error) {
 	opened, err := m.network.Listen(m.network.AnyPort())
 	if err != nil {
 		return nil, ErrStart.Wrap(err, "worker")
 	}
 	ctx, end := context.WithCancel(context.Background())
-	w := &worker{name: name, runTime: m.runTime, slowness: newSlowness(), ledger: l, address: opened.Addr().String(), end: end, machine: m, client: newClient(m.network, callBound)}
-	w.tellCrash = func() {
+	w := &worker{incarnation: incarnation, runTime: m.runTime, slowness: newSlowness(), ledger: l, address: opened.Addr().String(), end: end, machine: m, client: newClient(m.network, callBound)}
+	w.reportCrash = func() {
 		if crashed := m.workerCrashed.Load(); crashed != nil {
 			(*crashed)()
 		}
 	}
 	w.server = &http.Server{Handler: w}
 	w.ended.Go(func() { _ = w.server.Serve(opened) })
-	w.ended.Go(func() { w.beat(ctx, m) })
+	w.ended.Go(func() { w.sendHeartbeats(ctx, m) })
 	return w, nil
 }
 
 // ServeHTTP runs a request.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(dialect.RequestID)
-	if expected := r.Header.Get(dialect.ExpectInstance); expected != w.name.Instance {
+	if expected := r.Header.Get(dialect.ExpectInstance); expected != w.incarnation.Instance {
 		out.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.runs.Add(1)
-	w.ledger.ran(id, w.name.String(), time.Now())
-	w.ledger.given(id, r.Header.Get(dialect.Timeout), time.Now())
+	w.ledger.recordRun(id, w.incarnation.String(), time.Now())
+	w.ledger.recordTimeLimit(id, r.Header.Get(dialect.Timeout), time.Now())
 	w.checkTenant(r)
-	if crashes(r.URL.Path) {
+	if isCrashing(r.URL.Path) {
 		w.runCrashing(r.URL.Path)
 	}
 	if !strings.HasSuffix(r.URL.Path, nestedSuffix) && rand.Float64() < nestedShare {
@@ -95,8 +95,8 @@
 	}
 	time.Sleep(time.Duration(float64(w.runTime) * w.slowness.at(time.Now())))
 	out.Header().Set(dialect.RequestID, id)
-	w.slowness.tell(out.Header(), time.Now())
-	if rand.Uint32N(100) < w.breaking.Load() {
+	w.slowness.report(out.Header(), time.Now())
+	if rand.Uint32N(100) < w.lostAnswerPercent.Load() {
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(out, answerTo(id))
@@ -104,23 +104,23 @@
 
 // runCrashing ends the worker under a request, after a time.
 func (w *worker) runCrashing(path string) {
-	w.ledger.beganCrashing(path, time.Now())
+	w.ledger.recordCrashingRun(path, time.Now())
 	time.Sleep(crashDelay)
 	if w.crash() {
-		w.ledger.crashed(path, time.Now())
-		w.tellCrash()
+		w.ledger.recordCrash(path, time.Now())
+		w.reportCrash()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// beat sends heartbeats to the node beside the worker, and now and then an old
+// sendHeartbeats sends heartbeats to the node beside the worker, and now and then an old
 // one again.
-func (w *worker) beat(ctx context.Context, m *machine) {
+func (w *worker) sendHeartbeats(ctx context.Context, m *machine) {
 	for ctx.Err() == nil {
-		if !w.mute.Load() {
+		if !w.heartbeatsPaused.Load() {
 			w.send(ctx, m, w.sequence.Add(1), w.draining.Load())
 		}
-		if sequence := w.sequence.Load(); sequence > 1 && rand.Float64() < staleHeartbeats {
+		if sequence := w.sequence.Load(); sequence > 1 && rand.Float64() < staleHeartbeatShare {
 			w.send(ctx, m, sequence-1, false)
 		}
 		timer := time.NewTimer(heartbeatInterval)
@@ -138,10 +138,10 @@
 		return
 	}
 	err := registrar.Heartbeat(ctx, workers.Heartbeat{
-		Instance: w.name.Instance, StartedAt: w.name.StartedAt, Service: serviceName, Address: w.address, Slots: workerSlots, Sequence: sequence, Draining: draining,
+		Instance: w.incarnation.Instance, StartedAt: w.incarnation.StartedAt, Service: serviceName, Address: w.address, Slots: workerSlots, Sequence: sequence, Draining: draining,
 	})
 	if err == nil && draining && m.currentRegistrar() == registrar {
-		w.ledger.acknowledged(w.name.String(), time.Now())
+		w.ledger.recordDrainCommitment(w.incarnation.String(), time.Now())
 	}
 }
 
@@ -149,7 +149,7 @@
 func (w *worker) leave(ctx context.Context) {
 	w.draining.Store(true)
 	select {
-	case <-time.After(promiseSlack + lateHeartbeats*heartbeatInterval):
+	case <-time.After(drainSlack + lateHeartbeats*heartbeatInterval):
 	case <-ctx.Done():
 	}
 	w.kill()
@@ -165,10 +165,10 @@
 
 // instanceName names the instance of a life of a machine's worker: each second one starts again
 // under the instance of the life before.
-func instanceName(machine string, life int) string { return fmt.Sprintf("%s-%d", machine, life/2) }
+func instanceName(machine string, number int) string { return fmt.Sprintf("%s-%d", machine, number/2) }
 
-// haunt sends heartbeats of a life that has ended, which come late.
-func (w *worker) haunt(ctx context.Context, m *machine) {
+// sendLateHeartbeats sends heartbeats of a life that has ended, which come late.
+func (w *worker) sendLateHeartbeats(ctx context.Context, m *machine) {
 	for n := range uint64(lateHeartbeats) {
 		w.send(ctx, m, w.sequence.Load()+n, n%2 == 0)
 		wait(ctx, heartbeatInterval)
