--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -16,20 +16,21 @@
 const (
 	statusServed  = http.StatusOK
 	statusRefused = http.StatusServiceUnavailable
-	// statusQuarantined is what the caller of a request is told that crashes its workers.
+	// statusQuarantined is the status with which a crashing request is refused.
 	statusQuarantined = http.StatusBadRequest
-	// callerPause is how long a caller waits when a node cannot be reached.
+	// callerPause is how long a caller waits after a call without a complete response.
 	callerPause = 20 * time.Millisecond
-	// callerAttempts is how often a read that is not served is sent, at most.
+	// callerAttempts is how often, at most, a read is sent until it is served.
 	callerAttempts = 4
-	// popularShare is the share of the reads that others send, too, in the same words;
-	// popularPaths is how many of these there are.
+	// popularShare is the share of the reads that are for one of a few popular paths, so
+	// that several callers send identical requests; popularPaths is the number of these
+	// paths.
 	popularShare = 0.5
 	popularPaths = 20
 )
 
-// call sends one request to a machine and enters what came of it. A read that was not
-// served comes again, at other machines.
+// call sends one request to a random machine and records the outcome in the ledger. A
+// read that was not served is sent again, to a random machine each time.
 func call(ctx context.Context, client *http.Client, machines []*machine, l *ledger, id string) {
 	method, path := http.MethodPost, oncePrefix+id
 	repeatable := rand.Float64() < 0.5
@@ -57,7 +58,7 @@
 	}
 }
 
-// send sends a request with the key of its caller.
+// send sends a request with the key that its caller uses, if any.
 func send(ctx context.Context, client *http.Client, m *machine, method, path, id string) (int, string, error) {
 	return sendWith(ctx, client, m, method, path, id, keyOf(path, id))
 }
@@ -72,8 +73,8 @@
 		request.ContentLength = int64(len(id))
 	}
 	if request.Body == nil {
-		// The library would send a request without a body again by itself, under
-		// the same id, when its connection breaks; callers do not.
+		// When its connection breaks, net/http would by itself send a request without a
+		// body again, under the same id, which callers must not do.
 		request.Body = httpleg.EmptyBody{}
 		request.TransferEncoding = httpleg.IdentityEncoding
 	}
--- a/internal/lab/soak/command.go
+++ b/internal/lab/soak/command.go
@@ -10,8 +10,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// Command returns the subcommand "soak". Reports go to output, faults, if asked
-// for, to errorOutput.
+// Command returns the subcommand "soak". The report is written to output; the faults
+// are listed on errorOutput if the flag -verbose is set.
 func Command(output, errorOutput io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("soak", flag.ContinueOnError)
 	options := Options{}
--- a/internal/lab/soak/crashing.go
+++ b/internal/lab/soak/crashing.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// crashingPrefix begins the paths of requests that crash each worker that runs them.
+	// crashingPrefix begins the paths of crashing requests, which crash each worker that
+	// runs them.
 	crashingPrefix = safePrefix + "crashing-"
-	// crashDelay is how long such a request runs before its worker ends.
+	// crashDelay is how long such a request runs before its worker crashes.
 	crashDelay = 20 * time.Millisecond
-	// shortestDown and longestDown bound how long a worker that has crashed is away.
+	// shortestDown and longestDown bound how long a crashed worker stays down.
 	shortestDown = 500 * time.Millisecond
 	longestDown  = 2 * time.Second
-	// shortestRetryPause and longestReturn bound the time after which such a request comes
-	// again, and crashingTime is for how long it does.
+	// shortestRetryPause and longestRetryPause bound the pause after which such a
+	// request is sent again, and crashingTime is for how long it is.
 	shortestRetryPause = 50 * time.Millisecond
 	longestRetryPause  = 400 * time.Millisecond
 	crashingTime       = 8 * time.Second
-	// toleratedCrashes is how many workers such a request may crash before it is known,
-	// and crashContact how long after the last of them it may still reach workers
-	// without a bound: until all nodes have heard. Later it may reach no more than
-	// toleratedReturns.
+	// toleratedCrashes is how many workers such a request may crash before it must be
+	// quarantined, and crashReportTime how long after the last of them it may still reach
+	// any number of workers, while the nodes learn of it. Later it may reach no more than
+	// toleratedLateRuns.
 	toleratedCrashes  = 3
 	crashReportTime   = 3 * time.Second
 	toleratedLateRuns = 3
@@ -33,11 +34,11 @@
 
 func isCrashing(path string) bool { return strings.HasPrefix(path, crashingPrefix) }
 
-// crashingRequest is what one request that crashes its workers has done.
+// crashingRequest counts what one crashing request has done.
 type crashingRequest struct {
 	crashedWorkers int
-	quarantineDue  time.Time // when the last tolerated worker has ended
-	lateRuns       int       // runs later than crashContact after that
+	quarantineDue  time.Time // when the last tolerated crash happened
+	lateRuns       int       // runs later than crashReportTime after that
 }
 
 // recordCrashingRun records that a worker has begun a request that will crash it.
@@ -58,7 +59,7 @@
 	}
 }
 
-// recordCrash records that a worker has ended under a request.
+// recordCrash records that a worker has crashed under a crashing request.
 func (l *ledger) recordCrash(path string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -73,8 +74,8 @@
 	}
 }
 
-// crash ends the worker like a fault of its own program does. It reports false when it
-// has ended before.
+// crash ends the worker as a fault of its own program would. It returns false if the worker
+// has crashed before.
 func (w *worker) crash() bool {
 	if !w.crashed.CompareAndSwap(false, true) {
 		return false
@@ -84,8 +85,8 @@
 	return true
 }
 
-// sendCrashing has a request that crashes its workers come again and again, at any
-// machine.
+// sendCrashing sends a new crashing request again and again, each time to a random machine,
+// for the given duration.
 func (f *faults) sendCrashing(ctx context.Context, duration time.Duration) {
 	f.requests++
 	name := fmt.Sprintf("%d-%d", f.options.Seed, f.requests)
@@ -110,7 +111,8 @@
 	})
 }
 
-// recordCrashingOutcome records what the caller of such a request was told.
+// recordCrashingOutcome records the outcome that the caller of a crashing request was
+// given.
 func (l *ledger) recordCrashingOutcome(id string, status int, body string) {
 	if status == statusQuarantined {
 		l.count(&l.report.Quarantined)
@@ -119,20 +121,21 @@
 	l.recordOutcome(id, status, body)
 }
 
-// restartCrashedLater starts the next life of a worker that has crashed, after a time.
+// restartCrashedLater starts the next incarnation of a crashed worker, after a random time.
 func (f *faults) restartCrashedLater(m *machine) {
 	f.mutex.Lock()
 	down := shortestDown + time.Duration(f.downtimes.Int64N(int64(longestDown-shortestDown)))
 	f.mutex.Unlock()
 	f.running.Go(func() {
 		time.Sleep(down)
-		for !f.onMachine(m, "return of the worker", func() { f.restartCrashed(m) }) {
+		for !f.onMachine(m, "restart of the worker", func() { f.restartCrashed(m) }) {
 			time.Sleep(settleInterval)
 		}
 	})
 }
 
-// restartCrashed starts the next life of a worker, unless another fault has replaced it.
+// restartCrashed starts the next incarnation of a crashed worker, unless another fault has
+// replaced it already.
 func (f *faults) restartCrashed(m *machine) {
 	if m.worker.crashed.Load() {
 		_, err := m.startNextWorker()
--- a/internal/lab/soak/document.go
+++ b/internal/lab/soak/document.go
@@ -18,7 +18,7 @@
 	idleRoutes = 50
 )
 
-// document is what the soak's operator writes.
+// document is the configuration document that the soak's operators write.
 type document struct{ Version uint64 }
 
 func (d document) encode() []byte {
@@ -29,7 +29,8 @@
 	return encoded
 }
 
-// versionPrefix is a route that only one version has: it shows which is in force.
+// versionPrefix returns the path prefix of a route that only the given version has. It
+// shows which version is in force.
 func versionPrefix(version uint64) string { return fmt.Sprintf("/version-%d/", version) }
 
 func translate(content []byte) (sidecar.Translation, error) {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -16,7 +16,7 @@
 	longestFault       = 1500 * time.Millisecond
 )
 
-// faults strike machines and the store, as the seed decides.
+// faults injects faults into machines, the store and the network, as the seed decides.
 type faults struct {
 	options  Options
 	random   *rand.Rand
@@ -24,22 +24,22 @@
 	store    *hostedstore.Store
 	ledger   *ledger
 	version  uint64
-	// saved is the copy from which the store comes back next.
+	// saved is the copy from which the store will be restored next.
 	saved *hostedstore.Copy
-	// restoredAt is when the store came back from a copy last, under the mutex.
+	// restoredAt is when the store was last restored from a copy; guarded by mutex.
 	restoredAt time.Time
-	// requests counts the requests that crash their workers.
+	// requests counts the different crashing requests so far.
 	requests int
-	// downtimes decides how long workers that have crashed are away, under the mutex.
+	// downtimes decides how long crashed workers stay down; guarded by mutex.
 	downtimes *rand.Rand
-	// busy are machines with a fault of their own under way.
+	// busy holds the machines with a fault of their own in progress; guarded by mutex.
 	mutex   sync.Mutex
 	busy    map[*machine]bool
 	running sync.WaitGroup
 	err     error
 }
 
-// run lets faults strike until the context ends, and waits for the last to be over.
+// run injects faults until the context ends, and waits for the last of them to end.
 func (f *faults) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := shortestFaultPause + time.Duration(f.random.Int64N(int64(longestFaultPause-shortestFaultPause)))
@@ -58,7 +58,7 @@
 // faultKinds is how many kinds of faults there are.
 const faultKinds = 20
 
-// injectKind has a fault of the given kind strike.
+// injectKind injects a fault of the given kind.
 func (f *faults) injectKind(ctx context.Context, kind int, target *machine, duration time.Duration) {
 	f.ledger.countFault()
 	switch kind {
@@ -93,21 +93,21 @@
 	case 16:
 		f.restoreStore(ctx, duration)
 	case 17:
-		f.onMachine(target, "late heartbeats of a worker's former life", func() { f.restartWithLateHeartbeats(ctx, target) })
+		f.onMachine(target, "late heartbeats of a worker's previous incarnation", func() { f.restartWithLateHeartbeats(ctx, target) })
 	case 18:
 		f.foreignEntries()
 	case 19:
-		f.onMachine(target, "leave of the worker, return of the store from a copy, and crash of all nodes", func() { f.loseDrainCommitment(ctx, target) })
+		f.onMachine(target, "leave of the worker, restore of the store from a copy, and crash of all nodes", func() { f.loseDrainCommitment(ctx, target) })
 	}
 }
 
-// crashWorker crashes a worker for a reason of its own.
+// crashWorker crashes a worker for a reason unrelated to any request.
 func (f *faults) crashWorker(ctx context.Context, m *machine) {
 	f.onMachine(m, "crash of the worker", func() { f.replaceWorker(ctx, m, true) })
 }
 
-// crashAfterDrainCommitment lets a worker leave, kills the node that has acknowledged it,
-// and lets an old heartbeat be the first that the next life of the node hears.
+// crashAfterDrainCommitment drains a worker, kills the node that has acknowledged the drain, and
+// makes an old heartbeat the first one that the next incarnation of the node receives.
 func (f *faults) crashAfterDrainCommitment(ctx context.Context, m *machine) {
 	leaving := m.worker
 	leaving.draining.Store(true)
@@ -116,8 +116,8 @@
 	f.restartUnderLeaving(ctx, m, leaving)
 }
 
-// restartUnderLeaving crashes the node beside a worker that leaves, and lets old heartbeats be the
-// first that its next life hears. The worker is replaced then.
+// restartUnderLeaving crashes the node beside a leaving worker, and makes old heartbeats the
+// first ones that its next incarnation receives. The worker is then replaced.
 func (f *faults) restartUnderLeaving(ctx context.Context, m *machine, leaving *worker) {
 	m.endNode(false)
 	f.recordError(m.startNode())
@@ -135,13 +135,13 @@
 	f.forgetIfRestored()
 	for _, m := range f.machines {
 		if f.random.IntN(4) > 0 {
-			f.onMachine(m, "crash of the node, in a herd", func() { f.restart(ctx, m, false, down) })
+			f.onMachine(m, "crash of the node, together with others", func() { f.restart(ctx, m, false, down) })
 		}
 	}
 }
 
-// cutOff cuts a machine off from some others, and sometimes from the store. Cuts
-// are healed together: one may end earlier because another one does.
+// cutOff cuts a machine off from some others, and sometimes from the store. All cuts
+// are healed together, so one may end early because another one ends.
 func (f *faults) cutOff(ctx context.Context, m *machine, duration time.Duration) {
 	cut := false
 	for n, other := range f.machines {
@@ -152,7 +152,7 @@
 	if !cut {
 		return
 	}
-	f.options.Log("%s: cut off from some others", m.id)
+	f.options.Log("%s: cut off from some other machines", m.id)
 	storeUnresponsive := f.random.IntN(2) == 0
 	if storeUnresponsive {
 		f.store.SetFaults(m.id, hostedstore.Faults{Silent: true})
@@ -167,8 +167,8 @@
 	})
 }
 
-// suspend cuts a machine off from everything, as one is that stands still, and tells it that
-// its steady clock has not counted that time.
+// suspend simulates the suspension of a machine: it cuts the machine off from everything and
+// then reports to it that its monotonic clock has not counted that time.
 func (f *faults) suspend(ctx context.Context, m *machine, duration time.Duration) {
 	f.onMachine(m, "suspension of the node", func() {
 		for n, other := range f.machines {
@@ -186,7 +186,7 @@
 }
 
 // rollingStop stops and starts all nodes as planned, one after the other, while documents
-// come.
+// are written.
 func (f *faults) rollingStop(ctx context.Context) {
 	f.options.Log("rolling stop of all nodes, with changes")
 	machines := slices.Clone(f.machines)
@@ -198,10 +198,11 @@
 	}
 }
 
-// indexOf returns the place of a machine.
+// indexOf returns the index of a machine.
 func (f *faults) indexOf(m *machine) int { return slices.Index(f.machines, m) }
 
-// change writes the next document.
+// change writes the next document. Sometimes the store then drops its history, or is copied
+// for a later restore.
 func (f *faults) change() {
 	f.version += 1 + uint64(f.random.IntN(3))
 	f.store.Put(document{Version: f.version}.encode())
@@ -214,8 +215,8 @@
 	}
 }
 
-// onMachine runs a fault of a machine, unless one is under way there. It reports
-// whether it does.
+// onMachine starts a fault of a machine, unless one is in progress there. It reports
+// whether it has started it.
 func (f *faults) onMachine(m *machine, description string, fault func()) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -272,7 +273,7 @@
 	})
 }
 
-// recordError keeps a fault of the soak itself.
+// recordError records an error of the soak itself, which makes the run fail.
 func (f *faults) recordError(err error) {
 	if err == nil {
 		return
--- a/internal/lab/soak/innocent_test.go
+++ b/internal/lab/soak/innocent_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
 // With the race detector, Go 1.26.8 crashes in a bubble when a timer is already due
-// as its channel is selected; scripts/go-test.sh plays these tests without it.
+// as its channel is selected; scripts/go-test.sh runs these tests without it.
 
 package soak
 
@@ -14,11 +14,11 @@
 	"github.com/levertide/levertide/internal/lab/memnet"
 )
 
-// TestInnocentRequestsAreNotQuarantined has workers and nodes end for reasons of their own,
-// or under other requests, while 10,000 calls and more are made by as many callers as there
-// are slots. Half of the reads are in the same words, and all come again when they are not
-// served. None may be taken for a request that crashes workers: the ledger tells of each
-// that was refused for good.
+// TestInnocentRequestsAreNotQuarantined ends workers and nodes for reasons unrelated to requests,
+// or under other requests, while as many callers as there are slots send at least 10,000
+// calls. Half of the reads are for popular paths, so that identical ones are sent often,
+// and all reads are retried when they are not served. None may be taken for a crashing
+// request: the ledger reports a violation for each that was refused as quarantined.
 func TestInnocentRequestsAreNotQuarantined(t *testing.T) {
 	const (
 		machines = 12
@@ -60,7 +60,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				// Time stands still once the test has ended: what still dials must end before.
+				// The clock of the bubble stops once the test has ended, so dials in
+				// progress must end before that.
 				defer time.Sleep(time.Minute)
 				run := newSoak(Options{Seed: 7, Machines: machines, Callers: callers, RunTime: runTime, Network: NewInMemory(memnet.New(500 * time.Microsecond))})
 				defer run.end()
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// maximumViolations bounds how many violations are kept.
+	// maximumViolations bounds how many violations are recorded.
 	maximumViolations = 20
-	// drainSlack is how long after an acknowledged leave a request that was on
+	// drainSlack is how long after the acknowledgement of a drain a request that was already on
 	// its way may still arrive.
 	drainSlack = 2 * time.Second
-	// timeSlack is by how much a further worker may be given time for longer than the
-	// first.
+	// timeSlack is by how much the deadline that a later worker is given may exceed that
+	// of the first worker.
 	timeSlack = 500 * time.Millisecond
 )
 
-// ledger is what callers were told and what workers ran.
+// ledger records the outcomes that callers were given and the requests that workers ran,
+// and checks them against the rules that must always hold.
 type ledger struct {
 	mutex      sync.Mutex
 	report     Report
 	runs       map[string]int
 	refused    map[string]bool
 	repeatable map[string]bool
-	// disturbedAt is until when a machine was suspended or cut off last: what had been sent to it
-	// came later, with the time that was left when it was sent.
+	// disturbedAt is when the last suspension or cut of a machine ended. Requests sent to it
+	// before that arrive later, with the time limit that was left when they were sent.
 	disturbedAt time.Time
-	// firstDeadlines is until when the first worker was given a request.
+	// firstDeadlines holds the deadlines that the first worker was given, by request.
 	firstDeadlines map[string]time.Time
-	// drainCommitted is when a worker's leave was acknowledged.
+	// drainCommitted holds when a worker's drain was acknowledged, by worker.
 	drainCommitted map[string]time.Time
-	// crashing are the requests that crash their workers, by path.
+	// crashing holds the crashing requests, by path.
 	crashing map[string]*crashingRequest
 }
 
@@ -46,7 +47,7 @@
 	}
 }
 
-// violate records a violation. The mutex is held.
+// violate records a violation. The caller must hold the mutex.
 func (l *ledger) violate(format string, arguments ...any) {
 	if len(l.report.Violations) < maximumViolations {
 		l.report.Violations = append(l.report.Violations, fmt.Sprintf(format, arguments...))
@@ -68,8 +69,9 @@
 	l.disturbedAt = now
 }
 
-// recordTimeLimit records the time that a worker was recordTimeLimit for a request, in milliseconds. A node
-// counts from when it has read the request, which the first worker's time shows.
+// recordTimeLimit records the time limit that a worker was given for a request, in
+// milliseconds. No worker may be given a later deadline than the first one: a node counts
+// the time from when it has read the request, which the limit of the first worker shows.
 func (l *ledger) recordTimeLimit(id, milliseconds string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -78,7 +80,8 @@
 	first, again := l.firstDeadlines[id]
 	undisturbed := now.Sub(l.disturbedAt) > callBound
 	if !again && undisturbed {
-		// A machine that takes itself to have been suspended gives less.
+		// A machine that believes it was suspended gives a shorter limit, so that limit is
+		// no bound for later ones.
 		l.firstDeadlines[id] = end
 	}
 	if err != nil || count > callBound.Milliseconds() || again && undisturbed && end.After(first.Add(timeSlack)) {
@@ -107,7 +110,8 @@
 	}
 }
 
-// recordDrainCommitment records that a worker was told that it gets nothing new.
+// recordDrainCommitment records that a node has acknowledged the drain of a worker, which
+// must get no new requests from then on.
 func (l *ledger) recordDrainCommitment(instance string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,8 +121,8 @@
 	}
 }
 
-// forgetReported forgets what nodes were told before, and nobody knows any more: promises, and which
-// requests crash their workers.
+// forgetReported forgets the drain commitments and crashing requests, when the nodes have lost
+// the records of them that were reported before.
 func (l *ledger) forgetReported() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -126,7 +130,8 @@
 	clear(l.crashing)
 }
 
-// recordOutcome records what a caller was recordOutcome.
+// recordOutcome records the outcome that a caller was given. Status 0 stands for a call
+// without a complete response.
 func (l *ledger) recordOutcome(id string, status int, body string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -168,7 +173,7 @@
 	l.mutex.Unlock()
 }
 
-// fail records a violation that the run as a whole has shown.
+// fail records a violation that was found outside the ledger's own checks.
 func (l *ledger) fail(format string, arguments ...any) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/lab/soak/ledger_test.go
+++ b/internal/lab/soak/ledger_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestLedgerDetectsEachViolation enters what must never happen and expects
-// each to be told.
+// TestLedgerDetectsEachViolation records, one at a time, the events that must never
+// happen, and expects one violation for each.
 func TestLedgerDetectsEachViolation(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, test := range map[string]struct {
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -19,7 +19,7 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// dialect is what callers and workers of the soak speak.
+// dialect names the headers that callers and workers of the soak use.
 var dialect = forwarding.Dialect{
 	RequestID: "X-Request", Timeout: "X-Timeout", CallerService: "X-Caller", ExpectInstance: "X-Expect", NotRun: "X-Not-Run",
 	Key: httpleg.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant", Parent: parentOf, WorkerLoad: workerLoad,
@@ -50,20 +50,21 @@
 	registrar    sidecar.Registrar
 	worker       *worker
 	incarnations int
-	lowest       uint64 // version seen in force in this life
-	// suspended is the last time for which the machine was; nil when it never was.
+	lowest       uint64 // lowest version that may be in force, in this incarnation of the node
+	// suspended is the last suspension of the machine; nil if there was none.
 	suspended atomic.Pointer[suspension]
-	// workerCrashed is called when the worker has crashed by itself.
+	// workerCrashed is called when the worker has crashed under a request.
 	workerCrashed atomic.Pointer[func()]
 }
 
-// suspension is a time for which a machine stood still.
+// suspension is a period in which a machine was suspended.
 type suspension struct {
 	until    time.Time
 	duration time.Duration
 }
 
-// suspendedSince returns for how long the machine was suspended since a moment.
+// suspendedSince returns the length of the machine's last suspension if it ended after a
+// moment, and 0 otherwise.
 func (m *machine) suspendedSince(since time.Time) time.Duration {
 	last := m.suspended.Load()
 	if last == nil || since.After(last.until) {
@@ -72,7 +73,7 @@
 	return last.duration
 }
 
-// newMachine reserves the addresses of a machine, which outlast its processes.
+// newMachine returns a machine with reserved addresses, which outlast its processes.
 func newMachine(id, zone string, network MachineNetwork, store *hostedstore.Store, l *ledger) (*machine, error) {
 	m := &machine{id: id, zone: zone, network: network, store: store, ledger: l}
 	for _, address := range []*string{&m.control, &m.call, &m.callers, &m.probes} {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// endNode ends the node, as planned or as a crash does.
+// endNode ends the node, either by a planned stop or as a crash would.
 func (m *machine) endNode(planned bool) {
 	m.mutex.Lock()
 	node, stop, ended := m.node, m.stop, m.ended
@@ -157,7 +158,7 @@
 	return m.registrar
 }
 
-// startNextWorker starts the next life of the worker and returns the one before.
+// startNextWorker starts the next incarnation of the worker and returns the previous one.
 func (m *machine) startNextWorker() (*worker, error) {
 	m.incarnations++
 	before := m.worker
@@ -173,7 +174,7 @@
 	return before, nil
 }
 
-// ready reports whether the node says that callers may come.
+// ready reports whether the node's readiness probe reports that it accepts callers.
 func (m *machine) ready(client *http.Client) bool {
 	response, err := client.Get("http://" + m.probes)
 	if err != nil {
--- a/internal/lab/soak/network.go
+++ b/internal/lab/soak/network.go
@@ -9,11 +9,11 @@
 	"github.com/levertide/levertide/internal/sidecar"
 )
 
-// Network is what the machines and the callers of a soak are connected by.
+// Network connects the machines and the callers of a soak.
 type Network interface {
-	// Machine returns the network as the n-th machine has it.
+	// Machine returns the network as the n-th machine sees it.
 	Machine(n int) MachineNetwork
-	// Callers returns the network as the callers have it.
+	// Callers returns the network as the callers see it.
 	Callers() sidecar.Network
 	// Cut cuts a machine off from another one, until Heal. It reports false when
 	// this network cannot be cut.
@@ -29,13 +29,13 @@
 	sidecar.Network
 	// Reserve returns an IP:port that outlasts the machine's processes.
 	Reserve() (string, error)
-	// AnyPort is the address to listen on where the port does not matter.
+	// AnyPort returns the address to listen on when any free port will do.
 	AnyPort() string
 }
 
-// Loopback is the machine's own network. Each machine of a soak has a loopback
-// address of its own, which no other process uses: the ports that a restarted node
-// comes back to are never taken by a connection or a listener of somebody else.
+// Loopback is the loopback network of the host. Each machine of a soak has a loopback
+// address of its own, which no other process uses: the ports of a node are never
+// taken by a connection or listener of another process while the node restarts.
 type Loopback struct{ sidecar.TCP }
 
 var _ Network = Loopback{}
@@ -45,8 +45,8 @@
 	return &loopbackMachine{TCP: l.TCP, host: loopbackHost(os.Getpid(), n), reserved: map[string]bool{}}
 }
 
-// loopbackHost returns the address of a machine of a process: 127.2 and up, since
-// connections come from 127.0.0.1 and most listeners are there.
+// loopbackHost returns the address of a machine of a process. It is in 127.2.0.0 or
+// above, since connections come from 127.0.0.1 and most listeners are there.
 func loopbackHost(pid, n int) string {
 	const (
 		first    = 2
@@ -102,7 +102,7 @@
 // NewInMemory returns an InMemory on the given network.
 func NewInMemory(network *memnet.Network) InMemory { return InMemory{network: network} }
 
-// callersHost is the address of the callers; machines have higher ones.
+// callersHost is the address of the callers; those of machines are higher.
 const callersHost = "10.0.0.1"
 
 // hostsPerNetwork is how many machines share the first three bytes of an address.
--- a/internal/lab/soak/options.go
+++ b/internal/lab/soak/options.go
@@ -8,17 +8,17 @@
 
 var namespace = errorx.NewNamespace("levertide.soak").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrViolations tells that something that must always hold did not.
+// ErrViolations is returned when a rule that must always hold was violated.
 var ErrViolations = namespace.NewType("violations")
 
-// ErrStart tells that the deployment could not be started.
+// ErrStart is returned when the deployment could not be started.
 var ErrStart = namespace.NewType("start")
 
 // Options set up a run.
 type Options struct {
 	// Seed decides the faults.
 	Seed uint64
-	// Duration is how long faults strike.
+	// Duration is how long faults are injected.
 	Duration time.Duration
 	// Machines is how many nodes there are, each beside a worker.
 	Machines int
@@ -28,7 +28,7 @@
 	RunTime time.Duration
 	// Network connects the machines; nil takes Loopback.
 	Network Network
-	// Log is told of faults; nil means that nobody is.
+	// Log receives a line for each fault; nil discards them.
 	Log func(format string, arguments ...any)
 }
 
@@ -62,24 +62,25 @@
 	return o
 }
 
-// Report is what a run has shown.
+// Report is the result of a run.
 type Report struct {
 	Seed    uint64 `json:"seed"`
 	Calls   int    `json:"calls"`
 	Served  int    `json:"served"`
 	Refused int    `json:"refused"`
 	Unknown int    `json:"unknown"`
-	// Unauthenticated are the tries that were refused for their key.
+	// Unauthenticated counts the attempts that were refused because of their key.
 	Unauthenticated  int `json:"unauthenticated"`
 	Runs             int `json:"runs"`
 	Faults           int `json:"faults"`
 	Documents        int `json:"documents"`
 	DrainCommitments int `json:"promises"`
-	// Crashes are workers that ended under a request, Quarantined the tries of such
-	// requests that were refused for good.
+	// Crashes counts the workers that crashed under a crashing request, Quarantined the
+	// attempts of such requests that were refused as quarantined.
 	Crashes     int `json:"crashes"`
 	Quarantined int `json:"quarantined"`
-	// QuarantinedWrongly are the tries of innocent requests that were.
+	// QuarantinedWrongly counts the attempts of other requests that were refused as
+	// quarantined.
 	QuarantinedWrongly int      `json:"wronged"`
 	Violations         []string `json:"violations"`
 }
--- a/internal/lab/soak/restored.go
+++ b/internal/lab/soak/restored.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// longestRewrite bounds how long operators take to write again what a store lacks that
-	// came back from a copy.
+	// longestRewrite bounds how long operators take to write their documents again after
+	// the store was restored from a copy that lacks them.
 	longestRewrite = 2 * time.Second
-	// rewriteTime is how long nodes have to write their entries again.
+	// rewriteTime is how long nodes have to write their entries again after a restore.
 	rewriteTime = 3 * time.Second
 )
 
-// restoreStore has the store away for a moment and come back from a copy, twice at times; the
-// operators write their newest document again in their own time.
+// restoreStore makes the store unresponsive for a time and then restores it from a copy,
+// sometimes twice; the operators write their newest document again after a random delay.
 func (f *faults) restoreStore(ctx context.Context, away time.Duration) {
 	saved, again := f.saved, f.random.IntN(3) == 0
 	rewrite := time.Duration(f.random.Int64N(int64(longestRewrite)))
-	f.options.Log("store: away for %v, back from a copy, again %t, written again %v later", away, again, rewrite)
+	f.options.Log("store: unresponsive for %v, then restored from a copy, restored twice %t, written again %v later", away, again, rewrite)
 	f.store.SetFaults("", hostedstore.Faults{Silent: true})
 	f.running.Go(func() {
 		wait(ctx, away)
@@ -36,7 +36,7 @@
 	})
 }
 
-// restore has the store come back from a copy.
+// restore restores the store from a copy.
 func (f *faults) restore(saved *hostedstore.Copy) {
 	f.mutex.Lock()
 	f.restoredAt = time.Now()
@@ -48,20 +48,21 @@
 	}
 }
 
-// forgetIfRestored tells the ledger of a crash of several nodes while the store lacks what they
-// knew: what they were told before is known to nobody any more, but to the workers.
+// forgetIfRestored is called when several nodes crash and when the store is restored while
+// several have faults. If the restored store still lacks the nodes' entries, the ledger
+// forgets what was reported to them before: only the workers still know of it.
 func (f *faults) forgetIfRestored() {
 	f.mutex.Lock()
 	lacking := time.Since(f.restoredAt) < rewriteTime
 	f.mutex.Unlock()
 	if lacking {
-		f.options.Log("what nodes were told is lost: the store came back from a copy while several nodes crashed")
+		f.options.Log("reports to nodes are lost: the store was restored from a copy while several nodes crashed")
 		f.ledger.forgetReported()
 	}
 }
 
-// restartWithLateHeartbeats has the worker crash and start again, and heartbeats of its former life come
-// after those of the new one.
+// restartWithLateHeartbeats crashes the worker and starts it again, and sends heartbeats of its
+// previous incarnation after those of the new one.
 func (f *faults) restartWithLateHeartbeats(ctx context.Context, m *machine) {
 	m.worker.kill()
 	previous, err := m.startNextWorker()
@@ -73,16 +74,17 @@
 	previous.sendLateHeartbeats(ctx, m)
 }
 
-// foreignEntries has another program write where nodes keep their entries.
+// foreignEntries writes entries where nodes store theirs, as another program might.
 func (f *faults) foreignEntries() {
-	f.options.Log("entries of another writer")
+	f.options.Log("store: foreign entries written where nodes store theirs")
 	for n, content := range []string{"", "{}", "\xff\x00", `{"state":"dancing"}`} {
 		f.store.PutForeign(fmt.Sprint("foreign", n), []byte(content))
 	}
 }
 
-// loseDrainCommitment lets a worker leave, has the store come back from a copy that lacks the promise,
-// and then crashes all nodes: what nodes have written again is all that is left of it.
+// loseDrainCommitment drains a worker, restores the store from a copy that lacks the drain
+// commitment, and then crashes all nodes: only the entries that nodes have written again
+// since the restore still hold it.
 func (f *faults) loseDrainCommitment(ctx context.Context, m *machine) {
 	saved := f.store.Copy()
 	leaving := m.worker
--- a/internal/lab/soak/simulated_test.go
+++ b/internal/lab/soak/simulated_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
 // With the race detector, Go 1.26.8 crashes in a bubble when a timer is already due
-// as its channel is selected; scripts/go-test.sh plays these tests without it.
+// as its channel is selected; scripts/go-test.sh runs these tests without it.
 
 package soak
 
@@ -15,23 +15,24 @@
 	"github.com/levertide/levertide/internal/lab/memnet"
 )
 
-// How many seeds TestNothingBreaksOnSimulatedTime plays, from which on, and for how
-// long each: CI takes the defaults, a longer search gives others.
+// The number of seeds that TestNothingBreaksOnSimulatedTime runs, the first of them, and
+// the simulated time of each. CI uses the defaults, a longer search sets others.
 var (
 	seeds     = flag.Uint64("seeds", 4, "seeds to play")
 	firstSeed = flag.Uint64("first-seed", 1, "the first of them")
 	length    = flag.Duration("length", 10*time.Second, "simulated time of each")
 )
 
-// TestNothingBreaksOnSimulatedTime runs longer soaks, with cuts, on a network in
-// memory and a clock that passes as fast as the program allows.
+// TestNothingBreaksOnSimulatedTime runs longer soaks, with cuts, on an in-memory
+// network and a simulated clock that advances as fast as the program allows.
 func TestNothingBreaksOnSimulatedTime(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				network := NewInMemory(memnet.New(500 * time.Microsecond))
-				// Time stands still once the test has ended: what still dials must end before.
+				// The clock of the bubble stops once the test has ended, so dials in
+				// progress must end before that.
 				defer time.Sleep(time.Minute)
 				began := time.Now()
 				timed := func(format string, arguments ...any) {
--- a/internal/lab/soak/slowness.go
+++ b/internal/lab/soak/slowness.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// fastWorker and slowWorker are how long work takes at a worker of either kind,
-	// relative to the usual.
+	// fastWorker and slowWorker are the run times of the two kinds of workers, relative
+	// to Options.RunTime.
 	fastWorker = 0.5
 	slowWorker = 1.25
-	// slowPeriod, spellShare and spellFactor are how long a worker is slower than its own
-	// usual at a time, in which share of the times and how much.
+	// slowPeriod, slowPeriodShare and slowPeriodFactor describe slow periods: time is divided
+	// into periods of this length, in this share of them the worker is slower than its
+	// own usual, and by this factor.
 	slowPeriod       = 600 * time.Millisecond
 	slowPeriodShare  = 0.15
 	slowPeriodFactor = 2.5
@@ -25,10 +26,10 @@
 	slownessUnits  = 100
 )
 
-// slowness is how long work takes at a worker.
+// slowness is a worker's run time relative to Options.RunTime, which varies over time.
 type slowness struct {
 	usual float64
-	// reported is whether the worker tells it.
+	// reported is set if the worker reports its slowness.
 	reported bool
 
 	mu     sync.Mutex
@@ -36,7 +37,7 @@
 	until  time.Time
 }
 
-// newSlowness draws the kind of a worker. One of four tells nothing.
+// newSlowness draws the kind of a worker. One of four does not report its slowness.
 func newSlowness() *slowness {
 	s := &slowness{usual: slowWorker, reported: rand.IntN(4) > 0}
 	if rand.IntN(2) == 0 {
@@ -58,14 +59,14 @@
 	return s.usual * s.factor
 }
 
-// report writes the slowness into an answer.
+// report writes the slowness into the header of an answer, if the worker reports it.
 func (s *slowness) report(header http.Header, now time.Time) {
 	if s.reported {
 		header.Set(slownessHeader, strconv.Itoa(int(slownessUnits*s.at(now))))
 	}
 }
 
-// workerLoad reads what workers of the soak tell of themselves.
+// workerLoad reads the load that workers of the soak report in their answers.
 func workerLoad(header http.Header) (slotqueue.Load, bool) {
 	hundredths, err := strconv.Atoi(header.Get(slownessHeader))
 	return slotqueue.Load{Slots: workerSlots, Slowness: float64(hundredths) / slownessUnits}, err == nil
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -14,15 +14,15 @@
 
 const (
 	zones = 3
-	// settleBound is how long the deployment may take to start, and after the
-	// last fault to be whole again. It is meant for busy machines; it takes a
-	// second or two otherwise.
+	// settleBound is how long the deployment may take to start, and to recover
+	// completely after the last fault. It allows for busy machines; otherwise a second
+	// or two are enough.
 	settleBound    = 60 * time.Second
 	settleInterval = 20 * time.Millisecond
 )
 
-// Run starts a deployment, lets faults strike while callers call, and checks what
-// must hold at each moment and in the end.
+// Run starts a deployment, injects faults while callers send requests, and checks the
+// rules that must hold at each moment and those that must hold in the end.
 func Run(ctx context.Context, options Options) (Report, error) {
 	run := newSoak(options)
 	defer run.end()
@@ -57,7 +57,7 @@
 	return s
 }
 
-// faults returns what strikes the machines. It must be called once, after start.
+// faults returns the injector of faults. It must be called once, after start.
 func (s *soak) faults() *faults {
 	f := &faults{
 		options: s.options, random: rand.New(rand.NewPCG(s.options.Seed, s.options.Seed)),
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// play lets callers call and faults strike for the length of the run.
+// play has callers send requests and injects faults for the duration of the run.
 func (s *soak) play(ctx context.Context, injector *faults) {
 	s.callWhile(ctx, func() {
 		bounded, cancel := context.WithTimeout(ctx, s.options.Duration)
@@ -101,7 +101,7 @@
 	})
 }
 
-// callWhile lets callers call until the work is done.
+// callWhile has callers send requests until work returns.
 func (s *soak) callWhile(ctx context.Context, work func()) {
 	calling, stopCalling := context.WithCancel(ctx)
 	defer stopCalling()
@@ -115,7 +115,8 @@
 	callers.Wait()
 }
 
-// watchVersions checks that no node goes back within a life.
+// watchVersions checks that no node goes back to an older version within one
+// incarnation.
 func (s *soak) watchVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, m := range s.machines {
@@ -136,7 +137,7 @@
 }
 
 // checkSettled checks that after the last fault each node has the last version in
-// force and serves calls.
+// force, accepts its keys alone and serves calls, and that each worker gets requests.
 func (s *soak) checkSettled(version uint64) {
 	s.options.Network.Heal()
 	s.store.SetFaults("", hostedstore.Faults{})
@@ -162,8 +163,9 @@
 	}
 }
 
-// saturate sends one machine more requests at a time than the slots of all workers but one can take:
-// one at a time, its node may take another worker for the faster one each time.
+// saturate sends one machine more requests at a time than all workers but its own have slots, so
+// that this worker must get some. If they came one at a time, the node might pick another
+// worker, as a faster one, each time.
 func (s *soak) saturate(m *machine, version uint64) {
 	var requests sync.WaitGroup
 	for range len(s.machines) * workerSlots * 2 {
@@ -172,8 +174,8 @@
 	requests.Wait()
 }
 
-// checkRestore has the store come back from a copy once more, and checks that the operators' next
-// document is in force on each node.
+// checkRestore restores the store from a copy once more, and checks that the next document of
+// the operators comes into force on each node.
 func (s *soak) checkRestore(injector *faults) {
 	s.store.Restore(injector.saved)
 	s.store.Rewrite()
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestNothingBreaksUnderFaults runs a short soak. What it checks holds at every
-// moment, however fast the machine is.
+// TestNothingBreaksUnderFaults runs a short soak. The rules that it checks hold at
+// every moment, however fast the machine is.
 func TestNothingBreaksUnderFaults(t *testing.T) {
 	report, err := Run(t.Context(), Options{Seed: 3, Duration: 4 * time.Second, Log: t.Logf})
 	if err != nil {
@@ -16,7 +16,8 @@
 	checkReport(t, report)
 }
 
-// checkReport fails the test for each violation, and when the run shows nothing.
+// checkReport fails the test for each violation, and when no call was served or no
+// fault injected, as the run shows nothing then.
 func checkReport(t *testing.T, report Report) {
 	t.Helper()
 	for _, violation := range report.Violations {
@@ -27,8 +28,8 @@
 	}
 }
 
-// TestReservedAddressesAreOfOneMachine reserves many addresses: none is given twice,
-// and none is where connections and other listeners are.
+// TestReservedAddressesAreOfOneMachine reserves many addresses for several machines: none is
+// given twice, and none is on 127.0.0.1, where connections and other listeners are.
 func TestReservedAddressesAreOfOneMachine(t *testing.T) {
 	given := map[string]bool{}
 	for n := range 12 {
--- a/internal/lab/soak/tenants.go
+++ b/internal/lab/soak/tenants.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// statusUnauthenticated is what a caller is told whose key no tenant holds.
+	// statusUnauthenticated is the status that a caller gets whose key no tenant holds.
 	statusUnauthenticated = http.StatusUnauthorized
-	// unknownCallerPrefix begins the ids of requests whose callers have no key that any version knows.
+	// unknownCallerPrefix begins the ids of requests from unknown callers, whose key is in no
+	// version.
 	unknownCallerPrefix = "stranger-"
 	unknownKey          = "key-of-nobody"
-	// unknownCallerShare is the share of the requests that come from them, and nestedShare the
-	// share of the runs in which a worker calls another one.
+	// unknownCallerShare is the share of the requests that come from unknown callers, and
+	// nestedShare the share of the runs in which a worker calls another one.
 	unknownCallerShare = 0.05
 	nestedShare        = 0.1
 	nestedSuffix       = "/nested"
 )
 
-// tenantNames are the tenants of all versions. The first one has a key of its own in each
-// version, which comes and goes with it.
+// tenantNames are the tenants of all versions. The first one has an additional key in each
+// version, which is valid in that version only.
 var tenantNames = []string{"acme", "zenith"}
 
 func lastingKey(tenant string) string { return "key-of-" + tenant }
@@ -45,8 +46,8 @@
 	return resources
 }
 
-// tenantOf returns whose the requests for a path are: a request in the same words comes from
-// one tenant, and what a worker calls for it is that tenant's, too.
+// tenantOf returns the tenant that sends the requests for a path. Identical requests come
+// from one tenant, and the nested calls of workers for them belong to that tenant, too.
 func tenantOf(path string) string {
 	if strings.HasPrefix(path, "/version-") {
 		return tenantNames[0]
@@ -56,7 +57,7 @@
 	return tenantNames[hash.Sum32()%uint32(len(tenantNames))]
 }
 
-// keyOf returns the key that the caller of a request gives; workers give none.
+// keyOf returns the key that the caller of a request presents; workers present none.
 func keyOf(path, id string) string {
 	switch {
 	case strings.HasPrefix(id, unknownCallerPrefix):
@@ -68,7 +69,8 @@
 	}
 }
 
-// checkTenant checks what a worker sees of the caller.
+// checkTenant checks which tenant and key a worker is shown for a request: the caller's
+// tenant, not the forged one that the caller sent, and no key.
 func (w *worker) checkTenant(r *http.Request) {
 	id, reported := r.Header.Get(dialect.RequestID), r.Header[dialect.Tenant]
 	if strings.HasPrefix(id, unknownCallerPrefix) {
@@ -82,7 +84,8 @@
 	}
 }
 
-// callNested has the worker call another one for the request that it runs, by the node beside it.
+// callNested has the worker call another one for the request that it runs, through the node
+// beside it. The call needs no key of its own while its parent request runs.
 func (w *worker) callNested(ctx context.Context, m *machine, r *http.Request) {
 	began := time.Now()
 	id := fmt.Sprintf("%s/%d", r.Header.Get(dialect.RequestID), w.runs.Load())
@@ -98,7 +101,8 @@
 	w.ledger.recordOutcome(id, status, body)
 }
 
-// acceptsOnlyCurrentKey reports whether a machine takes the key of a version and refuses that of the one before.
+// acceptsOnlyCurrentKey reports whether a machine accepts the key of a version and refuses
+// that of the version before it.
 func (s *soak) acceptsOnlyCurrentKey(m *machine, version uint64) bool {
 	statusWithKey := func(key string) int {
 		id := fmt.Sprintf("key-%s-%d", m.id, s.checks.Add(1))
--- a/internal/lab/soak/worker.go
+++ b/internal/lab/soak/worker.go
@@ -18,19 +18,20 @@
 	serviceName       = "ledger"
 	workerSlots       = 4
 	heartbeatInterval = 100 * time.Millisecond
-	// lateHeartbeats is how many heartbeats of a worker that leaves are sent after
-	// the time in which requests may still arrive.
+	// lateHeartbeats is how many heartbeat intervals a leaving worker keeps running after
+	// the time in which requests may still arrive, and how many heartbeats of an ended
+	// incarnation are sent late.
 	lateHeartbeats = 10
-	// staleHeartbeatShare is how often an old heartbeat is sent again.
+	// staleHeartbeatShare is the chance, at each heartbeat, that the one before it is sent again.
 	staleHeartbeatShare = 0.1
 )
 
-// answerTo is the whole answer to a request.
+// answerTo returns the complete answer to a request.
 func answerTo(id string) string { return "answer to " + id }
 
-// worker is one life of a worker.
+// worker is one incarnation of a worker.
 type worker struct {
-	// incarnation is that of this life. The next one may have the same instance.
+	// incarnation identifies this worker. The next incarnation may have the same instance.
 	incarnation workers.Incarnation
 	runTime     time.Duration
 	slowness    *slowness
@@ -39,24 +40,24 @@
 	address     string
 	sequence    atomic.Uint64
 	draining    atomic.Bool
-	// heartbeatsPaused holds back heartbeats.
+	// heartbeatsPaused suppresses heartbeats.
 	heartbeatsPaused atomic.Bool
-	// crashed is set when the worker has crashed by itself, and tellCrash is called then.
+	// crashed is set when the worker has crashed under a request, and reportCrash is called then.
 	crashed     atomic.Bool
 	reportCrash func()
-	// machine is where the worker runs, client what it calls others with.
+	// machine is the machine on which the worker runs, client sends its nested calls.
 	machine *machine
 	client  *http.Client
-	// runs counts the requests that the worker has begun.
+	// runs counts the requests that the worker has begun to run.
 	runs atomic.Uint64
-	// lostAnswerPercent is the share of answers that are lost after the run.
+	// lostAnswerPercent is the percentage of answers that are lost after the run.
 	lostAnswerPercent atomic.Uint32
 	end               context.CancelFunc
 	ended             sync.WaitGroup
 }
 
-// startWorker starts a life of the worker beside a machine, whose node is asked
-// for at each heartbeat.
+// startWorker starts an incarnation of a machine's worker. It looks up the machine's
+// node at each heartbeat, as the node may have been restarted.
 func startWorker(incarnation workers.Incarnation, l *ledger, m *machine) (*worker, error) {
 	opened, err := m.network.Listen(m.network.AnyPort())
 	if err != nil {
@@ -75,7 +76,7 @@
 	return w, nil
 }
 
-// ServeHTTP runs a request.
+// ServeHTTP implements http.Handler: it runs a request.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(dialect.RequestID)
 	if expected := r.Header.Get(dialect.ExpectInstance); expected != w.incarnation.Instance {
@@ -102,7 +103,7 @@
 	_, _ = io.WriteString(out, answerTo(id))
 }
 
-// runCrashing ends the worker under a request, after a time.
+// runCrashing crashes the worker crashDelay after it has begun a crashing request.
 func (w *worker) runCrashing(path string) {
 	w.ledger.recordCrashingRun(path, time.Now())
 	time.Sleep(crashDelay)
@@ -113,8 +114,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// sendHeartbeats sends heartbeats to the node beside the worker, and now and then an old
-// one again.
+// sendHeartbeats sends heartbeats to the node beside the worker, and from time to time
+// repeats an old one.
 func (w *worker) sendHeartbeats(ctx context.Context, m *machine) {
 	for ctx.Err() == nil {
 		if !w.heartbeatsPaused.Load() {
@@ -145,7 +146,7 @@
 	}
 }
 
-// leave has the worker drain, and then ends it.
+// leave drains the worker, and ends it once no more requests should arrive.
 func (w *worker) leave(ctx context.Context) {
 	w.draining.Store(true)
 	select {
@@ -155,7 +156,7 @@
 	w.kill()
 }
 
-// kill ends the worker without a word.
+// kill ends the worker without draining it or reporting its end.
 func (w *worker) kill() {
 	w.end()
 	_ = w.server.Close()
@@ -163,11 +164,13 @@
 	w.ended.Wait()
 }
 
-// instanceName names the instance of a life of a machine's worker: each second one starts again
-// under the instance of the life before.
+// instanceName returns the instance name of a worker's incarnation with the given number.
+// Incarnations 2n and 2n+1 share a name, so that every second one starts under the
+// instance of the one before.
 func instanceName(machine string, number int) string { return fmt.Sprintf("%s-%d", machine, number/2) }
 
-// sendLateHeartbeats sends heartbeats of a life that has ended, which come late.
+// sendLateHeartbeats sends heartbeats of an incarnation that has ended, as if they had
+// been delayed.
 func (w *worker) sendLateHeartbeats(ctx context.Context, m *machine) {
 	for n := range uint64(lateHeartbeats) {
 		w.send(ctx, m, w.sequence.Load()+n, n%2 == 0)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -187,13 +187,13 @@
 	if seed == a.node {
 		return
 	}
-	records := []membership.Record{a.self}
+	announced := []membership.Record{a.self}
 	if held, found := a.table.Get(seed.id); found {
-		records = append(records, held)
+		announced = append(announced, held)
 	}
 	a.world.network.call(a.node, seed, "members", callTimeout,
 		func(answer func(any)) {
-			seed.agent.learn(records)
+			seed.agent.learn(announced)
 			records, _ := seed.agent.table.Since(0)
 			answer(records)
 		},
