--- a/internal/forwarding/charge_test.go
+++ b/internal/forwarding/charge_test.go
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/pkg/quota"
 )
 
-// testQuota admits as many requests as it is told.
+// testQuota admits as many requests as left says.
 type testQuota struct {
 	mu             sync.Mutex
 	left           int
@@ -40,15 +40,15 @@
 	q.given++
 }
 
-// TestQuotaIsAsked counts what calls take from the limit of their tenant.
-func TestQuotaIsAsked(t *testing.T) {
+// TestCallsAreCharged counts the calls charged to the limit of their tenant.
+func TestCallsAreCharged(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
 	limits := &testQuota{left: 2, retryAfterTime: 700 * time.Millisecond}
 	node.plane.config.Quota = limits
-	acme := holding(markedKey)
+	acme := tenantWithKeys(markedKey)
 	acme.Rate, acme.Burst = 5, 3
-	configureTenants(t, 1, map[string]*model.Tenant{"acme": acme, "free": holding("k2")}, node)
+	configureTenants(t, 1, map[string]*model.Tenant{"acme": acme, "free": tenantWithKeys("k2")}, node)
 	expect := func(what string, status, wantStatus, taken, given int) {
 		t.Helper()
 		limits.mu.Lock()
@@ -90,12 +90,13 @@
 	}
 }
 
-// TestWorkersCallsTakeNoQuota has a worker call while the limit of the tenant is used up.
+// TestWorkersCallsTakeNoQuota makes a worker send a nested call while the limit of the tenant is
+// used up.
 func TestWorkersCallsTakeNoQuota(t *testing.T) {
 	worker := startWorker(t)
 	node := startTenantNode(t, "a", "ledger", worker)
 	node.plane.config.Quota = &testQuota{left: 1}
-	acme := holding(markedKey)
+	acme := tenantWithKeys(markedKey)
 	acme.Rate = 1
 	configureTenants(t, 1, map[string]*model.Tenant{"acme": acme}, node)
 	worker.answer(func(_ http.ResponseWriter, r *http.Request) {
@@ -111,19 +112,19 @@
 	}
 }
 
-// TestRefusedCallersReturnInTime has callers of a tenant refused whose turn is too late for
-// them: each is told to come back while its answer can still be in time.
+// TestRefusedCallersReturnInTime refuses callers of a tenant whose turn comes too late for them:
+// each is given a retry time with which its answer can still be in time.
 func TestRefusedCallersReturnInTime(t *testing.T) {
 	const spare = 140 * time.Millisecond
 	for _, draw := range []float64{0, 0.5, 0.999} {
-		if wait := returnInTime(time.Second, spare, draw); wait < shortestRetryAfter || wait >= spare {
+		if wait := quotaRetryAfter(time.Second, spare, draw); wait < shortestRetryAfter || wait >= spare {
 			t.Errorf("draw %v: %v", draw, wait)
 		}
 	}
-	if wait := returnInTime(spare/2, spare, 0.5); wait != spare/2 {
-		t.Errorf("a turn in time is told as %v", wait)
+	if wait := quotaRetryAfter(spare/2, spare, 0.5); wait != spare/2 {
+		t.Errorf("retry after %v for a turn that is in time", wait)
 	}
-	if wait := returnInTime(time.Second, 0, 0.5); wait != time.Second {
-		t.Errorf("a caller that cannot be in time is told %v", wait)
+	if wait := quotaRetryAfter(time.Second, 0, 0.5); wait != time.Second {
+		t.Errorf("retry after %v for a caller that cannot be in time", wait)
 	}
 }
--- a/internal/forwarding/busy_test.go
+++ b/internal/forwarding/inheritedrequests_test.go
@@ -10,9 +10,9 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// TestWorkOfAFormerLifeKeepsItsSlots restarts a node beside a worker of four slots that still
-// has three requests of the node's former life, and two of these a while later.
-func TestWorkOfAFormerLifeKeepsItsSlots(t *testing.T) {
+// TestInheritedRequestsKeepTheirSlots restarts a node beside a worker of four slots that still
+// runs three requests of the node's previous incarnation, and two of these a while later.
+func TestInheritedRequestsKeepTheirSlots(t *testing.T) {
 	worker := startWorker(t)
 	node := startNode(t, "a", "ledger", nil)
 	configure(t, ledgerRoutes, node)
@@ -50,7 +50,7 @@
 			t.Errorf("status %d", status)
 		}
 		if got := slots(); got != c.want {
-			t.Errorf("%d slots when the worker tells of %d more requests, want %d", got, held, c.want)
+			t.Errorf("%d slots when the worker reports %d more requests, want %d", got, held, c.want)
 		}
 	}
 }
--- a/internal/forwarding/local.go
+++ b/internal/forwarding/local.go
@@ -8,17 +8,17 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// localWorkers are the ways to the workers beside this node.
+// localWorkers holds the connections to the workers beside this node.
 type localWorkers struct {
 	plane *Plane
 	mutex sync.Mutex
-	// legs are by instance, each of one life of it.
-	legs map[string]*workerLeg
+	// connections are by instance, each to one incarnation of it.
+	connections map[string]*workerConnection
 }
 
-// find returns the way to the worker that takes the requests of a service. A life whose
-// instance is not empty must be that worker's.
-func (l *localWorkers) find(service string, life workers.Incarnation) (*workerLeg, error) {
+// find returns the connection to the worker that takes the requests of a service. An incarnation
+// whose instance is not empty must be that worker's.
+func (l *localWorkers) find(service string, incarnation workers.Incarnation) (*workerConnection, error) {
 	if l.plane.stopping.Load() {
 		return nil, outcome.New(outcome.Draining)
 	}
@@ -26,43 +26,43 @@
 		return nil, outcome.New(outcome.NotReady)
 	}
 	worker, ok := l.plane.config.Workers.Ready(service)
-	if !ok || life.Instance != "" && !life.Same(worker.Incarnation()) {
+	if !ok || incarnation.Instance != "" && !incarnation.Same(worker.Incarnation()) {
 		return nil, outcome.New(outcome.NoWorker)
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	leg, known := l.known(worker)
+	connection, known := l.known(worker)
 	if !known {
-		leg = l.plane.newWorkerLeg(worker)
-		l.legs[worker.Instance] = leg
+		connection = l.plane.newWorkerConnection(worker)
+		l.connections[worker.Instance] = connection
 	}
-	return leg, nil
+	return connection, nil
 }
 
-// known returns the way to a worker. One to a former life of the same instance is closed
-// and forgotten: its connections, requests and failures are not the new life's. The mutex
-// is held.
-func (l *localWorkers) known(worker workers.Worker) (*workerLeg, bool) {
-	leg, known := l.legs[worker.Instance]
+// known returns the connection to a worker. One to a previous incarnation of the same instance is
+// closed and removed: its connections, requests and failures do not belong to the new
+// incarnation. The mutex must be held.
+func (l *localWorkers) known(worker workers.Worker) (*workerConnection, bool) {
+	connection, known := l.connections[worker.Instance]
 	if !known {
 		return nil, false
 	}
-	if leg.isOf(worker.Incarnation()) {
-		return leg, true
+	if connection.isOf(worker.Incarnation()) {
+		return connection, true
 	}
-	leg.close()
-	delete(l.legs, worker.Instance)
+	connection.close()
+	delete(l.connections, worker.Instance)
 	return nil, false
 }
 
-// load sums up what the workers hold; Hold is left out, and Slowness is that of the
+// load returns the sum of the loads of the workers; Hold is left out, and Slowness is that of the
 // slowest.
 func (l *localWorkers) load() slotqueue.Load {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var sum slotqueue.Load
-	for _, leg := range l.legs {
-		load := leg.load()
+	for _, connection := range l.connections {
+		load := connection.load()
 		sum.Running += load.Running
 		sum.Waiting += load.Waiting
 		sum.Slots += load.Slots
@@ -71,9 +71,9 @@
 	return sum
 }
 
-// Update brings the ways to the workers in line with their registrations. It
-// must be called after each change, before the change is acknowledged: from
-// then on, a worker that was promised to be left alone gets nothing new.
+// Update updates the connections to the workers to match their registrations. It must be called
+// after each change, before the change is acknowledged: from then on, a worker with a drain
+// commitment gets no new calls.
 func (p *Plane) Update(registered []workers.Worker) {
 	p.local.update(registered)
 }
@@ -83,23 +83,23 @@
 	defer l.mutex.Unlock()
 	kept := make(map[string]bool, len(registered))
 	for _, worker := range registered {
-		leg, known := l.known(worker)
+		connection, known := l.known(worker)
 		if worker.State.DrainCommitted() {
 			if known {
-				leg.close()
-				delete(l.legs, worker.Instance)
+				connection.close()
+				delete(l.connections, worker.Instance)
 			}
 			continue
 		}
 		kept[worker.Instance] = true
 		if known {
-			leg.setSlots(worker.Slots)
+			connection.setSlots(worker.Slots)
 		}
 	}
-	for instance, leg := range l.legs {
+	for instance, connection := range l.connections {
 		if !kept[instance] {
-			leg.close()
-			delete(l.legs, instance)
+			connection.close()
+			delete(l.connections, instance)
 		}
 	}
 }
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -6,57 +6,57 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// join finds other nodes. It reads entries that may be a little old, which costs a tenth:
-// those that matter mostly are. When there are none, or too few while the whole mesh
-// starts, it reads what the store holds now.
+// join finds other nodes. It reads a list that may be slightly stale, which costs a tenth: the
+// entries that matter are mostly old enough to be in it. When the list has no other node, or too
+// few while the whole mesh starts, it reads the current list.
 func (a *Announcer) join(ctx context.Context) error {
 	before := a.newestEra()
 	listed, err := a.list(ctx, true)
-	if err == nil && a.seemsNew(listed) {
+	if err == nil && a.mayBeIncomplete(listed) {
 		listed, err = a.list(ctx, false)
 	}
 	if err != nil {
 		return err
 	}
 	if len(listed.nodes) >= directorySize && listed.own == nil {
-		a.meet(ctx, listed)
+		a.contact(ctx, listed)
 		return nil
 	}
 	if listed.own != nil {
-		a.meet(ctx, listed)
+		a.contact(ctx, listed)
 		a.adopt(*listed.own, before)
 		return nil
 	}
-	// Of two nodes that come at the same time, at least one must see the other:
-	// each writes before it reads.
+	// Of two nodes that start at the same time, at least one must see the other: each writes before
+	// it reads.
 	if err := a.write(ctx); err != nil {
 		return err
 	}
 	if listed, err = a.list(ctx, false); err != nil {
 		return err
 	}
-	a.meet(ctx, listed)
+	a.contact(ctx, listed)
 	return nil
 }
 
-// seemsNew reports whether a list that may be old shows so few nodes that a newer one may
-// show more.
-func (a *Announcer) seemsNew(listed listing) bool {
+// mayBeIncomplete reports whether a possibly stale list has so few nodes that a current one may
+// have more.
+func (a *Announcer) mayBeIncomplete(listed listing) bool {
 	return listed.others() == 0 || a.firstStart && listed.others() < directorySize
 }
 
-// meet hands the nodes on, and does not wait until they have answered: that is
-// bounded by itself.
-func (a *Announcer) meet(ctx context.Context, listed listing) {
-	met := make(chan struct{})
-	a.met = met
+// contact passes the nodes to onListed without waiting for it, since onListed has a time limit of
+// its own.
+func (a *Announcer) contact(ctx context.Context, listed listing) {
+	contacted := make(chan struct{})
+	a.contacted = contacted
 	go func() {
-		defer close(met)
-		a.found(context.WithoutCancel(ctx), listed.nodes, listed.own != nil)
+		defer close(contacted)
+		a.onListed(context.WithoutCancel(ctx), listed.nodes, listed.own != nil)
 	}()
 }
 
-// listing is what the store names.
+// listing is the content of the directory.
 type listing struct {
 	nodes []fleet.Node
 	// own is the entry of this node; nil when there is none.
@@ -81,28 +81,28 @@
 		case ok:
 			listed.nodes = append(listed.nodes, n)
 		default:
-			a.rejected(entry.ID)
+			a.onRejected(entry.ID)
 		}
 	}
 	return listed, nil
 }
 
-func (a *Announcer) look(ctx context.Context) error {
+func (a *Announcer) checkDirectory(ctx context.Context) error {
 	listed, err := a.list(ctx, true)
 	if err != nil {
 		return err
 	}
-	var strangers []fleet.Node
+	var unknown []fleet.Node
 	for _, n := range listed.nodes {
 		if _, known := a.table.View().Node(n.ID); !known {
-			strangers = append(strangers, n)
+			unknown = append(unknown, n)
 		}
 	}
-	if len(strangers) > 0 {
-		a.meet(ctx, listing{nodes: strangers})
+	if len(unknown) > 0 {
+		a.contact(ctx, listing{nodes: unknown})
 	}
 	if listed.others() < directorySize {
-		a.soon()
+		a.writeSoon()
 	}
 	return nil
 }
--- a/internal/telemetry/hosted_calls_test.go
+++ b/internal/telemetry/hosted_calls_test.go
@@ -11,17 +11,17 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// TestReturnedCallsAreCounted tells of callers of which some came back: the share that
-// found room is read from the metric.
-func TestReturnedCallsAreCounted(t *testing.T) {
+// TestClientRetriesAreCounted reports calls of which some are client retries: operators read
+// from the metric what share of these is answered.
+func TestClientRetriesAreCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	o := NewForwardingObserver(registry, NewLog(io.Discard, "node", LevelError), func() {})
 	answered := forwarding.CallReport{Service: "ledger", Outcome: outcome.Answered, Offers: 1}
 	o.CallFinished(answered)
-	answered.CameBack = true
+	answered.ClientRetry = true
 	o.CallFinished(answered)
 	o.CallFinished(answered)
-	o.CallFinished(forwarding.CallReport{Service: "ledger", Outcome: outcome.NotRun, Reason: outcome.Overloaded, CameBack: true})
+	o.CallFinished(forwarding.CallReport{Service: "ledger", Outcome: outcome.NotRun, Reason: outcome.Overloaded, ClientRetry: true})
 	counted := countedBy(t, registry, "returned_calls_total", labelOutcome)
 	if counted[string(outcome.Answered)] != 2 || counted[string(outcome.NotRun)] != 1 {
 		t.Errorf("counted: %v", counted)
@@ -51,8 +51,8 @@
 	return counted
 }
 
-// TestRetriesAndHeldCallsAreCounted tells of calls that were tried again, and of one that
-// waited for its node.
+// TestRetriesAndHeldCallsAreCounted reports calls that were retried, and one that was held until
+// its node had started.
 func TestRetriesAndHeldCallsAreCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	o := NewForwardingObserver(registry, NewLog(io.Discard, "node", LevelError), func() {})
--- a/internal/telemetry/log_test.go
+++ b/internal/telemetry/log_test.go
@@ -65,7 +65,7 @@
 	l.DocumentInForce(1, 2)
 	l.DocumentPassedOver(1, 2, 3)
 	l.ReaderRoleChanged(true)
-	l.StoreRestored(2, hosted.Era{Number: 2, Former: 20, First: 14})
+	l.StoreRestored(2, hosted.Era{Number: 2, PreviousHighest: 20, First: 14})
 	l.NodeLost("n", errors.New("fault"))
 	l.NodeFound("n")
 	l.RecallFailed("n", errors.New("fault"))
@@ -73,8 +73,8 @@
 	l.HeartbeatRejected("i", errors.New("fault"))
 	l.EntryRejected("n")
 	l.EntryRestored(2, 1)
-	l.PromiseKept("i", 2, true)
-	l.FormerLife(1, 2)
+	l.DrainCommitmentHeld("i", 2, true)
+	l.PreviousIncarnationFound(1, 2)
 	l.RolloutOrdered("ledger", "v2", time.Minute)
 	l.RolloutDecided("ledger", "v2", canary.RolledBack, 0, "failures on read", 40, 9)
 	l.RequestQuarantined(quarantine.Verdict{Instances: []string{"i"}}, "own worker")
@@ -139,7 +139,7 @@
 	seen := make(map[int]bool)
 	for _, event := range Catalogue() {
 		if seen[event.Number] {
-			t.Errorf("number %d stands twice", event.Number)
+			t.Errorf("number %d is used twice", event.Number)
 		}
 		seen[event.Number] = true
 	}
