--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -19,7 +19,7 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// dialect is what callers and workers of the soak speak.
+// dialect names the headers that callers and workers of the soak use.
 var dialect = forwarding.Dialect{
 	RequestID: "X-Request", Timeout: "X-Timeout", CallerService: "X-Caller", ExpectInstance: "X-Expect", NotRun: "X-Not-Run",
 	Key: httpleg.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant", Parent: parentOf, WorkerLoad: workerLoad,
@@ -43,36 +43,37 @@
 	control, call   string
 	callers, probes string
 
-	mutex     sync.Mutex
-	node      *sidecar.Node
-	stop      context.CancelFunc
-	ended     chan struct{}
-	registrar sidecar.Registrar
-	worker    *worker
-	lives     int
-	lowest    uint64 // version seen in force in this life
-	// suspended is the last time for which the machine was; nil when it never was.
+	mutex        sync.Mutex
+	node         *sidecar.Node
+	stop         context.CancelFunc
+	ended        chan struct{}
+	registrar    sidecar.Registrar
+	worker       *worker
+	incarnations int
+	lowest       uint64 // lowest version that may be in force, in this incarnation of the node
+	// suspended is the last suspension of the machine; nil if there was none.
 	suspended atomic.Pointer[suspension]
-	// workerCrashed is called when the worker has crashed by itself.
+	// workerCrashed is called when the worker has crashed under a request.
 	workerCrashed atomic.Pointer[func()]
 }
 
-// suspension is a time for which a machine stood still.
+// suspension is a period in which a machine was suspended.
 type suspension struct {
-	until  time.Time
-	lasted time.Duration
+	until    time.Time
+	duration time.Duration
 }
 
-// suspendedSince returns for how long the machine was suspended since a moment.
+// suspendedSince returns the length of the machine's last suspension if it ended after a
+// moment, and 0 otherwise.
 func (m *machine) suspendedSince(since time.Time) time.Duration {
 	last := m.suspended.Load()
 	if last == nil || since.After(last.until) {
 		return 0
 	}
-	return last.lasted
+	return last.duration
 }
 
-// newMachine reserves the addresses of a machine, which outlast its processes.
+// newMachine returns a machine with reserved addresses, which outlast its processes.
 func newMachine(id, zone string, network MachineNetwork, store *hostedstore.Store, l *ledger) (*machine, error) {
 	m := &machine{id: id, zone: zone, network: network, store: store, ledger: l}
 	for _, address := range []*string{&m.control, &m.call, &m.callers, &m.probes} {
@@ -109,13 +110,13 @@
 			})
 		},
 	}
-	lines := telemetry.NewQueue(io.Discard)
+	logQueue := telemetry.NewQueue(io.Discard)
 	node, err := sidecar.New(settings.Settings{
 		NodeID: m.id, Region: "region", Zone: m.zone, Service: serviceName, Mode: settings.ModeHosted,
 		CallerAddress: m.callers, CallAddress: m.call, ControlAddress: m.control, ReadinessAddress: m.probes, AdminAddress: m.network.AnyPort(),
 		StoreAddresses: []string{"in memory"}, DrainBound: stopBound, StopNotice: 200 * time.Millisecond,
 		HeartbeatInterval: heartbeatInterval, RetryRatio: 0.2, RetrySlack: 64, RetryWindow: 10 * time.Second,
-	}, adapter, m.network, telemetry.NewLog(lines, m.id, telemetry.LevelError), lines)
+	}, adapter, m.network, telemetry.NewLog(logQueue, m.id, telemetry.LevelError), logQueue)
 	if err != nil {
 		return err
 	}
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// endNode ends the node, as planned or as a crash does.
+// endNode ends the node, either by a planned stop or as a crash would.
 func (m *machine) endNode(planned bool) {
 	m.mutex.Lock()
 	node, stop, ended := m.node, m.stop, m.ended
@@ -157,13 +158,13 @@
 	return m.registrar
 }
 
-// renewWorker starts the next life of the worker and returns the one before.
-func (m *machine) renewWorker() (*worker, error) {
-	m.lives++
+// startNextWorker starts the next incarnation of the worker and returns the previous one.
+func (m *machine) startNextWorker() (*worker, error) {
+	m.incarnations++
 	before := m.worker
-	name := workers.Incarnation{Instance: instanceName(m.id, m.lives), StartedAt: time.Now().UnixMilli()}
+	name := workers.Incarnation{Instance: instanceName(m.id, m.incarnations), StartedAt: time.Now().UnixMilli()}
 	if before != nil {
-		name.StartedAt = max(name.StartedAt, before.name.StartedAt+1)
+		name.StartedAt = max(name.StartedAt, before.incarnation.StartedAt+1)
 	}
 	next, err := startWorker(name, m.ledger, m)
 	if err != nil {
@@ -173,7 +174,7 @@
 	return before, nil
 }
 
-// ready reports whether the node says that callers may come.
+// ready reports whether the node's readiness probe reports that it accepts callers.
 func (m *machine) ready(client *http.Client) bool {
 	response, err := client.Get("http://" + m.probes)
 	if err != nil {
--- a/internal/lab/soak/slowness.go
+++ b/internal/lab/soak/slowness.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// fastWorker and slowWorker are how long work takes at a worker of either kind,
-	// relative to the usual.
+	// fastWorker and slowWorker are the run times of the two kinds of workers, relative
+	// to Options.RunTime.
 	fastWorker = 0.5
 	slowWorker = 1.25
-	// spellTime, spellShare and spellFactor are how long a worker is slower than its own
-	// usual at a time, in which share of the times and how much.
-	spellTime   = 600 * time.Millisecond
-	spellShare  = 0.15
-	spellFactor = 2.5
+	// slowPeriod, slowPeriodShare and slowPeriodFactor describe slow periods: time is divided
+	// into periods of this length, in this share of them the worker is slower than its
+	// own usual, and by this factor.
+	slowPeriod       = 600 * time.Millisecond
+	slowPeriodShare  = 0.15
+	slowPeriodFactor = 2.5
 	// slownessHeader carries a worker's slowness, in hundredths.
 	slownessHeader = "X-Slowness"
 	slownessUnits  = 100
 )
 
-// slowness is how long work takes at a worker.
+// slowness is a worker's run time relative to Options.RunTime, which varies over time.
 type slowness struct {
 	usual float64
-	// told is whether the worker tells it.
-	told bool
+	// reported is set if the worker reports its slowness.
+	reported bool
 
 	mu     sync.Mutex
 	factor float64
 	until  time.Time
 }
 
-// newSlowness draws the kind of a worker. One of four tells nothing.
+// newSlowness draws the kind of a worker. One of four does not report its slowness.
 func newSlowness() *slowness {
-	s := &slowness{usual: slowWorker, told: rand.IntN(4) > 0}
+	s := &slowness{usual: slowWorker, reported: rand.IntN(4) > 0}
 	if rand.IntN(2) == 0 {
 		s.usual = fastWorker
 	}
@@ -50,23 +51,23 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.After(s.until) {
-		s.factor, s.until = 1, now.Add(spellTime)
-		if rand.Float64() < spellShare {
-			s.factor = spellFactor
+		s.factor, s.until = 1, now.Add(slowPeriod)
+		if rand.Float64() < slowPeriodShare {
+			s.factor = slowPeriodFactor
 		}
 	}
 	return s.usual * s.factor
 }
 
-// tell writes the slowness into an answer.
-func (s *slowness) tell(header http.Header, now time.Time) {
-	if s.told {
+// report writes the slowness into the header of an answer, if the worker reports it.
+func (s *slowness) report(header http.Header, now time.Time) {
+	if s.reported {
 		header.Set(slownessHeader, strconv.Itoa(int(slownessUnits*s.at(now))))
 	}
 }
 
-// workerLoad reads what workers of the soak tell of themselves.
+// workerLoad reads the load that workers of the soak report in their answers.
 func workerLoad(header http.Header) (slotqueue.Load, bool) {
-	told, err := strconv.Atoi(header.Get(slownessHeader))
-	return slotqueue.Load{Slots: workerSlots, Slowness: float64(told) / slownessUnits}, err == nil
+	hundredths, err := strconv.Atoi(header.Get(slownessHeader))
+	return slotqueue.Load{Slots: workerSlots, Slowness: float64(hundredths) / slownessUnits}, err == nil
 }
