--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// reporter is what testing.T and rapid.T have in common.
+// reporter is the part of testing.T and rapid.T that the tests use.
 type reporter interface {
 	Helper()
 	Fatalf(format string, values ...any)
 }
 
-func requireSound(t reporter, w *sim.World) {
+func requireNoViolations(t reporter, w *sim.World) {
 	t.Helper()
 	for _, violation := range w.Violations() {
 		t.Fatalf("step %d: %s: %s: %s", violation.Step, violation.Invariant, violation.Subject, violation.Detail)
@@ -26,7 +26,7 @@
 	defer w.Close()
 	w.RunFor(60 * time.Second)
 	w.Settle()
-	requireSound(t, w)
+	requireNoViolations(t, w)
 	summary := w.Summary()
 	if summary.Committed == 0 || summary.Aborted == 0 || summary.Answered == 0 || summary.Unknown > 0 {
 		t.Fatalf("activity %+v", summary)
@@ -49,8 +49,8 @@
 	}
 }
 
-// machine is the state machine that rapid drives: it draws when which fault
-// comes, and shrinks to the faults that matter.
+// machine is the state machine that rapid drives: rapid draws the order and time of
+// faults, and shrinks a failing run to the faults that cause it.
 type machine struct{ world *sim.World }
 
 func (m machine) actions() map[string]func(*rapid.T) {
@@ -62,7 +62,7 @@
 		},
 		"apply":         func(*rapid.T) { w.Apply(nil) },
 		"crash":         func(t *rapid.T) { w.Crash(w.Node(node(t))) },
-		"herd":          func(*rapid.T) { w.CrashHerd() },
+		"herd":          func(*rapid.T) { w.CrashMany() },
 		"pause":         func(t *rapid.T) { w.Pause(w.Node(node(t))) },
 		"pause relay":   func(*rapid.T) { w.PauseRelay() },
 		"pause reader":  func(*rapid.T) { w.PauseCoordinator() },
@@ -72,7 +72,7 @@
 		"leases lapsed": func(*rapid.T) { w.LapseLeases() },
 		"clock step":    func(t *rapid.T) { w.StepClock(w.Node(node(t))) },
 		"planned stop":  func(t *rapid.T) { w.Leave(w.Node(node(t))) },
-		"":              func(t *rapid.T) { requireSound(t, w) },
+		"":              func(t *rapid.T) { requireNoViolations(t, w) },
 	}
 }
 
@@ -83,7 +83,7 @@
 		w.RunFor(5 * time.Second)
 		t.Repeat(machine{w}.actions())
 		w.Settle()
-		requireSound(t, w)
+		requireNoViolations(t, w)
 	})
 }
 
