--- a/internal/command/apply/await.go
+++ b/internal/command/apply/await.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// watchHold is how long one blocked read of the head may take.
+	// watchHold is how long one blocking read of the head may take.
 	watchHold = 10 * time.Second
 	// minimumPause and maximumPause bound the pauses, with full jitter, after a
-	// failed question.
+	// failed request to the store.
 	minimumPause = 100 * time.Millisecond
 	maximumPause = 2 * time.Second
-	// statusPause is the pause between two questions to a node.
+	// statusPause is the pause between two status requests to the nodes.
 	statusPause = 300 * time.Millisecond
 )
 
-// await waits until the apply is decided, and further if that was asked for.
+// await waits until the apply is decided, and with --wait in-force until it is in
+// force on every live node.
 func (a *attempt) await(ctx context.Context) Report {
 	var index uint64
-	var last error
+	var lastErr error
 	for failures := 0; ; {
-		state, next, err := a.ask(ctx, index)
+		state, next, err := a.applyState(ctx, index)
 		if err == nil {
-			failures, last, index = 0, nil, next
+			failures, lastErr, index = 0, nil, next
 			if report := a.decided(ctx, state); report != nil {
 				return *report
 			}
@@ -41,20 +42,21 @@
 				failures = 1
 			}
 		} else {
-			last = err
+			lastErr = err
 			failures++
 			if report := a.decidedByNodes(ctx); report != nil {
 				return *report
 			}
 		}
 		if errorx.IsOfType(err, versionstore.ErrStoreRegressed) || !pause(ctx, failures) {
-			return a.undecided(last)
+			return a.undecided(lastErr)
 		}
 	}
 }
 
-// ask returns the state of the apply, as soon as the head has moved past index.
-func (a *attempt) ask(ctx context.Context, index uint64) (versionstore.ApplyState, uint64, error) {
+// applyState returns the state of the apply once the head has changed since index, or
+// watchHold has passed.
+func (a *attempt) applyState(ctx context.Context, index uint64) (versionstore.ApplyState, uint64, error) {
 	head, next, err := a.versions.WatchHead(ctx, index, watchHold)
 	if err != nil {
 		return versionstore.ApplyState{}, 0, err
@@ -83,8 +85,9 @@
 	}
 }
 
-// decidedByNodes asks the nodes, if any are named, while the store does not
-// answer. Only a head that speaks of this very apply decides.
+// decidedByNodes requests the head from the nodes, if any are named, while the store
+// does not answer. The head decides only if it names this apply's version as committed
+// or this apply as rejected.
 func (a *attempt) decidedByNodes(ctx context.Context) *Report {
 	if !a.options.nodes.Given() || a.report.Version == 0 {
 		return nil
@@ -106,14 +109,15 @@
 	return a.decided(ctx, state)
 }
 
-// undecided reports that the time is over, or the command was interrupted.
-func (a *attempt) undecided(last error) Report {
+// undecided reports that the command timed out, was interrupted or found a regressed
+// store before the apply was decided.
+func (a *attempt) undecided(lastErr error) Report {
 	message := "it is not known whether the set was written"
 	if a.report.Version != 0 {
 		message = fmt.Sprintf("version %d is proposed and not decided yet", a.report.Version)
 	}
-	if last != nil {
-		message += ": " + last.Error()
+	if lastErr != nil {
+		message += ": " + lastErr.Error()
 	}
 	return a.report.with(exit.Unknown, message)
 }
@@ -141,7 +145,8 @@
 	}
 }
 
-// pause waits after failures; false tells that the context has ended.
+// pause waits for a time that grows with the number of failures. It returns false
+// when the context has ended.
 func pause(ctx context.Context, failures int) bool {
 	if failures == 0 {
 		return ctx.Err() == nil
--- a/internal/command/explain/lines.go
+++ b/internal/command/explain/lines.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// maximumLine bounds one line of a log, in bytes.
-const maximumLine = 1 << 20
+// maximumLineBytes bounds the length of one line of a log.
+const maximumLineBytes = 1 << 20
 
 // Line is one event of a log.
 type Line struct {
-	Time  time.Time      `json:"time"`
-	Node  string         `json:"node"`
-	Event int            `json:"event"`
-	Name  string         `json:"name"`
-	Level string         `json:"level"`
-	Field map[string]any `json:"fields"`
+	Time   time.Time      `json:"time"`
+	Node   string         `json:"node"`
+	Event  int            `json:"event"`
+	Name   string         `json:"name"`
+	Level  string         `json:"level"`
+	Fields map[string]any `json:"fields"`
 }
 
-// text returns a field that is a text; empty when there is none.
+// text returns the value of a string field; empty when there is none.
 func (l Line) text(name string) string {
-	value, _ := l.Field[name].(string)
+	value, _ := l.Fields[name].(string)
 	return value
 }
 
-// readLines reads the events of a log. What stands before an event in its line,
-// as some collectors write it, is passed over, and so is what is no event.
+// readLines reads the events of a log. Text before the event in its line, such as the
+// prefix that some log collectors add, is ignored, and so are lines that hold no event.
 func readLines(source io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maximumLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
@@ -52,11 +52,11 @@
 	if json.Unmarshal(encoded, &line) != nil || line.Event == 0 {
 		return Line{}, false
 	}
-	if json.Unmarshal(encoded, &line.Field) != nil {
+	if json.Unmarshal(encoded, &line.Fields) != nil {
 		return Line{}, false
 	}
 	for _, name := range []string{"time", "node", "event", "name", "level", "message"} {
-		delete(line.Field, name)
+		delete(line.Fields, name)
 	}
 	return line, true
 }
--- a/internal/evidencewire/evidence.go
+++ b/internal/evidencewire/evidence.go
@@ -1,5 +1,5 @@
-// Package evidencewire writes what nodes know of requests that crash workers as messages
-// between nodes, in both modes.
+// Package evidencewire encodes and decodes the messages in which nodes exchange evidence
+// and quarantine verdicts on requests that crash workers, in both modes.
 package evidencewire
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// Reports returns the messages of reports.
-func Reports(reports []quarantine.Report) []*exchangepb.Evidence {
+// EncodeReports returns reports of evidence as messages.
+func EncodeReports(reports []quarantine.Report) []*exchangepb.Evidence {
 	messages := make([]*exchangepb.Evidence, 0, len(reports))
 	for _, r := range reports {
 		messages = append(messages, &exchangepb.Evidence{
@@ -24,13 +24,14 @@
 	return messages
 }
 
-// ReportsOf reads messages; those of newer programs that cannot be read are left out.
-func ReportsOf(messages []*exchangepb.Evidence) []quarantine.Report {
+// DecodeReports returns the reports in messages. Messages with a fingerprint in a format
+// that only newer programs know are left out.
+func DecodeReports(messages []*exchangepb.Evidence) []quarantine.Report {
 	reports := make([]quarantine.Report, 0, len(messages))
 	for _, message := range messages {
 		f, ok := quarantine.ParseFingerprint(message.GetFingerprint())
 		if !ok {
-			continue // of a newer program
+			continue // written by a newer program
 		}
 		reports = append(reports, quarantine.Report{
 			Fingerprint: f, Instance: message.GetInstance(), Level: int(message.GetLevel()),
@@ -40,8 +41,8 @@
 	return reports
 }
 
-// Verdicts returns the messages of verdicts.
-func Verdicts(list []quarantine.Verdict) []*exchangepb.Quarantine {
+// EncodeVerdicts returns quarantine verdicts as messages.
+func EncodeVerdicts(list []quarantine.Verdict) []*exchangepb.Quarantine {
 	var messages []*exchangepb.Quarantine
 	for _, v := range list {
 		messages = append(messages, &exchangepb.Quarantine{
@@ -51,13 +52,14 @@
 	return messages
 }
 
-// VerdictsOf reads messages; those of newer programs that cannot be read are left out.
-func VerdictsOf(messages []*exchangepb.Quarantine) []quarantine.Verdict {
+// DecodeVerdicts returns the verdicts in messages. Messages with a fingerprint in a format
+// that only newer programs know are left out.
+func DecodeVerdicts(messages []*exchangepb.Quarantine) []quarantine.Verdict {
 	var list []quarantine.Verdict
 	for _, message := range messages {
 		f, ok := quarantine.ParseFingerprint(message.GetFingerprint())
 		if !ok {
-			continue // of a newer program
+			continue // written by a newer program
 		}
 		list = append(list, quarantine.Verdict{
 			Fingerprint: f, Since: time.UnixMilli(message.GetSinceUnixMs()), Until: time.UnixMilli(message.GetUntilUnixMs()),
@@ -67,29 +69,31 @@
 	return list
 }
 
-// headerEvidence bounds the pieces of evidence in a header, some 80 bytes each.
-const headerEvidence = 8
+// maxHeaderEvidence bounds the number of reports, and the number of verdicts, in a header.
+// Each takes about 80 bytes.
+const maxHeaderEvidence = 8
 
-// Header returns what a table knows as the value of a header; empty when it knows nothing.
-func Header(table *quarantine.Table, now time.Time) string {
+// EncodeHeader returns the evidence and the verdicts of a table as the value of a header;
+// empty when the table is empty.
+func EncodeHeader(table *quarantine.Table, now time.Time) string {
 	if table.Empty() {
 		return ""
 	}
 	verdicts := table.Verdicts(now)
 	known := &exchangepb.Known{
-		Evidence:    Reports(table.Reports(headerEvidence, now)),
-		Quarantined: Verdicts(verdicts[max(len(verdicts)-headerEvidence, 0):]),
+		Evidence:    EncodeReports(table.Reports(maxHeaderEvidence, now)),
+		Quarantined: EncodeVerdicts(verdicts[max(len(verdicts)-maxHeaderEvidence, 0):]),
 	}
 	encoded, err := proto.Marshal(known)
 	if err != nil {
-		panic("evidencewire: what is known cannot be encoded: " + err.Error())
+		panic("evidencewire: cannot encode evidence for a header: " + err.Error())
 	}
 	return base64.StdEncoding.EncodeToString(encoded)
 }
 
-// TakeHeader has a table take what a header of another node tells. A header that cannot be
-// read, as one of a newer program, tells nothing.
-func TakeHeader(table *quarantine.Table, value string, now time.Time) {
+// MergeHeader adds the evidence and the verdicts in a header from another node to a table.
+// A header that cannot be decoded, such as one of a newer program, is ignored.
+func MergeHeader(table *quarantine.Table, value string, now time.Time) {
 	if value == "" {
 		return
 	}
@@ -101,6 +105,6 @@
 	if proto.Unmarshal(encoded, &known) != nil {
 		return
 	}
-	table.Merge(ReportsOf(known.GetEvidence()), now)
-	table.Restore(VerdictsOf(known.GetQuarantined()), false, now)
+	table.Merge(DecodeReports(known.GetEvidence()), now)
+	table.Restore(DecodeVerdicts(known.GetQuarantined()), false, now)
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -9,14 +9,14 @@
 
 // Key describes one setting for help texts and documents.
 type Key struct {
-	// Name is the flag, the key in the settings file and, in upper case with
-	// the prefix LEVERTIDE_, the environment variable.
+	// Name is the name of the flag and of the key in the settings file. The
+	// environment variable is the name in upper case with the prefix LEVERTIDE_.
 	Name string
 	// Usage says what the setting does.
 	Usage string
 	// Allowed says which values are accepted.
 	Allowed string
-	// Default is the value used when none is given.
+	// Default is the value used when none is given; empty for no default.
 	Default string
 
 	bind func(*Settings) flag.Value
@@ -38,7 +38,7 @@
 	loopbackAnyPort   = "127.0.0.1:0"
 )
 
-// Keys returns every setting in the order of the documents.
+// Keys returns every setting in the order in which docs/SETTINGS.md lists them.
 func Keys() []Key {
 	return []Key{
 		{"node-id", "name of this node, shared with no other live node", allowedIdentifier, "", func(s *Settings) flag.Value { return (*textValue)(&s.NodeID) }},
@@ -63,7 +63,7 @@
 		{"store-address", "servers of the platform's key-value service", "comma-separated list or YAML list of at least one; each IP:port or http(s)://IP:port", "", func(s *Settings) flag.Value { return (*listValue)(&s.StoreAddresses) }},
 		{"fan-out", "children of one relay; 0 works it out from the byte budget", "whole number from 0 to 256", "0", func(s *Settings) flag.Value { return (*numberValue)(&s.FanOut) }},
 		{"hold", "how long a watch may be held before it is answered", allowedBound, "3s", func(s *Settings) flag.Value { return (*durationValue)(&s.Hold) }},
-		{"silent-bound", "how long silent nodes may hold up a rollout", allowedBound, "2s", func(s *Settings) flag.Value { return (*durationValue)(&s.SilentBound) }},
+		{"silent-bound", "how long silent nodes may hold up a rollout", allowedBound, "2s", func(s *Settings) flag.Value { return (*durationValue)(&s.UnresponsiveBound) }},
 		{"drain-bound", "how long a planned stop waits for calls in flight", "duration from 0s to 1h", "10m", func(s *Settings) flag.Value { return (*durationValue)(&s.DrainBound) }},
 		{"heartbeat-interval", "how often a worker tells of itself; hosted mode", allowedBound, "1500ms", func(s *Settings) flag.Value { return (*durationValue)(&s.HeartbeatInterval) }},
 		{"stop-notice", "how long a node that stops still takes calls; hosted mode", "duration from 0s to 10m", "2300ms", func(s *Settings) flag.Value { return (*durationValue)(&s.StopNotice) }},
