--- a/internal/crashwatch/watch.go
+++ b/internal/crashwatch/watch.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sync/singleflight"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 )
 
 const (
@@ -28,7 +28,7 @@
 
 // Watch watches one worker. Use New.
 type Watch struct {
-	dial httpleg.DialFunc
+	dial httpconn.DialFunc
 
 	mu       sync.Mutex
 	inFlight int
@@ -42,7 +42,7 @@
 }
 
 // New returns a Watch that probes the worker by the given dial function.
-func New(dial httpleg.DialFunc) *Watch {
+func New(dial httpconn.DialFunc) *Watch {
 	return &Watch{dial: dial, isolation: make(chan struct{}, 1)}
 }
 
--- a/internal/dataplane/answer.go
+++ b/internal/dataplane/answer.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 )
 
 // discardLimit is how many bytes of an unused answer are read so that its
@@ -72,8 +72,8 @@
 	if d.response.Body == http.NoBody {
 		return nil
 	}
-	buffer := httpleg.GetBuffer()
-	defer httpleg.PutBuffer(buffer)
+	buffer := httpconn.GetBuffer()
+	defer httpconn.PutBuffer(buffer)
 	left := d.response.ContentLength
 	for {
 		n, readErr := d.response.Body.Read(buffer[:])
--- a/internal/dataplane/authentication.go
+++ b/internal/dataplane/authentication.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 	"github.com/levertide/levertide/pkg/routing"
 )
@@ -13,7 +13,7 @@
 const tenantHeader = headerPrefix + "Tenant"
 
 // keyScheme defines how callers send their keys.
-var keyScheme = httpleg.KeyScheme{Header: "Authorization", Scheme: "Bearer"}
+var keyScheme = httpconn.KeyScheme{Header: "Authorization", Scheme: "Bearer"}
 
 // authenticate determines the tenant of the call. The key is removed from the request: it
 // must not be forwarded.
--- a/internal/dataplane/body.go
+++ b/internal/dataplane/body.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 )
 
 // lingerTime is how long the unused rest of a body is still read, so that the
@@ -93,14 +93,14 @@
 	case len(b.buffered) > 0:
 		out.ContentLength = b.request.ContentLength
 		out.Body = io.NopCloser(bytes.NewReader(b.buffered))
-	case httpleg.NeedsContentLength(out.Method):
+	case httpconn.NeedsContentLength(out.Method):
 		// The transport repeats such a request only if it has an idempotency
 		// key, which it looks up under its canonical name.
 		out.Body = nil
-		httpleg.HideIdempotencyKey(out.Header)
+		httpconn.HideIdempotencyKey(out.Header)
 	default:
-		out.Body = httpleg.EmptyBody{}
-		out.TransferEncoding = httpleg.IdentityEncoding
+		out.Body = httpconn.EmptyBody{}
+		out.TransferEncoding = httpconn.IdentityEncoding
 	}
 }
 
@@ -189,8 +189,8 @@
 		return
 	}
 	_ = b.control.SetReadDeadline(time.Now().Add(lingerTime))
-	buffer := httpleg.GetBuffer()
-	defer httpleg.PutBuffer(buffer)
+	buffer := httpconn.GetBuffer()
+	defer httpconn.PutBuffer(buffer)
 	for {
 		if _, err := b.request.Body.Read(buffer[:]); err != nil {
 			return
--- a/internal/dataplane/header.go
+++ b/internal/dataplane/header.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 )
 
 // The headers between nodes.
@@ -36,7 +36,7 @@
 // forwardable reports whether a header with this canonical name is forwarded:
 // hop-by-hop headers and those with headerPrefix are not.
 func forwardable(name string) bool {
-	if httpleg.IsHopByHop(name) {
+	if httpconn.IsHopByHop(name) {
 		return false
 	}
 	return !strings.HasPrefix(name, headerPrefix)
@@ -50,7 +50,7 @@
 			target[name] = values
 		}
 	}
-	httpleg.RemoveListed(target, source)
+	httpconn.RemoveListed(target, source)
 }
 
 // outgoingHeader returns the headers for forwarding a request, with capacity for
--- a/internal/dataplane/send.go
+++ b/internal/dataplane/send.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"net/http/httptrace"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
@@ -17,7 +17,7 @@
 	body      *requestBody
 	relay     *informationalRelay
 
-	conn   *httpleg.Conn // nil until the request got a connection
+	conn   *httpconn.Conn // nil until the request got a connection
 	reused bool
 }
 
@@ -47,7 +47,7 @@
 }
 
 func (r *roundTrip) gotConn(info httptrace.GotConnInfo) {
-	tracked, ok := info.Conn.(*httpleg.Conn)
+	tracked, ok := info.Conn.(*httpconn.Conn)
 	if !ok {
 		return
 	}
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/levertide/levertide/internal/evidencewire"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 	"github.com/levertide/levertide/pkg/quarantine"
 )
@@ -61,7 +61,7 @@
 		Body:       c.body.buffered,
 		BodyLength: int64(len(c.body.buffered)),
 	}
-	for _, name := range httpleg.CredentialHeaders {
+	for _, name := range httpconn.CredentialHeaders {
 		request.Credentials = append(request.Credentials, c.request.Header.Get(name))
 	}
 	if c.tenant != "" {
--- a/internal/dataplane/transport.go
+++ b/internal/dataplane/transport.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 )
 
 const (
@@ -25,7 +25,7 @@
 	transport.IdleConnTimeout = config.Limits.PeerIdle
 	transport.MaxResponseHeaderBytes += addedHeaderBytes
 	if config.PeerTLS != nil {
-		transport.DialTLSContext = httpleg.Track(encrypt(config.Dial, config.PeerTLS), config.Limits.Connect)
+		transport.DialTLSContext = httpconn.Track(encrypt(config.Dial, config.PeerTLS), config.Limits.Connect)
 	}
 	return transport
 }
@@ -43,7 +43,7 @@
 
 func newTransport(config *Config) *http.Transport {
 	return &http.Transport{
-		DialContext:            httpleg.Track(config.Dial, config.Limits.Connect),
+		DialContext:            httpconn.Track(config.Dial, config.Limits.Connect),
 		DisableCompression:     true,
 		ExpectContinueTimeout:  continueWait,
 		MaxResponseHeaderBytes: int64(config.Limits.HeaderBytes),
@@ -51,7 +51,7 @@
 }
 
 // encrypt returns a dial function that completes the TLS handshake of each connection.
-func encrypt(dial httpleg.DialFunc, config *tls.Config) httpleg.DialFunc {
+func encrypt(dial httpconn.DialFunc, config *tls.Config) httpconn.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
--- a/internal/forwarding/answer.go
+++ b/internal/forwarding/answer.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
@@ -101,15 +101,15 @@
 func (a *answer) write(w http.ResponseWriter, closing bool) error {
 	target := w.Header()
 	for name, values := range a.header {
-		if !httpleg.IsHopByHop(name) && name != hopLoadHeader && name != hopFailureHeader {
+		if !httpconn.IsHopByHop(name) && name != hopLoadHeader && name != hopFailureHeader {
 			target[name] = values
 		}
 	}
-	httpleg.RemoveListed(target, a.header)
+	httpconn.RemoveListed(target, a.header)
 	if _, ok := target["Content-Type"]; !ok {
 		target["Content-Type"] = nil // keeps the server from guessing
 	}
-	if a.length >= 0 && httpleg.BodyAllowed(a.status) {
+	if a.length >= 0 && httpconn.BodyAllowed(a.status) {
 		if _, given := target["Content-Length"]; !given {
 			target["Content-Length"] = []string{strconv.FormatInt(a.length, 10)}
 		}
@@ -130,8 +130,8 @@
 }
 
 func (a *answer) stream(w http.ResponseWriter) error {
-	buffer := httpleg.GetBuffer()
-	defer httpleg.PutBuffer(buffer)
+	buffer := httpconn.GetBuffer()
+	defer httpconn.PutBuffer(buffer)
 	control := http.NewResponseController(w)
 	for {
 		count, readErr := a.rest.Read(buffer[:])
--- a/internal/forwarding/authentication_test.go
+++ b/internal/forwarding/authentication_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/model"
 	"github.com/levertide/levertide/pkg/outcome"
 	"github.com/levertide/levertide/pkg/quarantine"
@@ -27,7 +27,7 @@
 	t.Helper()
 	node := startNode(t, id, service, worker)
 	dialect := &node.plane.config.Dialect
-	dialect.Key, dialect.Tenant = httpleg.KeyScheme{Header: "Authorization", Scheme: "Token"}, "X-Tenant"
+	dialect.Key, dialect.Tenant = httpconn.KeyScheme{Header: "Authorization", Scheme: "Token"}, "X-Tenant"
 	dialect.Parent = slashParent
 	return node
 }
@@ -317,7 +317,7 @@
 // TestBothNodesKnowTheRequestByOneFingerprint compares the fingerprint computed by the node where
 // the call begins with that of the worker's node, which does not receive the key.
 func TestBothNodesKnowTheRequestByOneFingerprint(t *testing.T) {
-	dialect := &Dialect{Key: httpleg.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant"}
+	dialect := &Dialect{Key: httpconn.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant"}
 	prints := map[quarantine.Fingerprint]bool{}
 	for _, c := range []struct {
 		whose  principal
--- a/internal/forwarding/body.go
+++ b/internal/forwarding/body.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
@@ -201,12 +201,12 @@
 		}
 		// The transport writes the body of a reader of this kind together with the head.
 		out.Body = io.NopCloser(bytes.NewReader(b.held))
-	case httpleg.NeedsContentLength(out.Method):
+	case httpconn.NeedsContentLength(out.Method):
 		out.Body = nil
-		httpleg.HideIdempotencyKey(out.Header)
+		httpconn.HideIdempotencyKey(out.Header)
 	default:
-		out.Body = httpleg.EmptyBody{}
-		out.TransferEncoding = httpleg.IdentityEncoding
+		out.Body = httpconn.EmptyBody{}
+		out.TransferEncoding = httpconn.IdentityEncoding
 	}
 	return nil
 }
--- a/internal/forwarding/config.go
+++ b/internal/forwarding/config.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/fleet"
 	"github.com/levertide/levertide/pkg/quarantine"
 	"github.com/levertide/levertide/pkg/quota"
@@ -37,7 +37,7 @@
 	// Workers are the workers beside this node.
 	Workers *workers.Registry
 	// Dial opens connections to nodes and to the worker.
-	Dial httpleg.DialFunc
+	Dial httpconn.DialFunc
 	// Retries bounds the attempts beyond the first to one service over all
 	// nodes; Slack is shared among them.
 	Retries retry.WindowOptions
--- a/internal/forwarding/dialect.go
+++ b/internal/forwarding/dialect.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/slotqueue"
 )
 
@@ -23,7 +23,7 @@
 	// Key says how callers send the keys by which they are authenticated where the configuration
 	// version in force has tenants, and Tenant names the header that passes the tenant to a
 	// worker.
-	Key    httpleg.KeyScheme
+	Key    httpconn.KeyScheme
 	Tenant string
 	// Parent returns, for the id of a nested call, the id of its parent, the call during which a
 	// worker made it; false when the call is not nested. Nil means that workers make no calls.
--- a/internal/forwarding/exchange.go
+++ b/internal/forwarding/exchange.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
@@ -26,7 +26,7 @@
 	transport *http.Transport
 	request   *http.Request
 	body      *requestBody
-	conn      *httpleg.Conn // nil until the request got a connection
+	conn      *httpconn.Conn // nil until the request got a connection
 	reused    bool
 	// pace limits how fast a long body is sent; nil sets no limit.
 	pace *rate.Limiter
@@ -60,7 +60,7 @@
 }
 
 func (l *httpExchange) gotConn(info httptrace.GotConnInfo) {
-	if tracked, ok := info.Conn.(*httpleg.Conn); ok {
+	if tracked, ok := info.Conn.(*httpconn.Conn); ok {
 		tracked.Begin()
 		l.conn, l.reused = tracked, info.Reused
 	}
@@ -108,9 +108,9 @@
 }
 
 // newTransport returns a transport whose connections record whether anything was written.
-func newTransport(dial httpleg.DialFunc, idle time.Duration, connections int) *http.Transport {
+func newTransport(dial httpconn.DialFunc, idle time.Duration, connections int) *http.Transport {
 	return &http.Transport{
-		DialContext:            httpleg.Track(dial, dialBound),
+		DialContext:            httpconn.Track(dial, dialBound),
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    connections,
 		IdleConnTimeout:        idle,
@@ -120,7 +120,7 @@
 }
 
 // newWorkerTransport returns a transport to a worker with the given number of slots.
-func newWorkerTransport(dial httpleg.DialFunc, idle time.Duration, slots int) *http.Transport {
+func newWorkerTransport(dial httpconn.DialFunc, idle time.Duration, slots int) *http.Transport {
 	connections := connectionsPerSlot * slots
 	transport := newTransport(dial, idle, connections)
 	transport.MaxConnsPerHost = max(connections, 1)
@@ -153,11 +153,11 @@
 	const added = 6
 	header := make(http.Header, len(from.Header)+added)
 	for name, values := range from.Header {
-		if !httpleg.IsHopByHop(name) && !dialect.own(name) {
+		if !httpconn.IsHopByHop(name) && !dialect.own(name) {
 			header[name] = values
 		}
 	}
-	httpleg.RemoveListed(header, from.Header)
+	httpconn.RemoveListed(header, from.Header)
 	delete(header, "Content-Length")
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil // keeps the transport from adding its own
--- a/internal/forwarding/fingerprint.go
+++ b/internal/forwarding/fingerprint.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
@@ -27,7 +27,7 @@
 		Body:       body.held,
 		BodyLength: body.length,
 	}
-	for _, name := range httpleg.CredentialHeaders {
+	for _, name := range httpconn.CredentialHeaders {
 		request.Credentials = append(request.Credentials, r.Header.Get(name))
 	}
 	if whose.checked {
--- a/internal/forwarding/suspects_test.go
+++ b/internal/forwarding/suspects_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 	"github.com/levertide/levertide/pkg/quarantine"
 	"github.com/levertide/levertide/pkg/workers"
 )
 
 // noCredentials are the credentials of a caller that sends none.
-var noCredentials = make([]string, len(httpleg.CredentialHeaders))
+var noCredentials = make([]string, len(httpconn.CredentialHeaders))
 
 // end ends the worker from within one of its requests: it closes its listener and all its
 // connections.
--- a/internal/hosted/agent.go
+++ b/internal/hosted/agent.go
@@ -14,7 +14,7 @@
 	"golang.org/x/time/rate"
 
 	"github.com/levertide/levertide/internal/exchangepb"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/fleet"
 	"github.com/levertide/levertide/pkg/quarantine"
 	"github.com/levertide/levertide/pkg/workers"
@@ -58,7 +58,7 @@
 	Probe WorkerProbe
 	// Listener accepts the messages of other nodes.
 	Listener net.Listener
-	Dial     httpleg.DialFunc
+	Dial     httpconn.DialFunc
 	Events   Events
 }
 
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/levertide/levertide/internal/hosted"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/internal/lab/hostedstore"
 	"github.com/levertide/levertide/internal/testwait"
 	"github.com/levertide/levertide/pkg/canary"
@@ -137,7 +137,7 @@
 }
 
 // startNodeOn starts an agent on the given network.
-func startNodeOn(t testing.TB, store *hostedstore.Store, id string, listener net.Listener, dial httpleg.DialFunc, firstStart bool) *testNode {
+func startNodeOn(t testing.TB, store *hostedstore.Store, id string, listener net.Listener, dial httpconn.DialFunc, firstStart bool) *testNode {
 	t.Helper()
 	record := fleet.Node{
 		ID: id, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Region: "r", Zone: "zone-" + id[:1],
--- a/internal/hosted/mesh_cost_test.go
+++ b/internal/hosted/mesh_cost_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/levertide/levertide/internal/hosted"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/workers"
 )
 
@@ -30,7 +30,7 @@
 }
 
 // counting counts the connections that are opened.
-func counting(dial httpleg.DialFunc, opened *atomic.Int64) httpleg.DialFunc {
+func counting(dial httpconn.DialFunc, opened *atomic.Int64) httpconn.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		opened.Add(1)
 		return dial(ctx, network, address)
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -12,7 +12,7 @@
 	"github.com/twitchtv/twirp"
 
 	"github.com/levertide/levertide/internal/exchangepb"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
@@ -70,7 +70,7 @@
 		clients:   map[string]exchangepb.Exchange{},
 		directory: sharedDirectory{list: config.Directory.ListAll},
 		web: &http.Client{Transport: &http.Transport{
-			DialContext:         httpleg.Track(config.Dial, messageDialBound),
+			DialContext:         httpconn.Track(config.Dial, messageDialBound),
 			IdleConnTimeout:     idleMessages,
 			MaxIdleConnsPerHost: 2,
 			DisableCompression:  true,
--- a/internal/hosted/simulated_test.go
+++ b/internal/hosted/simulated_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/internal/lab/hostedstore"
 	"github.com/levertide/levertide/internal/lab/memnet"
 	"github.com/levertide/levertide/pkg/fleet"
@@ -62,7 +62,7 @@
 }
 
 // crossing counts the bytes on connections of node n to other zones.
-func (m *simulated) crossing(n int, dial httpleg.DialFunc) httpleg.DialFunc {
+func (m *simulated) crossing(n int, dial httpconn.DialFunc) httpconn.DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		var high, low, port int
--- a/internal/httpleg/body.go
+++ b/internal/httpconn/body.go
@@ -1,4 +1,4 @@
-package httpleg
+package httpconn
 
 import (
 	"io"
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/internal/sidecar"
 )
 
@@ -74,8 +74,8 @@
 	if request.Body == nil {
 		// The library would send a request without a body again by itself, under
 		// the same id, when its connection breaks; callers do not.
-		request.Body = httpleg.EmptyBody{}
-		request.TransferEncoding = httpleg.IdentityEncoding
+		request.Body = httpconn.EmptyBody{}
+		request.TransferEncoding = httpconn.IdentityEncoding
 	}
 	request.Host = hostName
 	request.Header.Set(dialect.RequestID, id)
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -11,7 +11,7 @@
 
 	"github.com/levertide/levertide/internal/forwarding"
 	"github.com/levertide/levertide/internal/hosted"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/internal/lab/hostedstore"
 	"github.com/levertide/levertide/internal/settings"
 	"github.com/levertide/levertide/internal/sidecar"
@@ -22,7 +22,7 @@
 // dialect is what callers and workers of the soak speak.
 var dialect = forwarding.Dialect{
 	RequestID: "X-Request", Timeout: "X-Timeout", CallerService: "X-Caller", ExpectInstance: "X-Expect", NotRun: "X-Not-Run",
-	Key: httpleg.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant", Parent: parentOf, WorkerLoad: workerLoad,
+	Key: httpconn.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant", Parent: parentOf, WorkerLoad: workerLoad,
 }
 
 // parentOf returns the id of the request for which a worker has made another one.
@@ -90,7 +90,7 @@
 	var registrar sidecar.Registrar
 	adapter := sidecar.Adapter{
 		Dialect: dialect,
-		Open: func(string, httpleg.DialFunc) (hosted.Source, hosted.Directory, hosted.RolloutStore) {
+		Open: func(string, httpconn.DialFunc) (hosted.Source, hosted.Directory, hosted.RolloutStore) {
 			client := m.store.Client(m.id)
 			return client, client, client
 		},
--- a/internal/pipeline/response.go
+++ b/internal/pipeline/response.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 )
 
 // errShort is returned for an answer whose body is shorter than its Content-Length.
@@ -80,7 +80,7 @@
 // the end of the connection.
 func (w *response) frame(status int) {
 	w.remaining = -1
-	w.empty = w.exchange.request.Method == http.MethodHead || !httpleg.BodyAllowed(status)
+	w.empty = w.exchange.request.Method == http.MethodHead || !httpconn.BodyAllowed(status)
 	if length, err := strconv.ParseInt(w.header.Get("Content-Length"), 10, 64); err == nil && length >= 0 {
 		w.remaining = length
 		return
--- a/internal/sidecar/adapter.go
+++ b/internal/sidecar/adapter.go
@@ -7,7 +7,7 @@
 
 	"github.com/levertide/levertide/internal/forwarding"
 	"github.com/levertide/levertide/internal/hosted"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/model"
 	"github.com/levertide/levertide/pkg/workers"
 )
@@ -47,7 +47,7 @@
 	Dialect forwarding.Dialect
 	// Open connects to the platform's store. The last result is nil on a platform whose
 	// operators order no roll-outs.
-	Open func(address string, dial httpleg.DialFunc) (hosted.Source, hosted.Directory, hosted.RolloutStore)
+	Open func(address string, dial httpconn.DialFunc) (hosted.Source, hosted.Directory, hosted.RolloutStore)
 	// Translate parses a document; it fails with hosted.ErrInvalidDocument. Resources
 	// that are the same pointers as those of the previous document have not changed.
 	Translate func(content []byte) (Translation, error)
--- a/internal/sidecar/node_test.go
+++ b/internal/sidecar/node_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/levertide/levertide/internal/forwarding"
 	"github.com/levertide/levertide/internal/hosted"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/internal/lab/hostedstore"
 	"github.com/levertide/levertide/internal/settings"
 	"github.com/levertide/levertide/internal/telemetry"
@@ -126,8 +126,8 @@
 	running := &runningNode{ended: make(chan error, 1), log: &lockedBuffer{}}
 	adapter := Adapter{
 		Dialect: forwarding.Dialect{RequestID: "X-Id", Timeout: "X-Timeout", CallerService: "X-Caller", ExpectInstance: "X-Expect", NotRun: "X-Not-Run",
-			Key: httpleg.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant"},
-		Open: func(string, httpleg.DialFunc) (hosted.Source, hosted.Directory, hosted.RolloutStore) {
+			Key: httpconn.KeyScheme{Header: "Authorization", Scheme: "Token"}, Tenant: "X-Tenant"},
+		Open: func(string, httpconn.DialFunc) (hosted.Source, hosted.Directory, hosted.RolloutStore) {
 			client := store.Client(chosen.NodeID)
 			return client, client, client
 		},
