--- a/internal/forwarding/admission_test.go
+++ b/internal/forwarding/admission_test.go
@@ -143,13 +143,13 @@
 // fill takes all slots of the worker beside a node.
 func fill(t *testing.T, node *testNode) []slotqueue.Permit {
 	t.Helper()
-	connection, err := node.plane.local.find("ledger", workers.Incarnation{})
+	client, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var permits []slotqueue.Permit
-	for range connection.load().Slots {
-		permit, err := connection.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)})
+	for range client.load().Slots {
+		permit, err := client.queue.Admit(t.Context(), slotqueue.Request{LatestStart: time.Now().Add(testTimeout)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/forwarding/connections_test.go
+++ b/internal/forwarding/connections_test.go
@@ -25,7 +25,7 @@
 	node.plane.config.Dial = slow.Dial
 	node.heartbeat(t, "w-beside", "ledger", worker, 1, false)
 	configure(t, ledgerRoutes, node)
-	connection, err := node.plane.local.find("ledger", workers.Incarnation{})
+	client, err := node.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	<-running
 	for range calls - 1 {
 		begin()
-		testwait.Eventually(t, "the next request is admitted", func() bool { return connection.load().Running == 2 })
+		testwait.Eventually(t, "the next request is admitted", func() bool { return client.load().Running == 2 })
 		release <- struct{}{}
 		<-running
 		answered()
@@ -56,7 +56,7 @@
 	slow.Finish()
 	release <- struct{}{}
 	answered()
-	if most, peak := connectionsPerSlot*connection.load().Slots, slow.Highest(); peak > most {
+	if most, peak := connectionsPerSlot*client.load().Slots, slow.Highest(); peak > most {
 		t.Errorf("%d connections were open, want %d at most", peak, most)
 	}
 }
--- a/internal/forwarding/exchange.go
+++ b/internal/forwarding/exchange.go
@@ -39,43 +39,43 @@
 
 // do sends the request and returns the head of the answer. Errors are those of package outcome:
 // not-run when nothing was written on any connection.
-func (l *httpExchange) do(ctx context.Context) (*http.Response, error) {
-	response, err := l.attempt(ctx)
-	stale := err != nil && l.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && l.body.repeatable()
+func (e *httpExchange) do(ctx context.Context) (*http.Response, error) {
+	response, err := e.attempt(ctx)
+	stale := err != nil && e.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && e.body.repeatable()
 	if stale {
-		response, err = l.attempt(ctx)
+		response, err = e.attempt(ctx)
 	}
 	return response, err
 }
 
-func (l *httpExchange) attempt(ctx context.Context) (*http.Response, error) {
-	l.conn, l.reused = nil, false
-	l.sending.Store(l.body.attach(l.request, l.pace))
-	trace := &httptrace.ClientTrace{GotConn: l.gotConn}
-	response, err := l.transport.RoundTrip(l.request.WithContext(httptrace.WithClientTrace(ctx, trace)))
+func (e *httpExchange) attempt(ctx context.Context) (*http.Response, error) {
+	e.conn, e.reused = nil, false
+	e.sending.Store(e.body.attach(e.request, e.pace))
+	trace := &httptrace.ClientTrace{GotConn: e.gotConn}
+	response, err := e.transport.RoundTrip(e.request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		return nil, l.classify(ctx, err)
+		return nil, e.classify(ctx, err)
 	}
 	return response, nil
 }
 
-func (l *httpExchange) gotConn(info httptrace.GotConnInfo) {
+func (e *httpExchange) gotConn(info httptrace.GotConnInfo) {
 	if tracked, ok := info.Conn.(*httpconn.Conn); ok {
 		tracked.Begin()
-		l.conn, l.reused = tracked, info.Reused
+		e.conn, e.reused = tracked, info.Reused
 	}
 }
 
 // boundTransfer aborts the request at the given time if the body has not been transferred
 // completely by then: its answer would no longer have its full value, and while a part of the
 // body is missing nothing has begun. The returned context ends with the response's body.
-func (l *httpExchange) boundTransfer(ctx context.Context, end time.Time) (context.Context, func()) {
-	if !l.expectContinue {
+func (e *httpExchange) boundTransfer(ctx context.Context, end time.Time) (context.Context, func()) {
+	if !e.expectContinue {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	timer := time.AfterFunc(time.Until(end), func() {
-		if s := l.sending.Load(); s != nil && s.seal() {
+		if s := e.sending.Load(); s != nil && s.seal() {
 			cancel(errSlowTransfer)
 		}
 	})
@@ -83,9 +83,9 @@
 }
 
 // classify returns the failure of a request that got no answer.
-func (l *httpExchange) classify(ctx context.Context, err error) error {
+func (e *httpExchange) classify(ctx context.Context, err error) error {
 	ended := errors.Is(context.Cause(ctx), errEnd)
-	if l.conn == nil || l.conn.Seal() || l.expectContinue && l.sending.Load().seal() {
+	if e.conn == nil || e.conn.Seal() || e.expectContinue && e.sending.Load().seal() {
 		switch {
 		case errors.Is(context.Cause(ctx), errSlowTransfer):
 			return outcome.WithRetryAfter(outcome.Overloaded, defaultRetryAfter)
--- a/internal/forwarding/inbound.go
+++ b/internal/forwarding/inbound.go
@@ -11,12 +11,12 @@
 
 // hopCall is one request from another node for the worker of this one.
 type hopCall struct {
-	plane      *Plane
-	request    *http.Request
-	hop        hop
-	connection *workerConnection
-	body       *requestBody
-	began      time.Time
+	plane   *Plane
+	request *http.Request
+	hop     hop
+	client  *workerClient
+	body    *requestBody
+	began   time.Time
 	// sent is the request that was sent to the worker; its zero value until then.
 	sent workerCall
 }
@@ -41,12 +41,12 @@
 
 // run obtains an answer from the worker.
 func (c *hopCall) run(ctx context.Context, w http.ResponseWriter) (*answer, error) {
-	connection, err := c.plane.local.find(c.hop.service, c.hop.incarnation)
+	client, err := c.plane.local.find(c.hop.service, c.hop.incarnation)
 	if err != nil {
 		return nil, err
 	}
-	c.connection = connection
-	if declines(connection.slowness(), c.hop.slowest) {
+	c.client = client
+	if declines(client.slowness(), c.hop.slowest) {
 		return nil, outcome.New(outcome.Declined)
 	}
 	authenticated := principalOf(c.request.Header[principalHeader])
@@ -55,7 +55,7 @@
 	// The other node sends a long body only once reading it begins here. A call that would be
 	// refused is refused before that: its body must not fill the links of machines that are busy
 	// already.
-	if err := connection.check(ctx, wanted); err != nil {
+	if err := client.check(ctx, wanted); err != nil {
 		return nil, err
 	}
 	end := c.began.Add(c.hop.left)
@@ -65,7 +65,7 @@
 	if c.body.long() {
 		wanted = wanted.afterTransfer()
 	}
-	if !authenticated.checked && connection.slowness() == 0 {
+	if !authenticated.checked && client.slowness() == 0 {
 		wanted = wanted.byArrival()
 	}
 	c.sent = c.workerCall(wanted, authenticated, end)
@@ -73,8 +73,8 @@
 	if c.sent.level, quarantined = c.plane.suspicion(&c.sent, c.hop.level); quarantined {
 		return nil, outcome.New(outcome.Quarantined)
 	}
-	result, err := connection.run(ctx, &c.sent)
-	c.plane.countRun(c.hop.service, connection.worker, c.request, &c.sent, result, err)
+	result, err := client.run(ctx, &c.sent)
+	c.plane.countRun(c.hop.service, client.worker, c.request, &c.sent, result, err)
 	return result, err
 }
 
@@ -124,8 +124,8 @@
 		Left:      c.hop.left,
 	}
 	var load slotqueue.Load
-	if c.connection != nil {
-		load = c.connection.load()
+	if c.client != nil {
+		load = c.client.load()
 		report.Running, report.Waiting, report.Slots = load.Running, load.Waiting, load.Slots
 	}
 	report.Waited, report.Ran = c.sent.waited, c.sent.ran
--- a/internal/forwarding/local.go
+++ b/internal/forwarding/local.go
@@ -8,17 +8,17 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// localWorkers holds the connections to the workers beside this node.
+// localWorkers holds the clients of the workers beside this node.
 type localWorkers struct {
 	plane *Plane
 	mutex sync.Mutex
-	// connections are by instance, each to one incarnation of it.
-	connections map[string]*workerConnection
+	// clients are by instance, each for one incarnation of it.
+	clients map[string]*workerClient
 }
 
-// find returns the connection to the worker that takes the requests of a service. An incarnation
+// find returns the client of the worker that takes the requests of a service. An incarnation
 // whose instance is not empty must be that worker's.
-func (l *localWorkers) find(service string, incarnation workers.Incarnation) (*workerConnection, error) {
+func (l *localWorkers) find(service string, incarnation workers.Incarnation) (*workerClient, error) {
 	if l.plane.stopping.Load() {
 		return nil, outcome.New(outcome.Draining)
 	}
@@ -31,27 +31,27 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	connection, known := l.known(worker)
+	client, known := l.known(worker)
 	if !known {
-		connection = l.plane.newWorkerConnection(worker)
-		l.connections[worker.Instance] = connection
+		client = l.plane.newWorkerClient(worker)
+		l.clients[worker.Instance] = client
 	}
-	return connection, nil
+	return client, nil
 }
 
-// known returns the connection to a worker. One to a previous incarnation of the same instance is
+// known returns the client of a worker. One of a previous incarnation of the same instance is
 // closed and removed: its connections, requests and failures do not belong to the new
 // incarnation. The mutex must be held.
-func (l *localWorkers) known(worker workers.Worker) (*workerConnection, bool) {
-	connection, known := l.connections[worker.Instance]
+func (l *localWorkers) known(worker workers.Worker) (*workerClient, bool) {
+	client, known := l.clients[worker.Instance]
 	if !known {
 		return nil, false
 	}
-	if connection.isOf(worker.Incarnation()) {
-		return connection, true
+	if client.isOf(worker.Incarnation()) {
+		return client, true
 	}
-	connection.close()
-	delete(l.connections, worker.Instance)
+	client.close()
+	delete(l.clients, worker.Instance)
 	return nil, false
 }
 
@@ -61,8 +61,8 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var sum slotqueue.Load
-	for _, connection := range l.connections {
-		load := connection.load()
+	for _, client := range l.clients {
+		load := client.load()
 		sum.Running += load.Running
 		sum.Waiting += load.Waiting
 		sum.Slots += load.Slots
@@ -71,7 +71,7 @@
 	return sum
 }
 
-// Update updates the connections to the workers to match their registrations. It must be called
+// Update updates the clients of the workers to match their registrations. It must be called
 // after each change, before the change is acknowledged: from then on, a worker with a drain
 // commitment gets no new calls.
 func (p *Plane) Update(registered []workers.Worker) {
@@ -83,23 +83,23 @@
 	defer l.mutex.Unlock()
 	kept := make(map[string]bool, len(registered))
 	for _, worker := range registered {
-		connection, known := l.known(worker)
+		client, known := l.known(worker)
 		if worker.State.DrainCommitted() {
 			if known {
-				connection.close()
-				delete(l.connections, worker.Instance)
+				client.close()
+				delete(l.clients, worker.Instance)
 			}
 			continue
 		}
 		kept[worker.Instance] = true
 		if known {
-			connection.setSlots(worker.Slots)
+			client.setSlots(worker.Slots)
 		}
 	}
-	for instance, connection := range l.connections {
+	for instance, client := range l.clients {
 		if !kept[instance] {
-			connection.close()
-			delete(l.connections, instance)
+			client.close()
+			delete(l.clients, instance)
 		}
 	}
 }
--- a/internal/forwarding/offer.go
+++ b/internal/forwarding/offer.go
@@ -36,7 +36,7 @@
 // offerLocal offers the call to the worker beside this node.
 func (o *offers) offerLocal(ctx context.Context, chosen choice, latestStart time.Time) (*answer, bool, error) {
 	o.roundTrip = 0
-	connection, err := o.call.plane.local.find(o.destination.service, chosen.endpoint.incarnation())
+	client, err := o.call.plane.local.find(o.destination.service, chosen.endpoint.incarnation())
 	if err != nil {
 		return nil, false, err
 	}
@@ -52,8 +52,8 @@
 		repeat:     o.repeated(),
 	}
 	request.level, _ = o.call.plane.suspicion(&request, 0)
-	answered, err := connection.run(ctx, &request)
-	o.call.plane.countRun(o.destination.service, connection.worker, o.call.request, &request, answered, err)
+	answered, err := client.run(ctx, &request)
+	o.call.plane.countRun(o.destination.service, client.worker, o.call.request, &request, answered, err)
 	o.call.report.Waited, o.call.report.Ran = request.waited, request.ran
 	return answered, request.arrived, err
 }
--- a/internal/forwarding/plane.go
+++ b/internal/forwarding/plane.go
@@ -81,7 +81,7 @@
 		pace:         linkPace(config.LinkSpeed),
 		destinations: map[string]*destination{},
 	}
-	p.local = localWorkers{plane: p, connections: map[string]*workerConnection{}}
+	p.local = localWorkers{plane: p, clients: map[string]*workerClient{}}
 	p.routes.states = map[string]*routeState{}
 	return p
 }
@@ -112,11 +112,11 @@
 
 // localLoad returns the load of this node's worker of a service.
 func (p *Plane) localLoad(service string) (slotqueue.Load, bool) {
-	connection, err := p.local.find(service, workers.Incarnation{})
-	if err != nil || connection.paused() {
+	client, err := p.local.find(service, workers.Incarnation{})
+	if err != nil || client.paused() {
 		return slotqueue.Load{}, false
 	}
-	return connection.load(), true
+	return client.load(), true
 }
 
 // WorkerLoad returns the load of all workers beside this node together.
--- a/internal/forwarding/refusal_test.go
+++ b/internal/forwarding/refusal_test.go
@@ -14,11 +14,11 @@
 	refusing := startNode(t, "refusing", "ledger", startWorker(t))
 	exchangeRecords(front, refusing)
 	configure(t, ledgerRoutes, front, refusing)
-	connection, err := refusing.plane.local.find("ledger", workers.Incarnation{})
+	client, err := refusing.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	connection.replaced.Store(true)
+	client.replaced.Store(true)
 	const calls = 20
 	for range calls {
 		if status, _, _ := ask(t, callerRequest(t, front, http.MethodGet, "/short/1", nil)); status != http.StatusServiceUnavailable {
--- a/internal/forwarding/slowness_test.go
+++ b/internal/forwarding/slowness_test.go
@@ -140,11 +140,11 @@
 			d := front.plane.destination("ledger")
 			d.endpoints["first"].reportedSlowness, d.endpoints["second"].reportedSlowness = steady(c.firstBelieved), steady(next)
 			for node, slowness := range map[*testNode]float64{first: c.first, second: c.second} {
-				connection, err := node.plane.local.find("ledger", workers.Incarnation{})
+				client, err := node.plane.local.find("ledger", workers.Incarnation{})
 				if err != nil {
 					t.Fatal(err)
 				}
-				connection.reportedSlowness = steady(slowness)
+				client.reportedSlowness = steady(slowness)
 			}
 			if status, _, _ := post(t, front, "/file/1", "x"); status != http.StatusOK || worker.calls.Load() != 1 {
 				t.Errorf("status %d, the worker had %d calls", status, worker.calls.Load())
@@ -197,9 +197,9 @@
 
 // TestImplausibleSlownessIsBounded makes a worker report a slowness that no work can have.
 func TestImplausibleSlownessIsBounded(t *testing.T) {
-	connection := &workerConnection{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
-	connection.observeLoad(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
-	reported := slotqueue.Load{Slots: 4, Slowness: connection.slowness()}
+	client := &workerClient{dialect: &Dialect{WorkerLoad: testWorkerLoad}}
+	client.observeLoad(http.Header{headerTestLoad: {strconv.Itoa(math.MaxInt)}})
+	reported := slotqueue.Load{Slots: 4, Slowness: client.slowness()}
 	if load, _, ok := parseLoad(formatLoad(reported, 0)); !ok || load.Slowness != reported.Slowness {
 		t.Errorf("a load of %+v reads %+v", reported, load)
 	}
--- a/internal/forwarding/steering_test.go
+++ b/internal/forwarding/steering_test.go
@@ -112,7 +112,7 @@
 	exchangeRecords(front)
 	configure(t, ledgerRoutes, front)
 	front.plane.Steer(order(canary.Running, 1))
-	connection, err := front.plane.local.find("ledger", workers.Incarnation{})
+	client, err := front.plane.local.find("ledger", workers.Incarnation{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 		if path == "/file/1" {
 			answered.status = http.StatusInternalServerError
 		}
-		front.plane.countRun("ledger", connection.worker, request, &call, answered, nil)
+		front.plane.countRun("ledger", client.worker, request, &call, answered, nil)
 	}
 	runs := front.plane.Runs("ledger")
 	if len(runs) != 2 {
--- a/internal/forwarding/suspects.go
+++ b/internal/forwarding/suspects.go
@@ -68,9 +68,9 @@
 }
 
 // isolate waits until the worker has no other suspect in progress.
-func (l *workerConnection) isolate(ctx context.Context, latestStart time.Time) error {
+func (w *workerClient) isolate(ctx context.Context, latestStart time.Time) error {
 	switch {
-	case l.crashes.Isolate(ctx, latestStart):
+	case w.crashes.Isolate(ctx, latestStart):
 		return nil
 	case ctx.Err() != nil:
 		return admissionFailure(ctx, slotqueue.ErrAbandoned.New("the call ended while another suspect ran"))
@@ -80,10 +80,10 @@
 }
 
 // ended reports whether the worker has ended after a connection to it was lost.
-func (l *workerConnection) ended(ctx context.Context) bool {
-	ended := l.crashes.Ended(ctx, l.worker.Address)
+func (w *workerClient) ended(ctx context.Context) bool {
+	ended := w.crashes.Ended(ctx, w.worker.Address)
 	if ended {
-		l.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
+		w.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 	}
 	return ended
 }
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -37,9 +37,9 @@
 	connectionsPerSlot = 2
 )
 
-// workerConnection sends calls from this node to one incarnation of a worker beside it, and
+// workerClient sends calls from this node to one incarnation of a worker beside it, and
 // admits them to its slots.
-type workerConnection struct {
+type workerClient struct {
 	dialect *Dialect
 	queue   *slotqueue.Queue
 	// failures is the share of requests that fail at the worker.
@@ -77,8 +77,8 @@
 	plane   *Plane
 }
 
-func (p *Plane) newWorkerConnection(worker workers.Worker) *workerConnection {
-	connection := &workerConnection{
+func (p *Plane) newWorkerClient(worker workers.Worker) *workerClient {
+	client := &workerClient{
 		dialect:           &p.config.Dialect,
 		queue:             slotqueue.New(worker.Slots - worker.Busy),
 		worker:            worker,
@@ -91,27 +91,27 @@
 			return newWorkerTransport(p.config.Dial, idle, slots)
 		},
 	}
-	connection.startedAt.Store(worker.StartedAt)
-	connection.transport = connection.makeTransport(workerIdle, worker.Slots)
-	connection.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
-	return connection
+	client.startedAt.Store(worker.StartedAt)
+	client.transport = client.makeTransport(workerIdle, worker.Slots)
+	client.unshared = newTransport(p.config.Dial, workerIdle, noIdleConnections)
+	return client
 }
 
-// isOf reports whether the connection is to the given incarnation of the worker. If its start
+// isOf reports whether the client belongs to the given incarnation of the worker. If its start
 // time was not known before, it is recorded.
-func (l *workerConnection) isOf(incarnation workers.Incarnation) bool {
-	if !l.incarnation().Same(incarnation) {
+func (w *workerClient) isOf(incarnation workers.Incarnation) bool {
+	if !w.incarnation().Same(incarnation) {
 		return false
 	}
 	if incarnation.StartedAt != 0 {
-		l.startedAt.Store(incarnation.StartedAt)
+		w.startedAt.Store(incarnation.StartedAt)
 	}
 	return true
 }
 
-// incarnation returns the worker incarnation that the connection is to.
-func (l *workerConnection) incarnation() workers.Incarnation {
-	return workers.Incarnation{Instance: l.worker.Instance, StartedAt: l.startedAt.Load()}
+// incarnation returns the worker incarnation that the client belongs to.
+func (w *workerClient) incarnation() workers.Incarnation {
+	return workers.Incarnation{Instance: w.worker.Instance, StartedAt: w.startedAt.Load()}
 }
 
 // workerCall is one request for the worker.
@@ -138,72 +138,72 @@
 
 // check returns the failure of a request that would be refused now; nil for one that would be
 // admitted or could wait.
-func (l *workerConnection) check(ctx context.Context, wanted claim) error {
-	if l.paused() {
+func (w *workerClient) check(ctx context.Context, wanted claim) error {
+	if w.paused() {
 		return outcome.New(outcome.NoWorker)
 	}
-	if err := l.queue.Check(wanted.request()); err != nil {
+	if err := w.queue.Check(wanted.request()); err != nil {
 		return admissionFailure(ctx, err)
 	}
 	return nil
 }
 
 // run admits a request and sends it to the worker.
-func (l *workerConnection) run(ctx context.Context, call *workerCall) (*answer, error) {
-	if l.paused() {
+func (w *workerClient) run(ctx context.Context, call *workerCall) (*answer, error) {
+	if w.paused() {
 		return nil, outcome.New(outcome.NoWorker)
 	}
 	arrivedAt := time.Now()
 	if call.level > 0 {
-		if err := l.isolate(ctx, call.claim.latestStart); err != nil {
+		if err := w.isolate(ctx, call.claim.latestStart); err != nil {
 			call.waited = time.Since(arrivedAt)
 			return nil, err
 		}
-		defer l.crashes.EndIsolation()
+		defer w.crashes.EndIsolation()
 	}
-	permit, err := l.queue.Admit(ctx, call.claim.request())
+	permit, err := w.queue.Admit(ctx, call.claim.request())
 	call.waited = time.Since(arrivedAt)
 	if err != nil {
 		return nil, admissionFailure(ctx, err)
 	}
-	if l.plane.left(call.began, call.end) < shortestTime {
+	if w.plane.left(call.began, call.end) < shortestTime {
 		permit.Release(false)
 		return nil, outcome.New(outcome.DeadlineBeforeStart)
 	}
 	began := time.Now()
-	if id := call.inbound.Header.Get(l.dialect.RequestID); id != "" && (call.repeat || call.principal.checked) {
-		l.plane.running.begin(id, call, began)
-		defer func() { l.plane.running.end(id, call.repeat, time.Now()) }()
+	if id := call.inbound.Header.Get(w.dialect.RequestID); id != "" && (call.repeat || call.principal.checked) {
+		w.plane.running.begin(id, call, began)
+		defer func() { w.plane.running.end(id, call.repeat, time.Now()) }()
 	}
-	l.crashes.Begin()
-	result, err := l.send(ctx, call)
-	l.crashes.End()
+	w.crashes.Begin()
+	result, err := w.send(ctx, call)
+	w.crashes.End()
 	call.ran = time.Since(began)
-	if outcome.ReasonOf(err) == outcome.ConnectionLost && l.ended(ctx) {
+	if outcome.ReasonOf(err) == outcome.ConnectionLost && w.ended(ctx) {
 		err = outcome.Wrap(outcome.WorkerCrashed, err)
-		l.plane.crashed(l.incarnation(), call)
+		w.plane.crashed(w.incarnation(), call)
 	}
 	failed := failedAtWorker(result, err)
-	l.failures.observe(failed, time.Now())
+	w.failures.observe(failed, time.Now())
 	if err != nil {
 		permit.Release(outcome.ReasonOf(err) == outcome.Timeout)
 		return nil, err
 	}
-	result.ran, result.load.Slowness = call.ran, l.slowness()
-	l.releaseAfter(result, call, permit, failed)
+	result.ran, result.load.Slowness = call.ran, w.slowness()
+	w.releaseAfter(result, call, permit, failed)
 	return result, nil
 }
 
 // releaseAfter releases the slot of a call once its answer was read completely, or broke off.
-func (l *workerConnection) releaseAfter(result *answer, call *workerCall, permit slotqueue.Permit, failed bool) {
+func (w *workerClient) releaseAfter(result *answer, call *workerCall, permit slotqueue.Permit, failed bool) {
 	if result.rest == nil {
-		l.plane.answeredComplete(call)
+		w.plane.answeredComplete(call)
 		permit.Release(!failed)
 		return
 	}
 	result.finish = func(whole bool) {
 		if whole {
-			l.plane.answeredComplete(call)
+			w.plane.answeredComplete(call)
 		}
 		permit.Release(false)
 	}
@@ -224,112 +224,112 @@
 
 // send sends an admitted request to the worker and turns invalid answers and refusals into
 // failures.
-func (l *workerConnection) send(ctx context.Context, call *workerCall) (*answer, error) {
-	transport := l.current()
+func (w *workerClient) send(ctx context.Context, call *workerCall) (*answer, error) {
+	transport := w.current()
 	if call.body.long() {
-		transport = l.unshared
+		transport = w.unshared
 	}
-	exchange := httpExchange{transport: transport, request: l.request(call), body: call.body}
+	exchange := httpExchange{transport: transport, request: w.request(call), body: call.body}
 	response, err := exchange.do(ctx)
 	if err != nil {
 		call.arrived = outcome.Of(err) != outcome.NotRun
 		if outcome.ReasonOf(err) == outcome.Unreachable {
-			l.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
+			w.pausedUntil.Store(time.Now().Add(unreachablePause).UnixNano())
 		}
 		return nil, err
 	}
 	call.arrived = true
-	l.followKeepAlive(response.Header)
-	if sent := call.inbound.Header.Get(l.dialect.RequestID); sent != response.Header.Get(l.dialect.RequestID) {
+	w.followKeepAlive(response.Header)
+	if sent := call.inbound.Header.Get(w.dialect.RequestID); sent != response.Header.Get(w.dialect.RequestID) {
 		// The answer belongs to an earlier request, or cannot be assigned to any.
 		_ = response.Body.Close()
 		return nil, outcome.New(outcome.InvalidAnswer)
 	}
-	l.observeLoad(response.Header)
-	if l.dialect.refused(response) {
+	w.observeLoad(response.Header)
+	if w.dialect.refused(response) {
 		_ = response.Body.Close()
 		if response.StatusCode == http.StatusMisdirectedRequest {
-			l.replaced.Store(true)
+			w.replaced.Store(true)
 		}
 		return nil, outcome.New(outcome.RefusedByOwnWorker)
 	}
 	return readAnswer(ctx, response)
 }
 
-func (l *workerConnection) request(call *workerCall) *http.Request {
-	header := forwardedHeader(call.inbound, l.dialect)
+func (w *workerClient) request(call *workerCall) *http.Request {
+	header := forwardedHeader(call.inbound, w.dialect)
 	if call.principal.tenant != "" {
-		header[l.dialect.Tenant] = []string{call.principal.tenant}
+		header[w.dialect.Tenant] = []string{call.principal.tenant}
 	}
-	left := max(l.plane.left(call.began, call.end).Milliseconds(), 1)
-	header[l.dialect.Timeout] = []string{strconv.FormatInt(left, 10)}
-	header[l.dialect.CallerService] = []string{call.caller}
-	header[l.dialect.ExpectInstance] = []string{l.worker.Instance}
-	return newRequest(call.inbound, l.worker.Address, header)
+	left := max(w.plane.left(call.began, call.end).Milliseconds(), 1)
+	header[w.dialect.Timeout] = []string{strconv.FormatInt(left, 10)}
+	header[w.dialect.CallerService] = []string{call.caller}
+	header[w.dialect.ExpectInstance] = []string{w.worker.Instance}
+	return newRequest(call.inbound, w.worker.Address, header)
 }
 
-func (l *workerConnection) current() *http.Transport {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.transport
+func (w *workerClient) current() *http.Transport {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.transport
 }
 
 // observeLoad records the load that the worker reports in an answer.
-func (l *workerConnection) observeLoad(header http.Header) {
-	reported, ok := l.dialect.workerLoad(header)
+func (w *workerClient) observeLoad(header http.Header) {
+	reported, ok := w.dialect.workerLoad(header)
 	if !ok {
 		return
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	if reported.Slowness > 0 {
-		l.reportedSlowness.observe(min(reported.Slowness, highestSlowness), time.Now())
+		w.reportedSlowness.observe(min(reported.Slowness, highestSlowness), time.Now())
 	}
-	if l.inheritedRequests > 0 {
-		own := l.queue.Load().Running
-		l.inheritedRequests = min(l.inheritedRequests, max(reported.Running+reported.Waiting-own, 0))
-		l.queue.SetSlots(l.slots - l.inheritedRequests)
+	if w.inheritedRequests > 0 {
+		own := w.queue.Load().Running
+		w.inheritedRequests = min(w.inheritedRequests, max(reported.Running+reported.Waiting-own, 0))
+		w.queue.SetSlots(w.slots - w.inheritedRequests)
 	}
 }
 
 // setSlots changes the number of slots of the worker.
-func (l *workerConnection) setSlots(slots int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if slots != l.slots {
-		l.renew(l.idle, slots)
+func (w *workerClient) setSlots(slots int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if slots != w.slots {
+		w.renew(w.idle, slots)
 	}
-	l.queue.SetSlots(slots - l.inheritedRequests)
+	w.queue.SetSlots(slots - w.inheritedRequests)
 }
 
 // renew makes further requests use a new transport. Requests in progress keep theirs. The mutex
 // must be held.
-func (l *workerConnection) renew(idle time.Duration, slots int) {
-	former := l.transport
-	l.idle, l.slots = idle, slots
-	l.transport = l.makeTransport(idle, slots)
+func (w *workerClient) renew(idle time.Duration, slots int) {
+	former := w.transport
+	w.idle, w.slots = idle, slots
+	w.transport = w.makeTransport(idle, slots)
 	former.CloseIdleConnections()
 }
 
 // slowness returns the worker's current slowness as it reports it; zero when it reports none.
-func (l *workerConnection) slowness() float64 {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.reportedSlowness.at(time.Now())
+func (w *workerClient) slowness() float64 {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.reportedSlowness.at(time.Now())
 }
 
 // followKeepAlive keeps unused connections for less time than the worker states.
-func (l *workerConnection) followKeepAlive(header http.Header) {
+func (w *workerClient) followKeepAlive(header http.Header) {
 	idle, ok := keepAliveOf(header)
 	if !ok {
 		return
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if idle == l.idle {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if idle == w.idle {
 		return
 	}
-	l.renew(idle, l.slots)
+	w.renew(idle, w.slots)
 }
 
 func keepAliveOf(header http.Header) (time.Duration, bool) {
@@ -346,20 +346,20 @@
 }
 
 // load returns the load of the worker as this node knows it.
-func (l *workerConnection) load() slotqueue.Load {
-	load := l.queue.Load()
-	load.Failing = l.failures.now(time.Now())
-	load.Slowness = l.slowness()
+func (w *workerClient) load() slotqueue.Load {
+	load := w.queue.Load()
+	load.Failing = w.failures.now(time.Now())
+	load.Slowness = w.slowness()
 	return load
 }
 
 // close ends the admission. Requests in progress are not affected.
-func (l *workerConnection) close() {
-	l.queue.Close()
-	l.current().CloseIdleConnections()
+func (w *workerClient) close() {
+	w.queue.Close()
+	w.current().CloseIdleConnections()
 }
 
 // paused reports whether the worker gets no calls for now.
-func (l *workerConnection) paused() bool {
-	return l.replaced.Load() || time.Now().UnixNano() < l.pausedUntil.Load()
+func (w *workerClient) paused() bool {
+	return w.replaced.Load() || time.Now().UnixNano() < w.pausedUntil.Load()
 }
