--- a/internal/control/floor_test.go
+++ b/internal/control/floor_test.go
@@ -89,9 +89,9 @@
 	m := newMesh(t)
 	sides := &partition{mesh: m, sides: map[string]int{}}
 	quick := func(c *Config) { c.TreeSettle, c.UnresponsiveBound = time.Second, 200*time.Millisecond }
-	silent := []string{"a0", "a1", "a2", "a3", "a4", "b1", "b2"}
+	uninformed := []string{"a0", "a1", "a2", "a3", "a4", "b1", "b2"}
 	informed := []string{"b0", "c0", "c1", "d0", "d1"}
-	for _, id := range append(slices.Clone(informed), silent...) {
+	for _, id := range append(slices.Clone(informed), uninformed...) {
 		zone := id[:1]
 		if zone == zoneWithStore {
 			m.start(id, zone, "ledger", sides.configure(id, quick))
@@ -103,13 +103,13 @@
 	first := m.propose("first")
 	m.eventually("every node runs the first version", m.all(runs(first)))
 
-	sides.split(1, silent...)
+	sides.split(1, uninformed...)
 	m.eventually("the uninformed nodes are lost", m.each(informed, knows(5)))
 	second := m.propose("second")
 	m.eventually("the others run the second version", m.each(informed, runs(second)))
 	m.down.Store(true)
 	m.kill("b0")
-	m.eventually("the uninformed nodes are authoritative", m.each(silent, authoritative))
+	m.eventually("the uninformed nodes are authoritative", m.each(uninformed, authoritative))
 
 	m.start("b0", "b", "ledger", sides.configure("b0", quick, withoutStore, func(config *Config) {
 		sides.put(1, config.Self.ControlAddress)
@@ -123,7 +123,7 @@
 		_, reason := restarted.Readiness()
 		return strings.Contains(reason, "1 of the 2 answers needed from other zones")
 	})
-	sides.split(0, append(silent, "b0")...)
+	sides.split(0, append(uninformed, "b0")...)
 	m.eventually("every node runs the second version", m.all(runs(second)))
 	m.eventually("every node is ready", m.all(ready))
 }
--- a/internal/dataplane/bounds_test.go
+++ b/internal/dataplane/bounds_test.go
@@ -9,11 +9,11 @@
 )
 
 // requireCut lets virtual time pass and checks whether the call was then cut.
-func requireCut(t *testing.T, life *lifetime, after time.Duration, want bool, message string) {
+func requireCut(t *testing.T, lifetime *lifetime, after time.Duration, want bool, message string) {
 	t.Helper()
 	time.Sleep(after)
 	synctest.Wait()
-	if got := life.ctx.Err() != nil; got != want {
+	if got := lifetime.ctx.Err() != nil; got != want {
 		t.Fatal(message)
 	}
 }
@@ -21,15 +21,15 @@
 func TestUploadIsBoundedByStepsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		interrupted := false
-		life := newLifetime(t.Context(), lifetimeOptions{Step: 10 * time.Second, Interrupt: func() { interrupted = true }})
-		defer life.end()
+		lifetime := newLifetime(t.Context(), lifetimeOptions{Step: 10 * time.Second, Interrupt: func() { interrupted = true }})
+		defer lifetime.end()
 		for range 100 {
 			time.Sleep(9 * time.Second) // virtual time
-			life.uploadProgressed()
+			lifetime.uploadProgressed()
 		}
-		requireCut(t, life, 0, false, "an upload that moves on was cut")
-		requireCut(t, life, 11*time.Second, true, "an upload that stands still was not cut")
-		if !errors.Is(context.Cause(life.ctx), errDeadline) || !interrupted {
+		requireCut(t, lifetime, 0, false, "an upload that moves on was cut")
+		requireCut(t, lifetime, 11*time.Second, true, "an upload that stands still was not cut")
+		if !errors.Is(context.Cause(lifetime.ctx), errDeadline) || !interrupted {
 			t.Fatal("an upload that stands still was cut for another cause")
 		}
 	})
@@ -37,28 +37,28 @@
 
 func TestDeadlineHoldsUntilTheAnswerBegins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		life := newLifetime(t.Context(), lifetimeOptions{
+		lifetime := newLifetime(t.Context(), lifetimeOptions{
 			Deadline: time.Now().Add(5 * time.Second), Step: 10 * time.Second, Interrupt: func() {},
 		})
-		defer life.end()
+		defer lifetime.end()
 		time.Sleep(4 * time.Second)
-		life.answerProgressed(3 * time.Second)
-		requireCut(t, life, 2*time.Second, false, "the answer was cut at a deadline that bounds its beginning only")
-		requireCut(t, life, 2*time.Second, true, "a silent answer was not cut")
+		lifetime.answerProgressed(3 * time.Second)
+		requireCut(t, lifetime, 2*time.Second, false, "the answer was cut at a deadline that bounds its beginning only")
+		requireCut(t, lifetime, 2*time.Second, true, "a silent answer was not cut")
 	})
 }
 
 func TestEndBoundsTheWholeAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		end := time.Now().Add(5 * time.Second)
-		life := newLifetime(t.Context(), lifetimeOptions{Deadline: end, End: end, Step: 10 * time.Second, Interrupt: func() {}})
-		defer life.end()
+		lifetime := newLifetime(t.Context(), lifetimeOptions{Deadline: end, End: end, Step: 10 * time.Second, Interrupt: func() {}})
+		defer lifetime.end()
 		for range 4 {
 			time.Sleep(time.Second)
-			life.answerProgressed(10 * time.Second)
+			lifetime.answerProgressed(10 * time.Second)
 		}
-		requireCut(t, life, 0, false, "cut too early")
-		requireCut(t, life, 2*time.Second, true, "the end given by the caller does not hold")
+		requireCut(t, lifetime, 0, false, "cut too early")
+		requireCut(t, lifetime, 2*time.Second, true, "the end given by the caller does not hold")
 	})
 }
 
--- a/internal/dataplane/callerdrain_test.go
+++ b/internal/dataplane/callerdrain_test.go
@@ -36,7 +36,7 @@
 func TestPlannedStopAnswersOnKeptCallerConnections(t *testing.T) {
 	m := newMesh(t, func(c *Config) {
 		c.Limits.DrainConnections = time.Minute
-		c.Limits.DrainQuiet = time.Microsecond
+		c.Limits.DrainIdle = time.Microsecond
 	})
 	m.addHandler("a", func(http.ResponseWriter, *http.Request) {})
 	var kept []keptConnection
--- a/internal/dataplane/config.go
+++ b/internal/dataplane/config.go
@@ -89,9 +89,9 @@
 	// call, for other nodes and callers to close their connections to it.
 	// Default 5 s.
 	DrainConnections time.Duration
-	// DrainQuiet is for how long no other node must have opened a connection
+	// DrainIdle is for how long no other node must have opened a connection
 	// before the wait for connections ends. Default 250 ms.
-	DrainQuiet time.Duration
+	DrainIdle time.Duration
 }
 
 // The defaults of Limits.
@@ -109,7 +109,7 @@
 	DefaultPeerServerIdle      = 300 * time.Second
 	DefaultDrainNotice         = 2 * time.Second
 	DefaultDrainConnections    = 5 * time.Second
-	DefaultDrainQuiet          = 250 * time.Millisecond
+	DefaultDrainIdle           = 250 * time.Millisecond
 )
 
 func (l Limits) withDefaults() Limits {
@@ -126,7 +126,7 @@
 	defaultTo(&l.PeerServerIdle, DefaultPeerServerIdle)
 	defaultTo(&l.DrainNotice, DefaultDrainNotice)
 	defaultTo(&l.DrainConnections, DefaultDrainConnections)
-	defaultTo(&l.DrainQuiet, DefaultDrainQuiet)
+	defaultTo(&l.DrainIdle, DefaultDrainIdle)
 	return l
 }
 
--- a/internal/dataplane/drain.go
+++ b/internal/dataplane/drain.go
@@ -122,7 +122,7 @@
 func (p *Plane) drainPeerConnections(ctx context.Context) {
 	for p.peerConnections.wait(ctx) == nil {
 		before := p.peerConnections.entered()
-		if !pause(ctx, p.limits.DrainQuiet) || p.peerConnections.entered() == before {
+		if !pause(ctx, p.limits.DrainIdle) || p.peerConnections.entered() == before {
 			return
 		}
 	}
--- a/internal/forwarding/answer.go
+++ b/internal/forwarding/answer.go
@@ -27,7 +27,7 @@
 	// ran is how long the worker had the call; zero when it is not known.
 	ran time.Duration
 	// finish releases the resources that a streamed answer holds.
-	finish func(whole bool)
+	finish func(complete bool)
 }
 
 // readAnswer reads the body of an answer, completely if it is short. An error has the outcome
@@ -38,13 +38,13 @@
 		a.rest = response.Body
 		return a, nil
 	}
-	held, whole, err := readAnswerHead(response)
+	held, complete, err := readAnswerHead(response)
 	if err != nil {
 		_ = response.Body.Close()
 		return nil, brokenAnswer(ctx, err)
 	}
 	a.held = held
-	if !whole {
+	if !complete {
 		a.rest = response.Body
 		return a, nil
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func readAnswerHead(response *http.Response) (held []byte, whole bool, err error) {
+func readAnswerHead(response *http.Response) (held []byte, complete bool, err error) {
 	if response.Request.Method == http.MethodHead {
 		return nil, true, nil
 	}
@@ -85,14 +85,14 @@
 	return buffer.Bytes(), false, err
 }
 
-// release closes the rest of an answer and releases what it holds. whole reports whether the
+// release closes the rest of an answer and releases what it holds. complete reports whether the
 // answer was written completely.
-func (a *answer) release(whole bool) {
+func (a *answer) release(complete bool) {
 	if a.rest != nil {
 		_ = a.rest.Close()
 	}
 	if a.finish != nil {
-		a.finish(whole)
+		a.finish(complete)
 	}
 }
 
--- a/internal/forwarding/answers_test.go
+++ b/internal/forwarding/answers_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestAnswerThatBreaksOffIsNotWhole(t *testing.T) {
+func TestAnswerThatBreaksOffIsNotComplete(t *testing.T) {
 	front, _, worker := twoNodes(t)
 	for _, length := range []int{100, 2 * bufferedAnswer} {
 		worker.answer(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/forwarding/body.go
+++ b/internal/forwarding/body.go
@@ -87,12 +87,12 @@
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(end)
 	body := &requestBody{length: r.ContentLength}
-	held, whole, err := readHead(r.Body, r.ContentLength)
+	held, complete, err := readHead(r.Body, r.ContentLength)
 	if err != nil {
 		return nil, outcome.Wrap(outcome.BodyNotReceived, err)
 	}
 	body.held = held
-	if !whole {
+	if !complete {
 		body.rest = r.Body
 		// An answer that begins before the body has ended must not wait for the rest of it.
 		_ = control.EnableFullDuplex()
@@ -105,7 +105,7 @@
 }
 
 // readHead reads up to bufferedBody bytes, and reports whether that was the complete body.
-func readHead(source io.Reader, length int64) (held []byte, whole bool, err error) {
+func readHead(source io.Reader, length int64) (held []byte, complete bool, err error) {
 	if length > 0 && length <= bufferedBody {
 		held = make([]byte, length)
 		if _, err = io.ReadFull(source, held); err != nil {
--- a/internal/forwarding/caller.go
+++ b/internal/forwarding/caller.go
@@ -80,10 +80,10 @@
 		return result, err
 	}
 	finish := result.finish
-	result.finish = func(whole bool) {
+	result.finish = func(complete bool) {
 		cancel()
 		if finish != nil {
-			finish(whole)
+			finish(complete)
 		}
 	}
 	return result, nil
--- a/internal/forwarding/expectcontinue_test.go
+++ b/internal/forwarding/expectcontinue_test.go
@@ -102,9 +102,9 @@
 	if n, err := out.Body.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Error("the rest of a sealed body was read")
 	}
-	whole := body.attach(&out, nil)
+	complete := body.attach(&out, nil)
 	_, _ = out.Body.Read(make([]byte, expectContinueBody))
-	if whole.seal() {
+	if complete.seal() {
 		t.Error("a body that was read completely sealed")
 	}
 	streamed := &requestBody{rest: bytes.NewReader(make([]byte, expectContinueBody)), length: expectContinueBody}
--- a/internal/forwarding/incarnations_test.go
+++ b/internal/forwarding/incarnations_test.go
@@ -30,7 +30,7 @@
 	node := startNode(t, "a", "ledger", nil)
 	configure(t, []routeSpec{{prefix: "/read/", service: "ledger", safe: true, timeout: time.Second}}, node)
 	node.heartbeatOfIncarnation(t, worker, 100, 7, false)
-	former, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100})
+	previous, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if load := next.load(); next == former || load.Running != 0 || load.Slots != 4 {
+	if load := next.load(); next == previous || load.Running != 0 || load.Slots != 4 {
 		t.Errorf("the new incarnation begins with %+v", load)
 	}
 	if _, err := node.plane.local.find("ledger", workers.Incarnation{Instance: "w1", StartedAt: 100}); err == nil {
--- a/internal/forwarding/inheritedrequests_test.go
+++ b/internal/forwarding/inheritedrequests_test.go
@@ -20,8 +20,8 @@
 	node.plane.config.Dialect.WorkerLoad = func(http.Header) (slotqueue.Load, bool) {
 		return slotqueue.Load{Running: held + 1, Slots: 4}, true
 	}
-	beat := workers.Heartbeat{Instance: "w", Service: "ledger", Address: worker.address(), Slots: 4, Busy: held}
-	if _, err := node.registry.RegisterProbed(beat, time.Now()); err != nil {
+	heartbeat := workers.Heartbeat{Instance: "w", Service: "ledger", Address: worker.address(), Slots: 4, Busy: held}
+	if _, err := node.registry.RegisterProbed(heartbeat, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	update := func() {
@@ -36,8 +36,8 @@
 	if got := slots(); got != 1 {
 		t.Errorf("%d slots at the start", got)
 	}
-	beat.Sequence = 1
-	if _, err := node.registry.Heartbeat(beat, time.Now()); err != nil {
+	heartbeat.Sequence = 1
+	if _, err := node.registry.Heartbeat(heartbeat, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	update()
--- a/internal/forwarding/slowness.go
+++ b/internal/forwarding/slowness.go
@@ -92,11 +92,11 @@
 // worthwhileWait returns how long the call may wait for a slot of the chosen worker before the
 // next best is expected to answer sooner.
 func (c choice) worthwhileWait() time.Duration {
-	worth := max(c.lead, shallowWait)
+	wait := max(c.lead, shallowWait)
 	if c.load.Slowness > 0 {
-		worth += c.load.Wait()
+		wait += c.load.Wait()
 	}
-	return worth
+	return wait
 }
 
 // declines reports whether a worker of the given slowness is slower than the call's limit; a
--- a/internal/forwarding/suspects_test.go
+++ b/internal/forwarding/suspects_test.go
@@ -210,15 +210,15 @@
 		t.Error("a hop with too many fields is accepted")
 	}
 	sent.work, sent.due = 40*time.Millisecond, time.Second
-	if whole, ok := parseHop(sent.encode()); !ok || whole != sent {
-		t.Errorf("with the work: %+v, %v", whole, ok)
+	if parsed, ok := parseHop(sent.encode()); !ok || parsed != sent {
+		t.Errorf("with the work: %+v, %v", parsed, ok)
 	}
 	if _, ok := parseHop(sent.encode() + hopSeparator + "x"); ok {
 		t.Error("a hop with a slowness that is no number is accepted")
 	}
 	sent.slowest = 1.37
-	if whole, ok := parseHop(sent.encode()); !ok || whole != sent {
-		t.Errorf("with the slowness: %+v, %v", whole, ok)
+	if parsed, ok := parseHop(sent.encode()); !ok || parsed != sent {
+		t.Errorf("with the slowness: %+v, %v", parsed, ok)
 	}
 	if _, ok := parseHop(sent.encode() + hopSeparator + "1"); ok {
 		t.Error("a hop with a field beyond the slowness is accepted")
--- a/internal/forwarding/worker.go
+++ b/internal/forwarding/worker.go
@@ -201,8 +201,8 @@
 		permit.Release(!failed)
 		return
 	}
-	result.finish = func(whole bool) {
-		if whole {
+	result.finish = func(complete bool) {
+		if complete {
 			w.plane.answeredComplete(call)
 		}
 		permit.Release(false)
@@ -225,7 +225,7 @@
 // send sends an admitted request to the worker and turns invalid answers and refusals into
 // failures.
 func (w *workerClient) send(ctx context.Context, call *workerCall) (*answer, error) {
-	transport := w.current()
+	transport := w.currentTransport()
 	if call.body.long() {
 		transport = w.unshared
 	}
@@ -268,7 +268,8 @@
 	return newRequest(call.inbound, w.worker.Address, header)
 }
 
-func (w *workerClient) current() *http.Transport {
+// currentTransport returns the transport for further requests.
+func (w *workerClient) currentTransport() *http.Transport {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.transport
@@ -305,10 +306,10 @@
 // renew makes further requests use a new transport. Requests in progress keep theirs. The mutex
 // must be held.
 func (w *workerClient) renew(idle time.Duration, slots int) {
-	former := w.transport
+	previous := w.transport
 	w.idle, w.slots = idle, slots
 	w.transport = w.makeTransport(idle, slots)
-	former.CloseIdleConnections()
+	previous.CloseIdleConnections()
 }
 
 // slowness returns the worker's current slowness as it reports it; zero when it reports none.
@@ -356,7 +357,7 @@
 // close ends the admission. Requests in progress are not affected.
 func (w *workerClient) close() {
 	w.queue.Close()
-	w.current().CloseIdleConnections()
+	w.currentTransport().CloseIdleConnections()
 }
 
 // paused reports whether the worker gets no calls for now.
--- a/internal/hosted/agent.go
+++ b/internal/hosted/agent.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// reminderPause is how long after a document the zones with other readers are told its version.
+	// reminderPause is how long after a document the zones with other readers are sent its version.
 	reminderPause = 200 * time.Millisecond
 	// endBound is how long the services may take to end.
 	endBound = 200 * time.Millisecond
@@ -229,7 +229,7 @@
 
 // spreadDocument sends the newest document, without waiting, to the own zone and to zones without
 // another reader. The readers of the other zones get it from the store and forward it there; these
-// zones are told its version a little later, in case they have not.
+// zones are sent its version a little later, in case they have not.
 func (a *Agent) spreadDocument(context.Context) {
 	version := a.documents.Version()
 	u := update{document: a.documents.ForBroadcast(), version: version}
--- a/internal/hosted/announcer.go
+++ b/internal/hosted/announcer.go
@@ -85,7 +85,7 @@
 
 	// onRewritten is called when the entry was written again after a restore of the store, with the
 	// number of drain commitments in it.
-	onRewritten func(era uint64, promised int)
+	onRewritten func(era uint64, commitments int)
 	// onRejected is called with the identifiers of entries that were not written by a node.
 	onRejected func(id string)
 
--- a/internal/hosted/entry.go
+++ b/internal/hosted/entry.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// take records the revision of the held entry, and passes on a previous incarnation found in it.
+// take records the revision of the held entry, and reports a previous incarnation found in it.
 func (a *Announcer) take(held Entry) {
 	a.mu.Lock()
 	a.revision = held.Revision
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -25,7 +25,7 @@
 	StoreRestored(era uint64, seen Era)
 	// EntryRestored reports that the entry of this node was written again after a restore, with the
 	// given number of drain commitments.
-	EntryRestored(era uint64, promised int)
+	EntryRestored(era uint64, commitments int)
 	// NodeLost and NodeFound report that another node cannot be reached, and that it can be reached
 	// again.
 	NodeLost(id string, err error)
@@ -43,7 +43,7 @@
 	// and whether the store does.
 	DrainCommitmentHeld(instance string, holders int, stored bool)
 	// PreviousIncarnationFound reports that a record of a previous incarnation was found.
-	PreviousIncarnationFound(incarnation uint64, promised int)
+	PreviousIncarnationFound(incarnation uint64, commitments int)
 	// RequestQuarantined reports that a request is taken to crash workers, and by which source.
 	RequestQuarantined(verdict quarantine.Verdict, source string)
 	// QuarantineEnded reports that a request may be run again, and why.
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -316,9 +316,9 @@
 	return workers.Heartbeat{Instance: instance, Service: "ledger", Address: "127.0.0.1:1", Slots: 6, Sequence: sequence, Draining: draining}
 }
 
-func mustHeartbeat(t *testing.T, node *testNode, beat workers.Heartbeat) {
+func mustHeartbeat(t *testing.T, node *testNode, heartbeat workers.Heartbeat) {
 	t.Helper()
-	if err := node.agent.Heartbeat(t.Context(), beat); err != nil {
+	if err := node.agent.Heartbeat(t.Context(), heartbeat); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -37,7 +37,7 @@
 	events    Events
 	web       *http.Client
 	// onPrevious is called with the drain commitments of this node's previous incarnations.
-	onPrevious func(merged fleet.Merged, promised []*exchangepb.Worker)
+	onPrevious func(merged fleet.Merged, drainCommitted []*exchangepb.Worker)
 	// previousKnown is set once a node has answered that knows a previous incarnation of this one.
 	previousKnown atomic.Bool
 	// contacted is set once a message was exchanged with another node.
@@ -185,8 +185,8 @@
 	return response, nil
 }
 
-// merge merges records, and passes on what was reported of previous incarnations of this node.
-func (p *Peers) merge(nodes []fleet.Node, promised []*exchangepb.Worker) []fleet.Node {
+// merge merges records, and relays what was reported of previous incarnations of this node.
+func (p *Peers) merge(nodes []fleet.Node, drainCommitted []*exchangepb.Worker) []fleet.Node {
 	merged := p.table.Merge(nodes)
 	for _, id := range merged.NewIncarnations {
 		// The node was lost, and others have heard from its new incarnation: it need not be probed
@@ -197,8 +197,8 @@
 		p.onRolloutRecord()
 	}
 	p.evidence.takeRecords(merged.Updates)
-	if merged.PreviousSelf != nil || len(promised) > 0 {
-		p.onPrevious(merged, promised)
+	if merged.PreviousSelf != nil || len(drainCommitted) > 0 {
+		p.onPrevious(merged, drainCommitted)
 	}
 	return merged.Updates
 }
--- a/internal/hosted/previous.go
+++ b/internal/hosted/previous.go
@@ -119,13 +119,13 @@
 }
 
 // learnPrevious adopts what previous incarnations of this node have left with other nodes.
-func (a *Agent) learnPrevious(merged fleet.Merged, promised []*exchangepb.Worker) {
-	previous := workersOf(promised)
+func (a *Agent) learnPrevious(merged fleet.Merged, drainCommitted []*exchangepb.Worker) {
+	previous := workersOf(drainCommitted)
 	if merged.PreviousSelf != nil {
 		a.config.Table.SupersedePrevious(*merged.PreviousSelf)
 		previous = append(previous, merged.PreviousSelf.Workers...)
 		a.evidence.takePrevious(*merged.PreviousSelf)
-		a.config.Events.PreviousIncarnationFound(merged.PreviousSelf.Incarnation, len(promised))
+		a.config.Events.PreviousIncarnationFound(merged.PreviousSelf.Incarnation, len(drainCommitted))
 	}
 	changed := a.config.Workers.Learn(previous, time.Now())
 	if len(changed) > 0 {
@@ -142,8 +142,8 @@
 	if previous.Incarnation == a.config.Table.View().Self().Incarnation {
 		return
 	}
-	promised := drainCommittedOnly(previous.Workers)
-	a.learnPrevious(fleet.Merged{PreviousSelf: &previous}, workerMessages(promised))
+	drainCommitted := drainCommittedOnly(previous.Workers)
+	a.learnPrevious(fleet.Merged{PreviousSelf: &previous}, workerMessages(drainCommitted))
 }
 
 // markCommitmentsKnown lets the workers be given work: the drain commitments of previous
@@ -161,11 +161,11 @@
 }
 
 func drainCommittedOnly(list []workers.Worker) []workers.Worker {
-	var promised []workers.Worker
+	var drainCommitted []workers.Worker
 	for _, worker := range list {
 		if worker.State.DrainCommitted() {
-			promised = append(promised, worker)
+			drainCommitted = append(drainCommitted, worker)
 		}
 	}
-	return promised
+	return drainCommitted
 }
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -39,8 +39,8 @@
 	}
 	p := s.peers
 	sender := request.GetSender().GetId()
-	promised := p.table.DrainCommitted(sender)
-	knowsFormer := p.table.KnowsPrevious(sender, request.GetSender().GetIncarnation())
+	drainCommitted := p.table.DrainCommitted(sender)
+	knowsPrevious := p.table.KnowsPrevious(sender, request.GetSender().GetIncarnation())
 	held, known := p.table.View().Node(sender)
 	p.noteContact(sender)
 	p.merge(append(nodesOf(request.GetNodes()...), nodesOf(request.GetSender())...), nil)
@@ -53,8 +53,8 @@
 		Receiver:        nodeMessage(view.Self()),
 		DocumentVersion: p.documents.Version(),
 		Document:        p.documents.After(request.GetDocumentVersion()),
-		Promised:        workerMessages(promised),
-		KnowsFormer:     knowsFormer,
+		Promised:        workerMessages(drainCommitted),
+		KnowsFormer:     knowsPrevious,
 		EvidenceDigest:  p.evidence.digest(),
 	}
 	if response.GetEvidenceDigest() != request.GetEvidenceDigest() {
--- a/internal/telemetry/hosted.go
+++ b/internal/telemetry/hosted.go
@@ -45,8 +45,8 @@
 }
 
 // EntryRestored records that this node has written its entry in the store again.
-func (l *Log) EntryRestored(era uint64, promised int) {
-	end(l.begin(eventEntryRestored).Uint64(fieldEra, era).Int("promised", promised))
+func (l *Log) EntryRestored(era uint64, commitments int) {
+	end(l.begin(eventEntryRestored).Uint64(fieldEra, era).Int("promised", commitments))
 }
 
 // NodeLost records that another node cannot be reached.
@@ -85,8 +85,8 @@
 
 // PreviousIncarnationFound records that the store or another node holds a record of a previous
 // incarnation of this node.
-func (l *Log) PreviousIncarnationFound(incarnation uint64, promised int) {
-	end(l.begin(eventPreviousIncarnation).Uint64("incarnation", incarnation).Int("promised", promised))
+func (l *Log) PreviousIncarnationFound(incarnation uint64, commitments int) {
+	end(l.begin(eventPreviousIncarnation).Uint64("incarnation", incarnation).Int("promised", commitments))
 }
 
 // RolloutOrdered records an order of the operators on a version.
--- a/pkg/canary/judge.go
+++ b/pkg/canary/judge.go
@@ -23,9 +23,9 @@
 	// trouble that affects both versions alike soon counts as usual, however often Observe
 	// is called.
 	formerRuns = 300
-	// smallestFormer is the least number of successful runs of the former version that a
+	// leastFormerRuns is the least number of successful runs of the former version that a
 	// comparison of run times needs.
-	smallestFormer = 20
+	leastFormerRuns = 20
 )
 
 // Tally sums up finished requests. The zero value holds none.
@@ -121,7 +121,7 @@
 }
 
 func (c *comparison) observeTimes(next Tally) {
-	if c.former.succeeded() < smallestFormer || next.succeeded() <= 0 {
+	if c.former.succeeded() < leastFormerRuns || next.succeeded() <= 0 {
 		return
 	}
 	slower := next.meanLogTime() - c.former.meanLogTime()
--- a/pkg/quota/link.go
+++ b/pkg/quota/link.go
@@ -95,7 +95,7 @@
 	return min(max(4*n.link.answerTime, quickBound), AnswerTimeout)
 }
 
-// target returns the ID of the node that the next message goes to: a former hub while it has
+// target returns the ID of the node that the next message goes to: a previous hub while it has
 // the share and was not notified that the lease ends, else the current hub.
 func (n *Node) target(now time.Duration) string {
 	if l := n.lease; l.hub != n.hub && now < l.until && !l.ending {
--- a/pkg/quota/node.go
+++ b/pkg/quota/node.go
@@ -85,7 +85,7 @@
 	if hub != n.hub {
 		n.hub = hub
 		n.withdrawing = false
-		// The tokens that the former hub granted are accounted for there, not at the new hub.
+		// The tokens that the previous hub granted are accounted for there, not at the new hub.
 		n.dropTokens()
 	}
 	n.refresh(now)
--- a/pkg/quota/node_test.go
+++ b/pkg/quota/node_test.go
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestFormerHubIsToldThatTheLeaseEnds(t *testing.T) {
+func TestPreviousHubIsInformedThatTheLeaseEnds(t *testing.T) {
 	start := 3 * time.Second
 	former, next, node := newTestNode("a", 1, 0), newTestNode("b", 1, 0), newTestNode("c", 1, 0)
 	node.SetMesh(start, 3, nil, "a")
