--- a/internal/lab/load/fleet_process.go
+++ b/internal/lab/load/fleet_process.go
@@ -29,7 +29,7 @@
 	operator      = "levertide-lab load"
 )
 
-// processFleet runs levertided processes and the platform's stand-in.
+// processFleet runs levertided processes and a stand-in for the platform.
 type processFleet struct {
 	program  string
 	platform *platform.Server
@@ -50,7 +50,7 @@
 	f := &processFleet{program: program, events: events, platform: platform.New(platform.Config{})}
 	address, err := f.platform.Listen("127.0.0.1:0")
 	if err != nil {
-		return nil, ErrStart.Wrap(err, "platform")
+		return nil, ErrStart.Wrap(err, "listen for the platform stand-in")
 	}
 	f.store = "http://" + address
 	client := consul.New(consul.Config{Address: f.store, Client: operator})
@@ -58,8 +58,8 @@
 	return f, nil
 }
 
-// listening is the event that tells the addresses of a node.
-type listening struct {
+// listeningEvent is the event in which a node reports its addresses.
+type listeningEvent struct {
 	Number  int    `json:"event"`
 	Caller  string `json:"caller_address"`
 	Call    string `json:"call_address"`
@@ -67,7 +67,7 @@
 	Admin   string `json:"admin_address"`
 }
 
-// eventListening is its number in the catalogue of events.
+// eventListening is the number of that event in the catalogue of events.
 const eventListening = 102
 
 // processNode is one levertided process.
@@ -75,18 +75,18 @@
 	fleet     *processFleet
 	spec      nodeSpec
 	process   *process.Process
-	addresses listening
+	addresses listeningEvent
 }
 
 func (f *processFleet) start(ctx context.Context, spec nodeSpec) (node, error) {
-	heard := make(chan listening, 1)
+	listeningEvents := make(chan listeningEvent, 1)
 	running, err := f.group.Start(process.Options{
 		Name: spec.id, Path: f.program, Arguments: f.arguments(spec),
 		OnErrorLine: func(line []byte) {
-			f.keepEvent(line)
-			var event listening
+			f.writeEvent(line)
+			var event listeningEvent
 			if json.Unmarshal(line, &event) == nil && event.Number == eventListening {
-				heard <- event
+				listeningEvents <- event
 			}
 		},
 	})
@@ -96,18 +96,18 @@
 	timer := time.NewTimer(startBound)
 	defer timer.Stop()
 	select {
-	case event := <-heard:
+	case event := <-listeningEvents:
 		return f.add(spec, running, event), nil
 	case <-running.Done():
-		return nil, ErrStart.New("node %s ended with exit code %d", spec.id, running.ExitCode())
+		return nil, ErrStart.New("node %s ended with exit code %d before it listened", spec.id, running.ExitCode())
 	case <-timer.C:
-		return nil, ErrStart.New("node %s does not listen after %v", spec.id, startBound)
+		return nil, ErrStart.New("node %s did not listen within %v", spec.id, startBound)
 	case <-ctx.Done():
-		return nil, ErrStart.Wrap(ctx.Err(), "node %s", spec.id)
+		return nil, ErrStart.Wrap(ctx.Err(), "wait until node %s listens", spec.id)
 	}
 }
 
-func (f *processFleet) keepEvent(line []byte) {
+func (f *processFleet) writeEvent(line []byte) {
 	f.eventsMutex.Lock()
 	defer f.eventsMutex.Unlock()
 	_, _ = fmt.Fprintf(f.events, "%s\n", line)
@@ -127,8 +127,8 @@
 	return arguments
 }
 
-// add puts the node on the platform's list of machines.
-func (f *processFleet) add(spec nodeSpec, running *process.Process, addresses listening) *processNode {
+// add registers the node on the platform's list of machines.
+func (f *processFleet) add(spec nodeSpec, running *process.Process, addresses listeningEvent) *processNode {
 	n := &processNode{fleet: f, spec: spec, process: running, addresses: addresses}
 	host, port, _ := net.SplitHostPort(addresses.Control)
 	number, _ := strconv.Atoi(port)
@@ -151,13 +151,13 @@
 		ApplyID: fmt.Sprintf("load-%d", f.applies), Operator: operator, Base: f.base, Resources: resources,
 	})
 	if err != nil {
-		return ErrStart.Wrap(err, "propose")
+		return ErrStart.Wrap(err, "propose a version")
 	}
 	f.base = result.Version
 	return f.settle(ctx)
 }
 
-// status is the part of a node's status that is waited for.
+// status holds the fields of a node's status that settle waits for.
 type status struct {
 	Ready          bool   `json:"ready"`
 	Reason         string `json:"reason"`
@@ -221,7 +221,7 @@
 	return usage, err == nil
 }
 
-// stop takes the node off the list of machines and ends it as planned.
+// stop marks the node as leaving, ends it as planned and removes it from the list of machines.
 func (n *processNode) stop(bound time.Duration) bool {
 	n.fleet.platform.SetLeaving(n.spec.id, true)
 	ended := n.process.Stop(bound)
@@ -236,12 +236,12 @@
 	n.fleet.remove(n)
 }
 
-func (f *processFleet) remove(gone *processNode) {
+func (f *processFleet) remove(removed *processNode) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	kept := f.nodes[:0]
 	for _, n := range f.nodes {
-		if n != gone {
+		if n != removed {
 			kept = append(kept, n)
 		}
 	}
--- a/internal/lab/soak/innocent_test.go
+++ b/internal/lab/soak/innocent_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
 // With the race detector, Go 1.26.8 crashes in a bubble when a timer is already due
-// as its channel is selected; scripts/go-test.sh plays these tests without it.
+// as its channel is selected; scripts/go-test.sh runs these tests without it.
 
 package soak
 
@@ -14,11 +14,11 @@
 	"github.com/levertide/levertide/internal/lab/memnet"
 )
 
-// TestInnocentRequestsAreNotQuarantined has workers and nodes end for reasons of their own,
-// or under other requests, while 10,000 calls and more are made by as many callers as there
-// are slots. Half of the reads are in the same words, and all come again when they are not
-// served. None may be taken for a request that crashes workers: the ledger tells of each
-// that was refused for good.
+// TestInnocentRequestsAreNotQuarantined ends workers and nodes for reasons unrelated to requests,
+// or under other requests, while as many callers as there are slots send at least 10,000
+// calls. Half of the reads are for popular paths, so that identical ones are sent often,
+// and all reads are retried when they are not served. None may be taken for a crashing
+// request: the ledger reports a violation for each that was refused as quarantined.
 func TestInnocentRequestsAreNotQuarantined(t *testing.T) {
 	const (
 		machines = 12
@@ -28,19 +28,19 @@
 		callers  = 48 // as many as the slots of all workers
 		runTime  = 40 * time.Millisecond
 	)
-	for name, strike := range map[string]func(ctx context.Context, f *faults, m *machine){
+	for name, inject := range map[string]func(ctx context.Context, f *faults, m *machine){
 		"workers crash": func(ctx context.Context, f *faults, m *machine) { f.crashWorker(ctx, m) },
 		"workers crash together": func(ctx context.Context, f *faults, m *machine) {
 			for n := range machines / 3 {
-				f.crashWorker(ctx, f.machines[(f.number(m)+n)%machines])
+				f.crashWorker(ctx, f.machines[(f.indexOf(m)+n)%machines])
 			}
 		},
 		"machines lose power": func(ctx context.Context, f *faults, m *machine) {
 			f.onMachine(m, "power", func() {
 				m.worker.kill()
 				f.restart(ctx, m, false, time.Second)
-				_, err := m.renewWorker()
-				f.note(err)
+				_, err := m.startNextWorker()
+				f.recordError(err)
 			})
 		},
 		"workers are replaced": func(ctx context.Context, f *faults, m *machine) {
@@ -60,19 +60,20 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				// Time stands still once the test has ended: what still dials must end before.
+				// The clock of the bubble stops once the test has ended, so dials in
+				// progress must end before that.
 				defer time.Sleep(time.Minute)
 				run := newSoak(Options{Seed: 7, Machines: machines, Callers: callers, RunTime: runTime, Network: NewInMemory(memnet.New(500 * time.Microsecond))})
 				defer run.end()
 				if err := run.start(); err != nil {
 					t.Fatal(err)
 				}
-				striking := run.faults()
+				injector := run.faults()
 				run.callWhile(t.Context(), func() {
 					for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(pause) {
-						strike(t.Context(), striking, striking.machines[striking.random.IntN(machines)])
+						inject(t.Context(), injector, injector.machines[injector.random.IntN(machines)])
 					}
-					striking.running.Wait()
+					injector.running.Wait()
 				})
 				report := run.ledger.result()
 				for _, violation := range report.Violations {
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -9,85 +9,88 @@
 )
 
 const (
-	// maximumViolations bounds how many violations are kept.
+	// maximumViolations bounds how many violations are recorded.
 	maximumViolations = 20
-	// promiseSlack is how long after an acknowledged leave a request that was on
+	// drainSlack is how long after the acknowledgement of a drain a request that was already on
 	// its way may still arrive.
-	promiseSlack = 2 * time.Second
-	// timeSlack is by how much a further worker may be given time for longer than the
-	// first.
+	drainSlack = 2 * time.Second
+	// timeSlack is by how much the deadline that a later worker is given may exceed that
+	// of the first worker.
 	timeSlack = 500 * time.Millisecond
 )
 
-// ledger is what callers were told and what workers ran.
+// ledger records the outcomes that callers were given and the requests that workers ran,
+// and checks them against the rules that must always hold.
 type ledger struct {
 	mutex      sync.Mutex
 	report     Report
 	runs       map[string]int
 	refused    map[string]bool
 	repeatable map[string]bool
-	// heldUp is until when a machine was suspended or cut off last: what had been sent to it
-	// came later, with the time that was left when it was sent.
-	heldUp time.Time
-	// ends is until when the first worker was given a request.
-	ends map[string]time.Time
-	// promised is when a worker's leave was acknowledged.
-	promised map[string]time.Time
-	// crashing are the requests that crash their workers, by path.
-	crashing map[string]*crashing
+	// disturbedAt is when the last suspension or cut of a machine ended. Requests sent to it
+	// before that arrive later, with the time limit that was left when they were sent.
+	disturbedAt time.Time
+	// firstDeadlines holds the deadlines that the first worker was given, by request.
+	firstDeadlines map[string]time.Time
+	// drainCommitted holds when a worker's drain was acknowledged, by worker.
+	drainCommitted map[string]time.Time
+	// crashing holds the crashing requests, by path.
+	crashing map[string]*crashingRequest
 }
 
 func newLedger(seed uint64) *ledger {
 	return &ledger{
 		report: Report{Seed: seed, Violations: []string{}},
 		runs:   map[string]int{}, refused: map[string]bool{}, repeatable: map[string]bool{},
-		ends:     map[string]time.Time{},
-		promised: map[string]time.Time{}, crashing: map[string]*crashing{},
+		firstDeadlines: map[string]time.Time{},
+		drainCommitted: map[string]time.Time{}, crashing: map[string]*crashingRequest{},
 	}
 }
 
-// violate records a violation. The mutex is held.
+// violate records a violation. The caller must hold the mutex.
 func (l *ledger) violate(format string, arguments ...any) {
 	if len(l.report.Violations) < maximumViolations {
 		l.report.Violations = append(l.report.Violations, fmt.Sprintf(format, arguments...))
 	}
 }
 
-// began records that a caller sends a request.
-func (l *ledger) began(id string, repeatable bool) {
+// recordCall records that a caller sends a request.
+func (l *ledger) recordCall(id string, repeatable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.report.Calls++
 	l.repeatable[id] = repeatable
 }
 
-// holdsUp records that a machine was suspended or cut off until now.
-func (l *ledger) holdsUp(now time.Time) {
+// recordDisturbance records that a machine was suspended or cut off until now.
+func (l *ledger) recordDisturbance(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.heldUp = now
+	l.disturbedAt = now
 }
 
-// given records the time that a worker was given for a request, in milliseconds. A node
-// counts from when it has read the request, which the first worker's time shows.
-func (l *ledger) given(id, milliseconds string, now time.Time) {
+// recordTimeLimit records the time limit that a worker was given for a request, in
+// milliseconds. No worker may be given a later deadline than the first one: a node counts
+// the time from when it has read the request, which the limit of the first worker shows.
+func (l *ledger) recordTimeLimit(id, milliseconds string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	count, err := strconv.ParseInt(milliseconds, 10, 64)
 	end := now.Add(time.Duration(count) * time.Millisecond)
-	first, again := l.ends[id]
-	undisturbed := now.Sub(l.heldUp) > callBound
+	first, again := l.firstDeadlines[id]
+	undisturbed := now.Sub(l.disturbedAt) > callBound
 	if !again && undisturbed {
-		// A machine that takes itself to have been suspended gives less.
-		l.ends[id] = end
+		// A machine that believes it was suspended gives a shorter limit, so that limit is
+		// no bound for later ones.
+		l.firstDeadlines[id] = end
 	}
 	if err != nil || count > callBound.Milliseconds() || again && undisturbed && end.After(first.Add(timeSlack)) {
 		l.violate("a worker was given %q ms for request %s, the first one until %v before", milliseconds, id, end.Sub(first))
 	}
 }
 
-// ran records that a worker has begun a request.
-func (l *ledger) ran(id, instance string, now time.Time) {
+// recordRun records that a worker has begun a request.
+func (l *ledger) recordRun(id, instance string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.report.Runs++
@@ -102,32 +105,34 @@
 	if l.refused[id] {
 		l.violate("request %s ran after its caller was told that it would not", id)
 	}
-	if at, leaving := l.promised[instance]; leaving && now.Sub(at) > promiseSlack {
+	if at, leaving := l.drainCommitted[instance]; leaving && now.Sub(at) > drainSlack {
 		l.violate("worker %s got request %s %v after its leave was acknowledged", instance, id, now.Sub(at))
 	}
 }
 
-// acknowledged records that a worker was told that it gets nothing new.
-func (l *ledger) acknowledged(instance string, now time.Time) {
+// recordDrainCommitment records that a node has acknowledged the drain of a worker, which
+// must get no new requests from then on.
+func (l *ledger) recordDrainCommitment(instance string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if _, before := l.promised[instance]; !before {
-		l.report.Promises++
-		l.promised[instance] = now
+	if _, before := l.drainCommitted[instance]; !before {
+		l.report.DrainCommitments++
+		l.drainCommitted[instance] = now
 	}
 }
 
-// forgetTold forgets what nodes were told before, and nobody knows any more: promises, and which
-// requests crash their workers.
-func (l *ledger) forgetTold() {
+// forgetReported forgets the drain commitments and crashing requests, when the nodes have lost
+// the records of them that were reported before.
+func (l *ledger) forgetReported() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	clear(l.promised)
+	clear(l.drainCommitted)
 	clear(l.crashing)
 }
 
-// told records what a caller was told.
-func (l *ledger) told(id string, status int, body string) {
+// recordOutcome records the outcome that a caller was given. Status 0 stands for a call
+// without a complete response.
+func (l *ledger) recordOutcome(id string, status int, body string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	switch status {
@@ -148,19 +153,19 @@
 	case statusUnauthenticated:
 		l.report.Unauthenticated++
 		l.refused[id] = true
-		if !strings.HasPrefix(id, strangerPrefix) || l.runs[id] > 0 {
+		if !strings.HasPrefix(id, unknownCallerPrefix) || l.runs[id] > 0 {
 			l.violate("request %s was refused for its key, after %d runs", id, l.runs[id])
 		}
 	case statusQuarantined:
-		l.report.Wronged++
+		l.report.QuarantinedWrongly++
 		l.violate("request %s was taken for one that crashes its workers", id)
 	default:
 		l.report.Unknown++
 	}
 }
 
-func (l *ledger) fault()    { l.count(&l.report.Faults) }
-func (l *ledger) document() { l.count(&l.report.Documents) }
+func (l *ledger) countFault()    { l.count(&l.report.Faults) }
+func (l *ledger) countDocument() { l.count(&l.report.Documents) }
 
 func (l *ledger) count(counter *int) {
 	l.mutex.Lock()
@@ -168,7 +173,7 @@
 	l.mutex.Unlock()
 }
 
-// fail records a violation that the run as a whole has shown.
+// fail records a violation that was found outside the ledger's own checks.
 func (l *ledger) fail(format string, arguments ...any) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
