--- a/internal/dataplane/drain.go
+++ b/internal/dataplane/drain.go
@@ -118,7 +118,7 @@
 }
 
 // drainPeerConnections waits until other nodes have closed their connections
-// and opened no further ones for DrainQuiet.
+// and opened no further ones for DrainIdle.
 func (p *Plane) drainPeerConnections(ctx context.Context) {
 	for p.peerConnections.wait(ctx) == nil {
 		before := p.peerConnections.entered()
