--- a/internal/lab/mesh/node.go
+++ b/internal/lab/mesh/node.go
@@ -260,7 +260,7 @@
 	for _, relay := range n.relays {
 		relay.CloseListener()
 	}
-	n.mesh.options.Recorder.Gone(n.Name)
+	n.mesh.options.Recorder.ProcessEnded(n.Name)
 }
 
 // Pause stops the process without ending it, and Resume lets it go on.
--- a/internal/lab/observe/check.go
+++ b/internal/lab/observe/check.go
@@ -15,8 +15,8 @@
 	RuleNeverOlder Rule = "never-older"
 	// RuleOnlyCommitted: no node runs a version that was not committed.
 	RuleOnlyCommitted Rule = "only-committed"
-	// RuleWhole: what a node runs is complete and refers to nothing it lacks.
-	RuleWhole Rule = "whole"
+	// RuleComplete: what a node runs is complete and refers to nothing it lacks.
+	RuleComplete Rule = "whole"
 )
 
 // Violation is one breach of a rule.
--- a/internal/lab/observe/event.go
+++ b/internal/lab/observe/event.go
@@ -41,8 +41,8 @@
 	Role    string      `json:"role"`
 	Error   string      `json:"error"`
 	Text    string      `json:"text"`
-	// Silent is how many nodes had not reported when a version was committed.
-	Silent uint32 `json:"silent"`
+	// Unreported is how many nodes had not reported when a version was committed.
+	Unreported uint32 `json:"silent"`
 	// The addresses are those of EventListening.
 	CallerAddress string `json:"caller_address"`
 	AdminAddress  string `json:"admin_address"`
--- a/internal/lab/observe/recorder.go
+++ b/internal/lab/observe/recorder.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Gone notes that a node's process has ended, so that it is not ready.
-func (r *Recorder) Gone(node string) {
+// ProcessEnded notes that a node's process has ended, so that it is not ready.
+func (r *Recorder) ProcessEnded(node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.history(node).ready = false
--- a/internal/lab/observe/recorder_test.go
+++ b/internal/lab/observe/recorder_test.go
@@ -21,7 +21,7 @@
 func TestRecorderFindsFallingVersionAcrossRestart(t *testing.T) {
 	recorder := observe.NewRecorder()
 	recorder.ObserveLine(inForce("a", 2, 0))
-	recorder.Gone("a")
+	recorder.ProcessEnded("a")
 	recorder.ObserveLine([]byte("no event"))
 	recorder.ObserveLine(inForce("a", 2, time.Second))
 	if found := recorder.Violations(); len(found) != 0 {
--- a/internal/lab/worker/client.go
+++ b/internal/lab/worker/client.go
@@ -36,8 +36,8 @@
 	return c.do(ctx, http.MethodPut, pathFaults, append([]Fault{}, faults...), nil)
 }
 
-// SetMisreport makes the health and load endpoints lag or lie.
-func (c *Client) SetMisreport(ctx context.Context, m Misreport) error {
+// SetReportingFault makes the health and load endpoints lag or lie.
+func (c *Client) SetReportingFault(ctx context.Context, m ReportingFault) error {
 	return c.do(ctx, http.MethodPut, pathMisreport, m, nil)
 }
 
--- a/internal/lab/worker/control.go
+++ b/internal/lab/worker/control.go
@@ -29,7 +29,7 @@
 		w.ResetRecords()
 	})
 	mux.HandleFunc("PUT "+pathFaults, take(func(faults []Fault) { w.SetFaults(faults...) }))
-	mux.HandleFunc("PUT "+pathMisreport, take(w.SetMisreport))
+	mux.HandleFunc("PUT "+pathMisreport, take(w.SetReportingFault))
 	mux.HandleFunc("POST "+pathDrain, func(http.ResponseWriter, *http.Request) { w.Drain() })
 	return mux
 }
--- a/internal/lab/worker/gauge.go
+++ b/internal/lab/worker/gauge.go
@@ -13,8 +13,8 @@
 	Busy  int `json:"busy"`
 }
 
-// Misreport makes the health and load endpoints lag or lie.
-type Misreport struct {
+// ReportingFault makes the health and load endpoints lag or lie.
+type ReportingFault struct {
 	// LagMilliseconds is how old the figures are.
 	LagMilliseconds int `json:"lag_ms,omitempty"`
 	// Healthy and Load, when set, are reported whatever is true.
@@ -30,7 +30,7 @@
 	running   int
 	waiting   []chan struct{}
 	draining  bool
-	misreport Misreport
+	misreport ReportingFault
 	reported  report
 }
 
@@ -114,7 +114,7 @@
 	g.draining = true
 }
 
-func (g *gauge) setMisreport(m Misreport) {
+func (g *gauge) setMisreport(m ReportingFault) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.misreport = m
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -93,8 +93,8 @@
 // SetNext replaces Config.Next and Config.NextHost.
 func (w *Worker) SetNext(base, host string) { w.next.set(base, host) }
 
-// SetMisreport makes the health and load endpoints lag or lie.
-func (w *Worker) SetMisreport(m Misreport) { w.gauge.setMisreport(m) }
+// SetReportingFault makes the health and load endpoints lag or lie.
+func (w *Worker) SetReportingFault(m ReportingFault) { w.gauge.setMisreport(m) }
 
 // Records returns a record for each request seen, and totals.
 func (w *Worker) Records() ([]Record, Totals) { return w.records.snapshot() }
--- a/internal/lab/worker/worker_test.go
+++ b/internal/lab/worker/worker_test.go
@@ -169,7 +169,7 @@
 	healthy := true
 	steps := []error{
 		client.SetFaults(ctx, worker.Fault{Kind: worker.ServerError}),
-		client.SetMisreport(ctx, worker.Misreport{Healthy: &healthy, Load: &worker.LoadFigures{Slots: 6, Busy: 6}}),
+		client.SetReportingFault(ctx, worker.ReportingFault{Healthy: &healthy, Load: &worker.LoadFigures{Slots: 6, Busy: 6}}),
 		client.Drain(ctx),
 	}
 	for _, err := range steps {
--- a/tests/integration/harness/node.go
+++ b/tests/integration/harness/node.go
@@ -141,7 +141,7 @@
 func (n *Node) gone() {
 	n.Control.Shut()
 	n.Calls.Shut()
-	n.mesh.Recorder.Gone(n.Name)
+	n.mesh.Recorder.ProcessEnded(n.Name)
 }
 
 // Usage returns what the running process has used.
