--- a/internal/lab/worker/answer.go
+++ b/internal/lab/worker/answer.go
@@ -8,15 +8,15 @@
 	"math/rand/v2"
 )
 
-// Headers between the lab's callers and its workers.
+// HTTP headers that the lab's callers and workers exchange.
 const (
-	// RequestIDHeader identifies a request; each call has one of its own.
+	// RequestIDHeader is the identifier of a request, unique for each call.
 	RequestIDHeader = "Lab-Request-Id"
-	// DigestHeader of an answer is the digest of the request's identifier and body.
+	// DigestHeader in an answer is the digest of the request's identifier and body.
 	DigestHeader = "Lab-Digest"
-	// WorkerHeader of an answer names the worker.
+	// WorkerHeader in an answer is the name of the worker.
 	WorkerHeader = "Lab-Worker"
-	// AnswerSizeHeader of a request is the number of bytes wanted in the answer.
+	// AnswerSizeHeader in a request is the requested size of the answer body in bytes.
 	AnswerSizeHeader = "Lab-Answer-Size"
 )
 
@@ -39,10 +39,10 @@
 	return d
 }
 
-// Write takes a part of the body. It never fails.
+// Write adds a part of the body to the digest. It never fails.
 func (d *Digester) Write(part []byte) (int, error) { return d.hash.Write(part) }
 
-// Sum returns the digest of the request up to now.
+// Sum returns the digest of the part of the request written so far.
 func (d *Digester) Sum() Digest {
 	var digest Digest
 	d.hash.Sum(digest[:0])
--- a/internal/lab/worker/client.go
+++ b/internal/lab/worker/client.go
@@ -7,7 +7,7 @@
 	"net/http"
 )
 
-// Client speaks to the control listener of a worker in another process. Its
+// Client calls the control listener of a worker in another process. Its
 // methods fail with ErrControl.
 type Client struct {
 	base   string
@@ -19,26 +19,26 @@
 	return &Client{base: "http://" + controlAddress, client: http.DefaultClient}
 }
 
-// Records returns a record for each request seen by the worker, and totals.
+// Records returns a record for each request that the worker received, and totals.
 func (c *Client) Records(ctx context.Context) ([]Record, Totals, error) {
 	var answer recordsAnswer
 	err := c.do(ctx, http.MethodGet, pathRecords, nil, &answer)
 	return answer.Records, answer.Totals, err
 }
 
-// ResetRecords forgets what was recorded.
+// ResetRecords deletes all records and sets the totals to zero.
 func (c *Client) ResetRecords(ctx context.Context) error {
 	return c.do(ctx, http.MethodDelete, pathRecords, nil, nil)
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (c *Client) SetFaults(ctx context.Context, faults ...Fault) error {
 	return c.do(ctx, http.MethodPut, pathFaults, append([]Fault{}, faults...), nil)
 }
 
-// SetReportingFault makes the health and load endpoints lag or lie.
+// SetReportingFault makes the health and load endpoints report stale or false values.
 func (c *Client) SetReportingFault(ctx context.Context, m ReportingFault) error {
-	return c.do(ctx, http.MethodPut, pathMisreport, m, nil)
+	return c.do(ctx, http.MethodPut, pathReportingFault, m, nil)
 }
 
 // Drain makes the worker refuse further requests.
--- a/internal/lab/worker/command.go
+++ b/internal/lab/worker/command.go
@@ -13,9 +13,9 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// Command returns the subcommand that runs one worker until it is told to stop.
-// It writes one line, "worker REQUESTS CONTROL" with the two addresses, to
-// standard output when it listens. SIGTERM drains it first.
+// Command returns the subcommand that runs one worker until it receives SIGTERM
+// or an interrupt, upon which it drains before it exits. Once it listens it writes one
+// line, "worker REQUESTS CONTROL" with the two addresses, to standard output.
 func Command() *ffcli.Command {
 	flags := flag.NewFlagSet("worker", flag.ContinueOnError)
 	var config Config
--- a/internal/lab/worker/config.go
+++ b/internal/lab/worker/config.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Default figures of a worker.
+// Defaults of a worker's configuration.
 const (
 	DefaultSlots       = 6
 	DefaultConnections = 130
@@ -14,9 +14,9 @@
 	DefaultDrainBound  = 5 * time.Minute
 )
 
-// coldFactor is how many times longer a request takes on a worker that has
-// just started; it falls to 1 over Config.ColdStart.
-const coldFactor = 5
+// coldStartFactor multiplies the service time of a worker that has just started.
+// The factor falls linearly to 1 over Config.ColdStart.
+const coldStartFactor = 5
 
 // Config describes one worker. A zero field takes its default.
 type Config struct {
@@ -26,8 +26,8 @@
 	// for the lab's control; "127.0.0.1:0" when empty.
 	Address        string
 	ControlAddress string
-	// Slots is how many requests it runs at once; further ones are refused
-	// with a not-run.
+	// Slots is how many requests it runs at once. Without a queue, further ones
+	// are refused with the outcome not-run.
 	Slots int
 	// Queue is how many requests may wait for a slot before further ones are
 	// refused. Back ends that queue without bound have a large one.
@@ -36,20 +36,21 @@
 	Connections int
 	// Service is the distribution of the time that a request takes.
 	Service Distribution
-	// ColdStart is how long the worker is slow after its start.
+	// ColdStart is how long after its start the worker is slower than usual.
 	ColdStart time.Duration
-	// DrainDelay is how long a worker that stops refuses requests before it
-	// closes its idle connections, so that none is cut while a request is on its way.
+	// DrainDelay is how long a stopping worker refuses requests before it closes
+	// its idle connections, so that no connection is closed while a request is in transit.
 	DrainDelay time.Duration
 	// Next, when set, is the base URL of a service that each request calls in
 	// turn, with the path of the request; NextHost is the Host header of these calls.
 	Next     string
 	NextHost string
-	// CutOnNextFailure cuts the connection of a request whose next call failed,
+	// CutOnNextFailure closes the connection of a request whose next call failed,
 	// so that every level of a chain sees an unknown outcome. Otherwise the
 	// answer is a 502.
 	CutOnNextFailure bool
-	// ForgetRecords drops the record of executions, for long runs that check nothing.
+	// ForgetRecords keeps only totals and no record of each execution, for long
+	// runs that do not check executions.
 	ForgetRecords bool
 }
 
@@ -71,9 +72,10 @@
 
 // Distribution is a log-normal distribution of times. The zero value is always 0.
 type Distribution struct {
-	// Median is the time that half of the requests stay below.
+	// Median is the time that half of the requests do not exceed.
 	Median time.Duration
-	// Sigma is the spread; zero makes every request take the median.
+	// Sigma is the standard deviation of the time's logarithm; zero makes every
+	// request take the median.
 	Sigma float64
 }
 
--- a/internal/lab/worker/control.go
+++ b/internal/lab/worker/control.go
@@ -7,10 +7,10 @@
 
 // Paths of the control listener.
 const (
-	pathRecords   = "/records"
-	pathFaults    = "/faults"
-	pathMisreport = "/misreport"
-	pathDrain     = "/drain"
+	pathRecords        = "/records"
+	pathFaults         = "/faults"
+	pathReportingFault = "/misreport"
+	pathDrain          = "/drain"
 )
 
 // recordsAnswer is the answer of the control listener to GET /records.
@@ -28,14 +28,14 @@
 	mux.HandleFunc("DELETE "+pathRecords, func(http.ResponseWriter, *http.Request) {
 		w.ResetRecords()
 	})
-	mux.HandleFunc("PUT "+pathFaults, take(func(faults []Fault) { w.SetFaults(faults...) }))
-	mux.HandleFunc("PUT "+pathMisreport, take(w.SetReportingFault))
+	mux.HandleFunc("PUT "+pathFaults, decodeBody(func(faults []Fault) { w.SetFaults(faults...) }))
+	mux.HandleFunc("PUT "+pathReportingFault, decodeBody(w.SetReportingFault))
 	mux.HandleFunc("POST "+pathDrain, func(http.ResponseWriter, *http.Request) { w.Drain() })
 	return mux
 }
 
-// take returns a handler that hands over the JSON body of a request.
-func take[T any](use func(T)) http.HandlerFunc {
+// decodeBody returns a handler that decodes the JSON body of a request and passes it to use.
+func decodeBody[T any](use func(T)) http.HandlerFunc {
 	return func(response http.ResponseWriter, request *http.Request) {
 		var value T
 		if err := json.NewDecoder(request.Body).Decode(&value); err != nil {
--- a/internal/lab/worker/errors.go
+++ b/internal/lab/worker/errors.go
@@ -5,10 +5,10 @@
 var (
 	errorsNamespace = errorx.NewNamespace("lab_worker")
 
-	// ErrListen tells that an address could not be listened on.
+	// ErrListen reports that a listener could not be opened on an address.
 	ErrListen = errorsNamespace.NewType("listen")
-	// ErrAnswer tells that an answer is not the whole answer to its request.
+	// ErrAnswer reports that an answer is not the complete answer to its request.
 	ErrAnswer = errorsNamespace.NewType("answer")
-	// ErrControl tells that the control listener of a worker did not answer.
+	// ErrControl reports that a call to the control listener of a worker failed.
 	ErrControl = errorsNamespace.NewType("control")
 )
--- a/internal/lab/worker/fault.go
+++ b/internal/lab/worker/fault.go
@@ -11,15 +11,15 @@
 
 // The kinds of fault.
 const (
-	// DieMidAnswer cuts the connection after half of the answer.
+	// DieMidAnswer closes the connection after half of the answer.
 	DieMidAnswer FaultKind = "die-mid-answer"
-	// DieBeforeFirstByte cuts the connection when the request has come, before it runs.
+	// DieBeforeFirstByte closes the connection when the request has arrived, before it runs.
 	DieBeforeFirstByte FaultKind = "die-before-first-byte"
-	// DieAfterExecuting cuts the connection when the request has run, before its answer.
+	// DieAfterExecuting closes the connection when the request has run, before its answer.
 	DieAfterExecuting FaultKind = "die-after-executing"
-	// Hang takes the request and never answers, until the caller gives up.
+	// Hang accepts the request and does not answer until the caller gives up.
 	Hang FaultKind = "hang"
-	// Shed refuses the request with a not-run, as an overloaded worker does.
+	// Shed refuses the request with the outcome not-run, as an overloaded worker does.
 	Shed FaultKind = "shed"
 	// ServerError runs the request and answers 500.
 	ServerError FaultKind = "server-error"
@@ -28,34 +28,34 @@
 // Fault makes some requests fail.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// PathPrefix chooses requests by path; empty means all.
+	// PathPrefix selects requests by path; empty selects all.
 	PathPrefix string `json:"path_prefix,omitempty"`
-	// Probability is the part of these requests that fail; zero means all.
+	// Probability is the share of the selected requests that fail; zero means all.
 	Probability float64 `json:"probability,omitempty"`
-	// Count is how many requests fail in all; zero means no bound.
+	// Count is the total number of requests that fail; zero means no limit.
 	Count int `json:"count,omitempty"`
-	// Exit ends the whole process in place of one connection.
+	// Exit ends the whole process instead of one connection.
 	Exit bool `json:"exit,omitempty"`
 }
 
-// faultSet holds the faults in force.
+// faultSet holds the active faults, and for each how often it is still injected.
 type faultSet struct {
-	mutex  sync.Mutex
-	faults []Fault
-	left   []int
+	mutex     sync.Mutex
+	faults    []Fault
+	remaining []int
 }
 
 func (s *faultSet) set(faults []Fault) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = append([]Fault(nil), faults...)
-	s.left = make([]int, len(faults))
+	s.remaining = make([]int, len(faults))
 	for i, fault := range faults {
-		s.left[i] = fault.Count
+		s.remaining[i] = fault.Count
 	}
 }
 
-// next returns the fault that a request meets; its Kind is empty for none.
+// next returns the fault to inject into a request; its Kind is empty for none.
 func (s *faultSet) next(path string) Fault {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -72,12 +72,12 @@
 	if !strings.HasPrefix(path, fault.PathPrefix) {
 		return false
 	}
-	if fault.Count > 0 && s.left[index] == 0 {
+	if fault.Count > 0 && s.remaining[index] == 0 {
 		return false
 	}
 	if fault.Probability > 0 && rand.Float64() >= fault.Probability {
 		return false
 	}
-	s.left[index]--
+	s.remaining[index]--
 	return true
 }
--- a/internal/lab/worker/gauge.go
+++ b/internal/lab/worker/gauge.go
@@ -13,58 +13,58 @@
 	Busy  int `json:"busy"`
 }
 
-// ReportingFault makes the health and load endpoints lag or lie.
+// ReportingFault makes the health and load endpoints report stale or false values.
 type ReportingFault struct {
-	// LagMilliseconds is how old the figures are.
+	// LagMilliseconds is how old the reported figures may be.
 	LagMilliseconds int `json:"lag_ms,omitempty"`
-	// Healthy and Load, when set, are reported whatever is true.
+	// Healthy and Load, when set, are reported instead of the actual state.
 	Healthy *bool        `json:"healthy,omitempty"`
 	Load    *LoadFigures `json:"load,omitempty"`
 }
 
-// gauge counts running and waiting requests and keeps the figures last reported.
+// gauge grants the slots, counts running and waiting requests and holds the figures last reported.
 type gauge struct {
-	mutex     sync.Mutex
-	slots     int
-	queue     int
-	running   int
-	waiting   []chan struct{}
-	draining  bool
-	misreport ReportingFault
-	reported  report
+	mutex          sync.Mutex
+	slots          int
+	queue          int
+	running        int
+	waiting        []chan struct{}
+	draining       bool
+	reportingFault ReportingFault
+	reported       reportedState
 }
 
-type report struct {
+type reportedState struct {
 	at      time.Time
 	healthy bool
 	load    LoadFigures
 }
 
-// entry is the result of asking for a slot.
-type entry uint8
+// admission is the result of a request for a slot.
+type admission uint8
 
 const (
-	entryRuns entry = iota
-	entryFull
-	entryDraining
-	entryAbandoned
+	admissionGranted admission = iota
+	admissionQueueFull
+	admissionDraining
+	admissionAbandoned
 )
 
-// enter takes a slot, waiting for one if there is room in the queue.
-func (g *gauge) enter(ctx context.Context) entry {
+// acquire takes a slot, and waits for one if the queue is not full.
+func (g *gauge) acquire(ctx context.Context) admission {
 	g.mutex.Lock()
 	if g.draining {
 		g.mutex.Unlock()
-		return entryDraining
+		return admissionDraining
 	}
 	if g.running < g.slots {
 		g.running++
 		g.mutex.Unlock()
-		return entryRuns
+		return admissionGranted
 	}
 	if len(g.waiting) >= g.queue {
 		g.mutex.Unlock()
-		return entryFull
+		return admissionQueueFull
 	}
 	turn := make(chan struct{})
 	g.waiting = append(g.waiting, turn)
@@ -72,10 +72,10 @@
 	return g.await(ctx, turn)
 }
 
-func (g *gauge) await(ctx context.Context, turn chan struct{}) entry {
+func (g *gauge) await(ctx context.Context, turn chan struct{}) admission {
 	select {
 	case <-turn:
-		return entryRuns
+		return admissionGranted
 	case <-ctx.Done():
 	}
 	g.mutex.Lock()
@@ -85,13 +85,13 @@
 	}
 	g.mutex.Unlock()
 	if index < 0 {
-		g.leave()
+		g.release()
 	}
-	return entryAbandoned
+	return admissionAbandoned
 }
 
-// leave gives the slot to the one that has waited longest, or frees it.
-func (g *gauge) leave() {
+// release passes the slot to the request that has waited longest, or frees it.
+func (g *gauge) release() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if len(g.waiting) == 0 {
@@ -114,30 +114,30 @@
 	g.draining = true
 }
 
-func (g *gauge) setMisreport(m ReportingFault) {
+func (g *gauge) setReportingFault(m ReportingFault) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.misreport = m
+	g.reportingFault = m
 }
 
-// report returns what the health and load endpoints say.
+// report returns what the health and load endpoints answer.
 func (g *gauge) report(now time.Time) (healthy bool, load LoadFigures) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	lag := time.Duration(g.misreport.LagMilliseconds) * time.Millisecond
+	lag := time.Duration(g.reportingFault.LagMilliseconds) * time.Millisecond
 	if now.Sub(g.reported.at) >= lag {
-		g.reported = report{
+		g.reported = reportedState{
 			at:      now,
 			healthy: !g.draining,
 			load:    LoadFigures{Slots: g.slots, Busy: g.running},
 		}
 	}
 	healthy, load = g.reported.healthy, g.reported.load
-	if g.misreport.Healthy != nil {
-		healthy = *g.misreport.Healthy
+	if g.reportingFault.Healthy != nil {
+		healthy = *g.reportingFault.Healthy
 	}
-	if g.misreport.Load != nil {
-		load = *g.misreport.Load
+	if g.reportingFault.Load != nil {
+		load = *g.reportingFault.Load
 	}
 	return healthy, load
 }
--- a/internal/lab/worker/handler.go
+++ b/internal/lab/worker/handler.go
@@ -38,7 +38,7 @@
 	_ = json.NewEncoder(response).Encode(value)
 }
 
-// serveRequest lets a request in, or refuses it before it runs.
+// serveRequest runs a request, or refuses it before it runs.
 func (w *Worker) serveRequest(response http.ResponseWriter, request *http.Request) {
 	fault := w.faults.next(request.URL.Path)
 	if fault.Kind == Shed {
@@ -47,21 +47,21 @@
 	}
 	ctx, cancel := requestContext(request)
 	defer cancel()
-	switch w.gauge.enter(ctx) {
-	case entryFull:
+	switch w.gauge.acquire(ctx) {
+	case admissionQueueFull:
 		w.refuse(response, false)
-	case entryDraining:
+	case admissionDraining:
 		w.refuse(response, true)
-	case entryAbandoned:
+	case admissionAbandoned:
 		w.abandon(ctx, response)
-	case entryRuns:
-		defer w.gauge.leave()
-		w.note(request, fault)
+	case admissionGranted:
+		defer w.gauge.release()
+		w.recordStart(request, fault)
 		w.execute(ctx, response, request, fault)
 	}
 }
 
-func (w *Worker) note(request *http.Request, fault Fault) {
+func (w *Worker) recordStart(request *http.Request, fault Fault) {
 	w.records.started(request.Header.Get(RequestIDHeader), w.gauge.busy())
 	if fault.Kind != "" {
 		w.records.count(func(t *Totals) { t.Faults++ })
@@ -84,14 +84,14 @@
 
 // requestContext ends when the caller gives up or its deadline passes.
 func requestContext(request *http.Request) (context.Context, context.CancelFunc) {
-	left, ok := retry.ParseDeadline(request.Header.Get(retry.DeadlineHeader))
+	remaining, ok := retry.ParseDeadline(request.Header.Get(retry.DeadlineHeader))
 	if !ok {
 		return context.WithCancel(request.Context())
 	}
-	return context.WithTimeout(request.Context(), left)
+	return context.WithTimeout(request.Context(), remaining)
 }
 
-// execute runs a request that has its slot.
+// execute runs a request that holds a slot.
 func (w *Worker) execute(ctx context.Context, response http.ResponseWriter, request *http.Request, fault Fault) {
 	digester := NewDigester(request.Header.Get(RequestIDHeader))
 	if fault.Kind == DieBeforeFirstByte {
@@ -126,7 +126,7 @@
 	response.WriteHeader(http.StatusBadGateway)
 }
 
-// work takes the time of the request. It returns false when ctx ends first.
+// work waits for the service time of a request. It returns false when ctx ends first.
 func (w *Worker) work(ctx context.Context) bool {
 	timer := time.NewTimer(w.serviceTime())
 	defer timer.Stop()
@@ -145,7 +145,7 @@
 		return length
 	}
 	cold := 1 - float64(age)/float64(w.config.ColdStart)
-	return time.Duration(float64(length) * (1 + (coldFactor-1)*cold))
+	return time.Duration(float64(length) * (1 + (coldStartFactor-1)*cold))
 }
 
 // abandon ends a request whose caller gave up or whose deadline has passed.
--- a/internal/lab/worker/listener.go
+++ b/internal/lab/worker/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// boundedListener closes connections beyond its limit as soon as they come.
+// boundedListener closes connections beyond its limit as soon as they are accepted.
 type boundedListener struct {
 	net.Listener
 	onClosed func()
@@ -21,7 +21,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.enter() {
+		if l.acquire() {
 			return &boundedConnection{Conn: connection, listener: l}, nil
 		}
 		_ = connection.Close()
@@ -29,7 +29,7 @@
 	}
 }
 
-func (l *boundedListener) enter() bool {
+func (l *boundedListener) acquire() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.open >= l.limit {
@@ -39,13 +39,13 @@
 	return true
 }
 
-func (l *boundedListener) leave() {
+func (l *boundedListener) release() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.open--
 }
 
-// boundedConnection gives its place back when it is closed.
+// boundedConnection is one of the open connections of a boundedListener until it is closed.
 type boundedConnection struct {
 	net.Conn
 	listener *boundedListener
@@ -53,6 +53,6 @@
 }
 
 func (c *boundedConnection) Close() error {
-	c.once.Do(c.listener.leave)
+	c.once.Do(c.listener.release)
 	return c.Conn.Close()
 }
--- a/internal/lab/worker/next.go
+++ b/internal/lab/worker/next.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 )
 
-// passedOn is the prefix of the headers that a worker hands to the next service.
-const passedOn = "Levertide-"
+// forwardedHeaderPrefix is the prefix of the headers that a worker forwards to the next service.
+const forwardedHeaderPrefix = "Levertide-"
 
-// nextService is where the next service of a chain is reached.
+// nextService is the base URL and the Host header for calls to the next service of a chain.
 type nextService struct{ base, host string }
 
 // nextCaller calls the next service of a chain.
@@ -35,8 +35,8 @@
 	n.service.Store(&nextService{base: base, host: host})
 }
 
-// call makes the call that belongs to a request. It reports whether the answer
-// was whole and a success, and is true when there is no next service.
+// call calls the next service for a request. It reports whether the answer
+// was complete and successful, and is true when there is no next service.
 func (n *nextCaller) call(ctx context.Context, request *http.Request) bool {
 	service := n.service.Load()
 	if service.base == "" {
@@ -63,7 +63,7 @@
 	next.Host = n.host
 	next.Header.Set(RequestIDHeader, request.Header.Get(RequestIDHeader))
 	for name, values := range request.Header {
-		if strings.HasPrefix(name, passedOn) {
+		if strings.HasPrefix(name, forwardedHeaderPrefix) {
 			next.Header[name] = values
 		}
 	}
--- a/internal/lab/worker/records.go
+++ b/internal/lab/worker/records.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// Record says what a worker did with one request.
+// Record counts how a worker handled one request.
 type Record struct {
 	ID string `json:"id"`
-	// Started counts how often the request was let in, Executed how often it
-	// ran to its end with its whole body.
+	// Started counts how often the request was admitted, Executed how often it
+	// ran to its end with its complete body.
 	Started  int `json:"started"`
 	Executed int `json:"executed"`
 }
@@ -21,11 +21,11 @@
 	RefusedDrain int `json:"refused_drain"`
 	Faults       int `json:"faults"`
 	PeakRunning  int `json:"peak_running"`
-	// ClosedConnections counts connections closed for want of room.
+	// ClosedConnections counts connections closed because of the connection limit.
 	ClosedConnections int `json:"closed_connections"`
 }
 
-// recorder keeps the records of a worker.
+// recorder holds the records of a worker.
 type recorder struct {
 	mutex   sync.Mutex
 	forget  bool
@@ -37,7 +37,7 @@
 	return &recorder{forget: forget, records: make(map[string]*Record)}
 }
 
-// count changes the totals.
+// count applies a change to the totals.
 func (r *recorder) count(change func(*Totals)) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/worker/worker.go
+++ b/internal/lab/worker/worker.go
@@ -30,12 +30,12 @@
 
 // Start listens and serves until Close. It fails with ErrListen. Faults with
 // Exit set close the worker's listeners and connections; see Command for a
-// worker in a process of its own.
+// worker in a separate process.
 func Start(config Config) (*Worker, error) {
 	return start(config, nil)
 }
 
-// start is Start with the exit of the process for faults with Exit set.
+// start is Start with a function that ends the process for faults with Exit set.
 func start(config Config, exit func()) (*Worker, error) {
 	config = config.withDefaults()
 	w := &Worker{
@@ -87,26 +87,26 @@
 // ControlAddress returns host:port for the lab's control.
 func (w *Worker) ControlAddress() string { return w.controlListener.Addr().String() }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the active faults.
 func (w *Worker) SetFaults(faults ...Fault) { w.faults.set(faults) }
 
 // SetNext replaces Config.Next and Config.NextHost.
 func (w *Worker) SetNext(base, host string) { w.next.set(base, host) }
 
-// SetReportingFault makes the health and load endpoints lag or lie.
-func (w *Worker) SetReportingFault(m ReportingFault) { w.gauge.setMisreport(m) }
+// SetReportingFault makes the health and load endpoints report stale or false values.
+func (w *Worker) SetReportingFault(m ReportingFault) { w.gauge.setReportingFault(m) }
 
-// Records returns a record for each request seen, and totals.
+// Records returns a record for each request received, and totals.
 func (w *Worker) Records() ([]Record, Totals) { return w.records.snapshot() }
 
-// ResetRecords forgets what was recorded.
+// ResetRecords deletes all records and sets the totals to zero.
 func (w *Worker) ResetRecords() { w.records.reset() }
 
-// Drain refuses further requests with a not-run.
+// Drain makes the worker refuse further requests with the outcome not-run.
 func (w *Worker) Drain() { w.gauge.drain() }
 
-// Stop drains, refuses for Config.DrainDelay and ends when nothing runs any
-// more, or when ctx ends.
+// Stop drains the worker, refuses requests for Config.DrainDelay and returns when
+// no request runs any more, or when ctx ends.
 func (w *Worker) Stop(ctx context.Context) error {
 	w.Drain()
 	select {
@@ -118,7 +118,7 @@
 	return err
 }
 
-// Close ends at once, as a crash does.
+// Close ends the worker at once, as a crash does.
 func (w *Worker) Close() {
 	if w.exiting.Swap(true) {
 		return
@@ -136,5 +136,5 @@
 	panic(http.ErrAbortHandler)
 }
 
-// exitProcess is the exit of a worker in a process of its own.
+// exitProcess ends a worker that runs in a separate process.
 func exitProcess() { os.Exit(1) }
--- a/internal/lab/worker/worker_test.go
+++ b/internal/lab/worker/worker_test.go
@@ -25,7 +25,7 @@
 	return w
 }
 
-// post sends one request on a connection of its own.
+// post sends one request on a separate connection.
 func post(t *testing.T, address, id, body string, header ...string) (*http.Response, error) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/file", strings.NewReader(body))
@@ -74,7 +74,7 @@
 	}
 	for _, c := range wrong {
 		if err := worker.VerifyAnswer(strings.NewReader(c.content), c.digest, 70000); err == nil {
-			t.Errorf("%s: taken for the whole answer", c.name)
+			t.Errorf("%s: accepted as the complete answer", c.name)
 		}
 	}
 }
@@ -111,16 +111,16 @@
 	waitFor(t, w, func(totals worker.Totals) bool { return totals.Canceled == 1 })
 }
 
-// waitFor polls the worker's totals until they are as wanted.
-func waitFor(t *testing.T, w *worker.Worker, wanted func(worker.Totals) bool) {
+// waitFor polls the worker's totals until they meet the condition.
+func waitFor(t *testing.T, w *worker.Worker, condition func(worker.Totals) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
-		if _, totals := w.Records(); wanted(totals) {
+		if _, totals := w.Records(); condition(totals) {
 			return
 		}
 	}
 	_, totals := w.Records()
-	t.Fatalf("totals %+v", totals)
+	t.Fatalf("totals %+v do not meet the condition after 10 s", totals)
 }
 
 func TestFaultsAndRecords(t *testing.T) {
@@ -183,7 +183,7 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("a draining worker told to lie says status %d", response.StatusCode)
+		t.Errorf("a draining worker with a reporting fault answers status %d, want 200", response.StatusCode)
 	}
 	if _, err := post(t, w.Address(), "r1", ""); err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 		t.Errorf("status %d", response.StatusCode)
 	}
 	if records, _ := bottom.Records(); len(records) != 1 || records[0].Executed != 1 {
-		t.Errorf("records of the bottom: %+v", records)
+		t.Errorf("records of the next service: %+v, want one executed request", records)
 	}
 	bottom.SetFaults(worker.Fault{Kind: worker.ServerError})
 	response, err = post(t, top.Address(), "r2", "body")
