--- a/internal/lab/platform/admin_test.go
+++ b/internal/lab/platform/admin_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// rig is a stand-in with a client of its API and one of its admin endpoint.
+// rig is a stand-in with a client of its API and the handler of its admin endpoint.
 type rig struct {
 	server *platform.Server
 	store  *consul.Client
@@ -38,7 +38,7 @@
 	return &rig{server: server, store: client, admin: server.AdminHandler()}
 }
 
-// call sends an admin request and decodes the answer, if there is to be one.
+// call sends an admin request and decodes the answer unless answer is nil.
 func (r *rig) call(t *testing.T, method, path string, body, answer any) {
 	t.Helper()
 	encoded, err := json.Marshal(body)
--- a/internal/lab/platform/catalogue.go
+++ b/internal/lab/platform/catalogue.go
@@ -22,13 +22,13 @@
 	leaving      bool
 }
 
-// catalogueChange is a change of the machine list that may not show yet.
+// catalogueChange is a change of the machine list that may not be visible yet.
 type catalogueChange struct {
 	at    time.Time
 	apply func(machines map[string]machine)
 }
 
-// catalogue is the machine list: what it shows, and the changes that are to come.
+// catalogue is the machine list: its visible state, and the changes that are not visible yet.
 type catalogue struct {
 	mutex   sync.Mutex
 	shown   map[string]machine
@@ -43,7 +43,7 @@
 	c.pending = append(c.pending, catalogueChange{at: at, apply: apply})
 }
 
-// list returns what is shown at a moment: all changes made up to then.
+// list returns the machines of a service with all changes made up to a moment.
 func (c *catalogue) list(until time.Time, service string) []machine {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/lab/platform/counters.go
+++ b/internal/lab/platform/counters.go
@@ -33,8 +33,8 @@
 	return k == KindTransaction || k == KindWrite || k == KindSession
 }
 
-// kindOf tells the kind of a request. A transaction that only reads is told
-// from one that writes by its body.
+// kindOf returns the kind of a request. The body of a transaction shows whether it
+// only reads or also writes.
 func kindOf(request *http.Request) RequestKind {
 	path, query := request.URL.Path, request.URL.Query()
 	switch {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Counters says what was asked of the stand-in since they were last reset.
+// Counters counts the requests to the stand-in since the last reset.
 type Counters struct {
 	Since time.Time `json:"since"`
 	// Total counts all requests, refused ones included.
@@ -131,5 +131,5 @@
 // Counters returns what was counted since the last reset.
 func (s *Server) Counters() Counters { return s.counters.copy() }
 
-// ResetCounters starts to count anew.
+// ResetCounters sets all counters to zero.
 func (s *Server) ResetCounters() { s.counters.reset() }
--- a/internal/lab/platform/doc.go
+++ b/internal/lab/platform/doc.go
@@ -4,7 +4,7 @@
 // reads, and the catalogue of one service with its maintenance marks.
 //
 // Faults are set with SetFaults or over AdminHandler: a limit on the rate of
-// requests, outages, slowness, writes whose request or answer is lost, lapsed
-// sessions, a lagging machine list, and a content restored from an older copy.
+// requests, outages, slowness, writes whose request or answer is lost, expired
+// sessions, a lagging machine list, and content restored from an older copy.
 // Requests are counted by kind and by client.
 package platform
--- a/internal/lab/platform/faults.go
+++ b/internal/lab/platform/faults.go
@@ -11,7 +11,7 @@
 	"github.com/levertide/levertide/internal/platform/consul/wire"
 )
 
-// Outage says how the store is down.
+// Outage is the way in which the store is unavailable.
 type Outage string
 
 // The kinds of outage.
@@ -19,14 +19,14 @@
 	OutageNone Outage = ""
 	// OutageRefuse closes the listener and all connections.
 	OutageRefuse Outage = "refuse"
-	// OutageClose takes requests and closes the connection without an answer
-	// and without carrying them out.
+	// OutageClose reads requests and closes the connection without an answer
+	// and without executing them.
 	OutageClose Outage = "close"
 	// OutageNoLeader answers that the platform has no leader.
 	OutageNoLeader Outage = "no-leader"
 )
 
-// Faults says what is wrong with the platform. Its zero value is a platform in order.
+// Faults are the faults injected into the platform. The zero value injects none.
 type Faults struct {
 	Outage Outage `json:"outage,omitempty"`
 	// Delay is added before each answer.
@@ -34,21 +34,21 @@
 	// RequestsPerSecond limits the rate when it is not zero; Burst is at least one.
 	RequestsPerSecond float64 `json:"requestsPerSecond,omitempty"`
 	Burst             int     `json:"burst,omitempty"`
-	// LoseRequests is how many of the next writes are not carried out, with
-	// their connection closed. LoseAnswers is how many are carried out first.
+	// LoseRequests is how many of the next writes are not executed and have their
+	// connection closed. LoseAnswers is how many are executed before it is closed.
 	LoseRequests int `json:"loseRequests,omitempty"`
 	LoseAnswers  int `json:"loseAnswers,omitempty"`
 	// LoseAnswerShare is the share of all writes whose answer is lost.
 	LoseAnswerShare float64 `json:"loseAnswerShare,omitempty"`
 	// OnlyPath limits the three above to requests of this path.
 	OnlyPath string `json:"onlyPath,omitempty"`
-	// MachineListLag is how long a change of the machine list stays unseen.
+	// MachineListLag is how long a change of the machine list stays invisible.
 	MachineListLag time.Duration `json:"machineListLag,omitempty"`
-	// LockDelay is how long a key stays closed after its session lapsed.
+	// LockDelay is how long a key stays locked after its session expired.
 	LockDelay time.Duration `json:"lockDelay,omitempty"`
 }
 
-// faultState holds the faults in force.
+// faultState holds the active faults.
 type faultState struct {
 	mutex   sync.Mutex
 	faults  Faults
@@ -97,7 +97,7 @@
 	return f.bucket != nil && !f.bucket.Allow()
 }
 
-// loss says what is lost of one write.
+// loss is the part of one write that is lost.
 type loss uint8
 
 const (
@@ -106,7 +106,7 @@
 	loseAnswer
 )
 
-// nextLoss decides on one write and counts it off.
+// nextLoss decides what one write loses and decrements the count of that loss.
 func (f *faultState) nextLoss(path string) loss {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -128,18 +128,18 @@
 	}
 }
 
-// SetFaults replaces the faults. It returns when they are in force, with the
-// listener opened or closed.
+// SetFaults replaces the faults. It returns when they are active and the
+// listener is opened or closed accordingly.
 func (s *Server) SetFaults(faults Faults) {
 	s.faults.set(faults)
 	s.store.SetLockDelay(faults.LockDelay)
 	s.setListening(faults.Outage != OutageRefuse)
 }
 
-// Faults returns the faults in force; counts show what is left of them.
+// Faults returns the active faults; counts show how many losses remain.
 func (s *Server) Faults() Faults { return s.faults.current() }
 
-// withFaults puts the faults in front of the API.
+// withFaults counts each request and applies the active faults before next serves it.
 func (s *Server) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		kind := kindOf(request)
@@ -189,7 +189,7 @@
 	}
 }
 
-// discardedAnswer takes an answer that nobody is to see.
+// discardedAnswer discards the answer to a write whose answer is lost.
 type discardedAnswer struct{ header http.Header }
 
 func (d *discardedAnswer) Header() http.Header            { return d.header }
--- a/internal/lab/platform/keyvalue.go
+++ b/internal/lab/platform/keyvalue.go
@@ -14,7 +14,7 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// Waits of blocking reads, as published.
+// Waits of blocking reads, as the published API defines them.
 const (
 	defaultWait = 5 * time.Minute
 	maximumWait = 10 * time.Minute
@@ -68,7 +68,7 @@
 	writeJSON(writer, http.StatusOK, []wire.KeyValue{wireRecord(record)})
 }
 
-// waitFor reads the key, at the latest when the wait is over.
+// waitFor reads the key once its index has passed the given one, or when the wait ends.
 func (s *Server) waitFor(request *http.Request, key string, index uint64, wait time.Duration) (store.Record, uint64, error) {
 	if index == 0 {
 		return s.store.Get(request.Context(), key, store.ReadOptions{})
@@ -85,7 +85,7 @@
 	return s.store.Get(request.Context(), key, store.ReadOptions{})
 }
 
-// blocking reads the index to wait for and the wait, within its bounds.
+// blocking parses the index to wait for and the wait, which it limits to maximumWait.
 func blocking(request *http.Request) (uint64, time.Duration, error) {
 	query := request.URL.Query()
 	if !query.Has(wire.QueryIndex) {
--- a/internal/lab/platform/server.go
+++ b/internal/lab/platform/server.go
@@ -14,9 +14,9 @@
 
 const (
 	readHeaderTimeout = 5 * time.Second
-	// tick is how often sessions are looked at while no request arrives.
-	tick = 100 * time.Millisecond
-	// reopenInterval is how often opening the listener again is tried.
+	// sessionCheckInterval is how often sessions are checked for expiry while no request arrives.
+	sessionCheckInterval = 100 * time.Millisecond
+	// reopenInterval is the time between attempts to open the listener again.
 	reopenInterval = 50 * time.Millisecond
 )
 
@@ -28,11 +28,11 @@
 	// Now is the clock for sessions and for the lag of the machine list; nil
 	// means time.Now.
 	Now func() time.Time
-	// Seed chooses which answers are lost when only a share of them is.
+	// Seed determines which answers are lost when only a share of them is.
 	Seed uint64
 }
 
-// Server is the stand-in. It may be used by several goroutines.
+// Server is the stand-in. It is safe for concurrent use.
 type Server struct {
 	config    Config
 	store     *memory.Store
@@ -74,11 +74,11 @@
 	return server
 }
 
-// Handler returns the published API, with faults and counters. It is for
-// embedding; with it, an outage that refuses connections breaks them instead.
+// Handler returns the published API, with faults and counters, for embedding in another
+// server. There an outage of kind OutageRefuse breaks connections instead of refusing them.
 func (s *Server) Handler() http.Handler { return s.handler }
 
-// Listen starts to serve on a TCP address and returns the one taken.
+// Listen starts to serve on a TCP address and returns the actual address.
 func (s *Server) Listen(address string) (string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -117,14 +117,14 @@
 	}
 }
 
-// stopServingLocked breaks all connections. The listener is closed here as
-// well, since a server that has not begun to serve does not know it yet.
+// stopServingLocked breaks all connections. It closes the listener as well, since
+// http.Server.Close does not close a listener that Serve has not registered yet.
 func (s *Server) stopServingLocked() {
 	if s.server == nil {
 		return
 	}
 	_ = s.listener.Close() // it may be closed already
-	_ = s.server.Close()   // nothing is left to be answered
+	_ = s.server.Close()   // requests in progress get no answer
 	s.server, s.listener = nil, nil
 }
 
@@ -154,7 +154,7 @@
 }
 
 func (s *Server) advanceUntilStopped() {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(sessionCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -166,19 +166,20 @@
 	}
 }
 
-// advance lets sessions lapse that have come to their end.
+// advance expires the sessions whose time to live has passed.
 func (s *Server) advance() { s.store.Advance(s.config.Now().Sub(s.start)) }
 
-// LapseSessions ends every session at once and returns how many there were.
+// LapseSessions expires every session at once and returns how many there were.
 func (s *Server) LapseSessions() int { return s.store.LapseSessions() }
 
 // State returns a copy of the store's content.
 func (s *Server) State() memory.State { return s.store.State() }
 
-// Restore puts an older copy of the content back; indexes go back with it.
+// Restore replaces the content, indexes included, by an older copy.
 func (s *Server) Restore(state memory.State) { s.store.Restore(state) }
 
-// blockedContext ends with the request, with the server, or with an outage.
+// blockedContext returns a context that ends after the wait, with the request, when
+// the server closes, or when an outage begins.
 func (s *Server) blockedContext(request *http.Request, wait time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(request.Context(), wait)
 	outage := s.faults.outageBegins()
--- a/internal/lab/platform/session.go
+++ b/internal/lab/platform/session.go
@@ -8,22 +8,22 @@
 	"github.com/levertide/levertide/internal/platform/consul/wire"
 )
 
-// maximumSessionTTL is the longest time to live of a session, as published.
+// maximumSessionTTL is the longest time to live of a session in the published API.
 const maximumSessionTTL = 24 * time.Hour
 
 func (s *Server) createSession(writer http.ResponseWriter, request *http.Request) {
 	s.advance()
-	var wanted wire.SessionRequest
-	if err := json.NewDecoder(request.Body).Decode(&wanted); err != nil {
+	var requested wire.SessionRequest
+	if err := json.NewDecoder(request.Body).Decode(&requested); err != nil {
 		http.Error(writer, "the body is no session", http.StatusBadRequest)
 		return
 	}
-	ttl, err := time.ParseDuration(wanted.TTL)
+	ttl, err := time.ParseDuration(requested.TTL)
 	if err != nil || ttl < s.config.MinimumSessionTTL || ttl > maximumSessionTTL {
-		http.Error(writer, "invalid session TTL "+wanted.TTL, http.StatusBadRequest)
+		http.Error(writer, "invalid session TTL "+requested.TTL, http.StatusBadRequest)
 		return
 	}
-	id, _ := s.store.CreateSession(request.Context(), wanted.Name, ttl) // no fault is set on this store
+	id, _ := s.store.CreateSession(request.Context(), requested.Name, ttl) // no fault is set on this store
 	writeJSON(writer, http.StatusOK, wire.SessionResponse{ID: id})
 }
 
--- a/internal/lab/platform/transaction.go
+++ b/internal/lab/platform/transaction.go
@@ -12,7 +12,8 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// kindOfTransaction reads the body, puts it back, and tells reads from writes.
+// kindOfTransaction reads the body, restores it for the handler, and distinguishes
+// transactions that only read from those that write.
 func kindOfTransaction(request *http.Request) RequestKind {
 	body, err := io.ReadAll(io.LimitReader(request.Body, store.MaxTransactionBytes+1))
 	request.Body = io.NopCloser(bytes.NewReader(body))
