--- a/internal/lab/hostedstore/client.go
+++ b/internal/lab/hostedstore/client.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/internal/hosted"
 )
 
-// Client is the way of one node to a Store.
+// Client is the connection of one node to a Store.
 type Client struct {
 	store *Store
 	node  string
@@ -20,53 +20,53 @@
 	_ hosted.Directory = (*Client)(nil)
 )
 
-// Client returns the way of a node.
+// Client returns the client of a node.
 func (s *Store) Client(node string) *Client { return &Client{store: s, node: node} }
 
-// begin counts a call and lets faults strike it.
+// begin counts a call and injects the faults that apply before it is executed.
 func (c *Client) begin(ctx context.Context, kind Call) (Faults, error) {
 	c.store.mutex.Lock()
 	c.store.calls[kind]++
 	c.store.mutex.Unlock()
-	faults := c.struck()
+	faults := c.faultsInForce()
 	if faults.Silent {
 		<-ctx.Done()
-		return faults, hosted.ErrUnanswered.New("silent")
+		return faults, hosted.ErrUnanswered.New("the store is unresponsive")
 	}
 	if faults.Refuse {
-		return faults, hosted.ErrRefused.New("refused")
+		return faults, hosted.ErrRefused.New("the store refuses calls")
 	}
 	select {
 	case <-time.After(faults.Delay):
 	case <-ctx.Done():
-		return faults, hosted.ErrUnanswered.New("slow")
+		return faults, hosted.ErrUnanswered.New("the call ended before the delayed store executed it")
 	}
 	return faults, nil
 }
 
-// struck returns the faults that strike the client now.
-func (c *Client) struck() Faults {
+// faultsInForce returns the faults that apply to the client now.
+func (c *Client) faultsInForce() Faults {
 	c.store.mutex.Lock()
 	defer c.store.mutex.Unlock()
 	if faults, own := c.store.faults[c.node]; own {
 		return faults
 	}
-	return c.store.faults[everybody]
+	return c.store.faults[allNodes]
 }
 
-func (f Faults) lost(ctx context.Context) error {
+func (f Faults) loseAnswer(ctx context.Context) error {
 	if !f.LoseAnswers {
 		return nil
 	}
 	<-ctx.Done()
-	return hosted.ErrUnanswered.New("answer lost")
+	return hosted.ErrUnanswered.New("the answer was lost after the call was executed")
 }
 
 // Era implements hosted.Source.
 func (c *Client) Era() hosted.Era { return c.eras.Era() }
 
-// position returns where the store stands, as an answer under the faults tells it, and
-// has the client see it. The mutex of the store is held.
+// position returns the era and revision of the store as an answer under the faults
+// reports them, and has the client observe them. The mutex of the store is held.
 func (c *Client) position(faults Faults) hosted.Position {
 	p := hosted.Position{Era: c.store.era, Revision: c.store.revision}
 	if faults.HideEra {
@@ -76,8 +76,8 @@
 	return p
 }
 
-// see is position for a caller that does not hold the mutex.
-func (c *Client) see(faults Faults) {
+// observePosition calls position for a caller that does not hold the mutex.
+func (c *Client) observePosition(faults Faults) {
 	c.store.mutex.Lock()
 	defer c.store.mutex.Unlock()
 	c.position(faults)
@@ -95,10 +95,10 @@
 	select {
 	case <-time.After(faults.Late):
 	case <-ctx.Done():
-		return hosted.Document{}, hosted.Position{}, hosted.ErrUnanswered.New("late")
+		return hosted.Document{}, hosted.Position{}, hosted.ErrUnanswered.New("the read ended before its delayed answer arrived")
 	}
 	if document == nil {
-		return hosted.Document{}, hosted.Position{}, hosted.ErrNoDocument.New("none")
+		return hosted.Document{}, hosted.Position{}, hosted.ErrNoDocument.New("the store holds no document")
 	}
 	return *document, at, nil
 }
@@ -112,10 +112,10 @@
 	bound := time.NewTimer(wait)
 	defer bound.Stop()
 	for {
-		if c.struck().Silent {
-			// The answer to a watch that began before does not come through either.
+		if c.faultsInForce().Silent {
+			// A watch that began before the fault gets no answer either.
 			<-ctx.Done()
-			return hosted.Watched{}, hosted.ErrUnanswered.New("silent")
+			return hosted.Watched{}, hosted.ErrUnanswered.New("the store is unresponsive")
 		}
 		c.store.mutex.Lock()
 		document, history, changed := c.store.document, c.store.history, c.store.changed
@@ -125,7 +125,7 @@
 			at.Era = after.Era
 		}
 		if after.Revision < history || after.Revision > at.Revision || after.Era != 0 && at.Era != after.Era {
-			return hosted.Watched{}, hosted.ErrHistoryGone.New("forgotten")
+			return hosted.Watched{}, hosted.ErrHistoryGone.New("the store does not hold the history since this position")
 		}
 		orders := c.store.ordersAfter(after.Revision)
 		if document != nil && document.Revision <= after.Revision {
@@ -139,7 +139,7 @@
 		case <-bound.C:
 			return hosted.Watched{Next: at}, nil
 		case <-ctx.Done():
-			return hosted.Watched{}, hosted.ErrUnanswered.New("given up")
+			return hosted.Watched{}, hosted.ErrUnanswered.New("the watch ended before a change")
 		}
 	}
 }
@@ -157,7 +157,7 @@
 	lease := hosted.Lease(strconv.FormatUint(c.store.leases, 10))
 	c.store.granted[lease] = true
 	c.store.mutex.Unlock()
-	return lease, faults.lost(ctx)
+	return lease, faults.loseAnswer(ctx)
 }
 
 // Replace implements hosted.Directory.
@@ -167,11 +167,11 @@
 		return hosted.Entry{}, false, err
 	}
 	held, replaced, err := c.store.replace(e, lease)
-	c.see(faults)
+	c.observePosition(faults)
 	if err != nil {
 		return hosted.Entry{}, false, err
 	}
-	return held, replaced, faults.lost(ctx)
+	return held, replaced, faults.loseAnswer(ctx)
 }
 
 // Renew implements hosted.Directory.
@@ -184,7 +184,7 @@
 	defer c.store.mutex.Unlock()
 	c.position(faults)
 	if !c.store.granted[lease] {
-		return hosted.ErrLeaseEnded.New("ended")
+		return hosted.ErrLeaseEnded.New("the lease has ended or was never granted")
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 	c.store.mutex.Lock()
 	defer c.store.mutex.Unlock()
 	if !c.store.granted[lease] {
-		return hosted.ErrLeaseEnded.New("ended")
+		return hosted.ErrLeaseEnded.New("the lease has ended or was never granted")
 	}
 	delete(c.store.granted, lease)
 	for id, held := range c.store.entries {
--- a/internal/lab/hostedstore/copy.go
+++ b/internal/lab/hostedstore/copy.go
@@ -6,7 +6,7 @@
 	"github.com/levertide/levertide/internal/hosted"
 )
 
-// Copy is what a store held at one moment.
+// Copy is the content of a store at one moment.
 type Copy struct {
 	revision, history uint64
 	leases            uint64
@@ -17,7 +17,7 @@
 	statuses          map[string]hosted.RolloutStatus
 }
 
-// Copy returns what the store holds now.
+// Copy returns the present content of the store.
 func (s *Store) Copy() *Copy {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -28,9 +28,9 @@
 	}
 }
 
-// Restore has the store come back from a copy: what was written since is gone, leases
-// too, and revisions and names of leases are given out again. What the operator has written
-// since is lost until Rewrite.
+// Restore restores the store from a copy. Everything written since the copy, leases
+// included, is gone, and revisions and names of leases are assigned a second time. What the
+// operator has written since is lost until Rewrite.
 func (s *Store) Restore(c *Copy) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// PutForeign has another writer leave an entry where those of nodes are.
+// PutForeign writes an entry of a writer that is no node among those of the nodes.
 func (s *Store) PutForeign(id string, content []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/hostedstore/rollouts.go
+++ b/internal/lab/hostedstore/rollouts.go
@@ -16,7 +16,7 @@
 	s.wake()
 }
 
-// Status returns what operators read of a roll-out.
+// Status returns the status of a service's roll-out as operators read it.
 func (s *Store) Status(service string) hosted.RolloutStatus {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,27 +56,27 @@
 }
 
 // WriteStatus implements hosted.RolloutStore.
-func (c *Client) WriteStatus(ctx context.Context, wanted hosted.RolloutStatus) (hosted.RolloutStatus, bool, error) {
+func (c *Client) WriteStatus(ctx context.Context, proposed hosted.RolloutStatus) (hosted.RolloutStatus, bool, error) {
 	faults, err := c.begin(ctx, CallStatus)
 	if err != nil {
 		return hosted.RolloutStatus{}, false, err
 	}
-	held, written := c.store.writeStatus(wanted)
-	if err := faults.lost(ctx); err != nil {
+	held, written := c.store.writeStatus(proposed)
+	if err := faults.loseAnswer(ctx); err != nil {
 		return hosted.RolloutStatus{}, false, err
 	}
 	return held, written, nil
 }
 
-func (s *Store) writeStatus(wanted hosted.RolloutStatus) (hosted.RolloutStatus, bool) {
+func (s *Store) writeStatus(proposed hosted.RolloutStatus) (hosted.RolloutStatus, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	held := s.statuses[wanted.Service]
-	if held.Revision != wanted.Revision {
+	held := s.statuses[proposed.Service]
+	if held.Revision != proposed.Revision {
 		return held, false
 	}
 	s.revision++
-	wanted.Revision = s.revision
-	s.statuses[wanted.Service] = wanted
-	return wanted, true
+	proposed.Revision = s.revision
+	s.statuses[proposed.Service] = proposed
+	return proposed, true
 }
--- a/internal/lab/hostedstore/store.go
+++ b/internal/lab/hostedstore/store.go
@@ -8,19 +8,20 @@
 	"github.com/levertide/levertide/internal/hosted"
 )
 
-// Faults are what goes wrong with a Store for one client or all.
+// Faults are the faults of a Store that apply to one client or all.
 type Faults struct {
 	// Refuse answers each call with hosted.ErrRefused.
 	Refuse bool
-	// Silent answers no call.
+	// Silent makes the store unresponsive: no call gets an answer.
 	Silent bool
-	// LoseAnswers does what is asked and answers nothing.
+	// LoseAnswers executes calls and loses their answers.
 	LoseAnswers bool
-	// Delay is added to each call, before it is done.
+	// Delay is added to each call before it is executed.
 	Delay time.Duration
-	// Late is how long the answer to a read takes: it tells what was so before.
+	// Late delays the answer to a read after its content is determined, so that the
+	// answer may be out of date when it arrives.
 	Late time.Duration
-	// HideEra leaves the era out of the answers.
+	// HideEra omits the era from the answers.
 	HideEra bool
 }
 
@@ -42,7 +43,7 @@
 	CallStatus    Call = "status"
 )
 
-// costOf is what a kind of call costs, in calls.
+// costOf returns the cost of a kind of call, in calls of full cost.
 func costOf(kind Call) float64 {
 	if kind == CallRenew || kind == CallStaleList {
 		return 0.1
@@ -68,9 +69,9 @@
 	orders   map[string]hosted.Order
 	statuses map[string]hosted.RolloutStatus
 	granted  map[hosted.Lease]bool
-	// era counts the times that the store came back from a copy, from one.
+	// era counts the restores from a copy, starting at one.
 	era uint64
-	// latest is the newest document as the operator remembers it.
+	// latest is the operator's newest document; it survives a restore.
 	latest hosted.Document
 }
 
@@ -79,8 +80,8 @@
 	lease hosted.Lease
 }
 
-// everybody is the key of the faults that strike all clients.
-const everybody = ""
+// allNodes is the key of the faults that apply to every client without faults of its own.
+const allNodes = ""
 
 // New returns a store without a document.
 func New() *Store {
@@ -114,13 +115,13 @@
 	return s.revision
 }
 
-// wake has all watches look again. The mutex is held.
+// wake makes all watches check for changes again. The mutex is held.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history up to now.
+// Forget drops the history up to now, so that watches from an earlier revision fail.
 func (s *Store) Forget() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -128,7 +129,7 @@
 	s.history = s.revision
 }
 
-// EndLeases lets all leases run out, and their entries with them.
+// EndLeases ends all leases and removes their entries.
 func (s *Store) EndLeases() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -136,7 +137,7 @@
 	s.granted = map[hosted.Lease]bool{}
 }
 
-// SetFaults strikes the client of one node, or all when the name is empty.
+// SetFaults sets the faults for the client of one node, or for all when the name is empty.
 func (s *Store) SetFaults(node string, faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -161,7 +162,8 @@
 	return maps.Clone(s.calls)
 }
 
-// Cost returns what calls cost, in calls of the full price, beyond those made before.
+// Cost returns the cost, in calls of full cost, of the calls made since the counts
+// in before were taken.
 func (s *Store) Cost(before map[Call]int) float64 {
 	cost := 0.0
 	for kind, n := range s.CallsByKind() {
@@ -170,7 +172,7 @@
 	return cost
 }
 
-// Written returns how many calls were made that grant a lease or write an entry.
+// Written returns the number of calls that grant a lease or write an entry.
 func (s *Store) Written() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -196,7 +198,7 @@
 	defer s.mutex.Unlock()
 	s.written++
 	if !s.granted[lease] {
-		return hosted.Entry{}, false, hosted.ErrLeaseEnded.New("ended")
+		return hosted.Entry{}, false, hosted.ErrLeaseEnded.New("the lease has ended or was never granted")
 	}
 	if held := s.entries[e.ID]; held.Revision != e.Revision {
 		return held.Entry, false, nil
