--- a/internal/lab/memnet/conn.go
+++ b/internal/lab/memnet/conn.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// window is how many bytes may be under way in one direction of a connection.
+// window is how many bytes may be in transit in one direction of a connection.
 const window = 256 << 10
 
 // conn is one end of a connection.
@@ -26,8 +26,8 @@
 // Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) { return c.writes.write(b) }
 
-// Close implements net.Conn. What was written still arrives; what was not read is
-// answered by a reset.
+// Close implements net.Conn. Bytes already written still arrive; bytes not yet read
+// are discarded, and further writes of the peer fail.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		c.writes.finish()
@@ -73,10 +73,10 @@
 	return nil
 }
 
-// segment is what one write has sent.
+// segment holds bytes that were sent together.
 type segment struct {
 	bytes []byte
-	// due is when it arrives.
+	// due is the time of its arrival.
 	due time.Time
 }
 
@@ -103,7 +103,7 @@
 	return p
 }
 
-// wake has everybody who waits look again.
+// wake makes all waiting readers and writers check again.
 func (p *pipe) wake() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 }
 
-// take reads what has arrived. The mutex is held.
+// take reads the bytes that have arrived. The mutex is held.
 func (p *pipe) take(b []byte) int {
 	total := 0
 	for total < len(b) && len(p.sent) > 0 && !p.network.cut(p.link) && !p.sent[0].due.After(time.Now()) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// send puts bytes on their way. The mutex is held.
+// send queues bytes that arrive after the delay of the network. The mutex is held.
 func (p *pipe) send(b []byte) {
 	p.sent = append(p.sent, segment{bytes: append([]byte(nil), b...), due: time.Now().Add(p.network.delay)})
 	p.size += len(b)
@@ -201,24 +201,24 @@
 	defer p.mu.Unlock()
 	p.finished = true
 	p.changed.Broadcast()
-	p.forgetIfOver()
+	p.removeIfEnded()
 }
 
-// abandon ends the reader's side. Unread bytes make it a reset for the writer.
+// abandon ends the reader's side. Unread bytes are discarded, and further writes fail.
 func (p *pipe) abandon() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.abandoned = true
 	p.sent = nil
 	p.changed.Broadcast()
-	p.forgetIfOver()
+	p.removeIfEnded()
 }
 
-// forgetIfOver takes the pipe out of the network once both sides have ended. The
+// removeIfEnded removes the pipe from the network once both sides have ended. The
 // mutex is held.
-func (p *pipe) forgetIfOver() {
+func (p *pipe) removeIfEnded() {
 	if p.finished && p.abandoned {
-		p.network.forget(p)
+		p.network.remove(p)
 	}
 }
 
@@ -228,10 +228,10 @@
 	defer p.mu.Unlock()
 	p.broken, p.sent = err, nil
 	p.changed.Broadcast()
-	p.network.forget(p)
+	p.network.remove(p)
 }
 
-// deadline is until when a wait may last.
+// deadline is the time at which a wait fails.
 type deadline struct {
 	wake func()
 
--- a/internal/lab/memnet/listener.go
+++ b/internal/lab/memnet/listener.go
@@ -9,7 +9,7 @@
 // backlog is how many connections may wait to be accepted.
 const backlog = 512
 
-// listener takes the connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	network *Network
 	at      netip.AddrPort
@@ -23,7 +23,7 @@
 	return &listener{network: n, at: at, waiting: make(chan *conn, backlog), closed: make(chan struct{})}
 }
 
-// offer hands a connection over; false when there are too many.
+// offer queues a connection to be accepted; it returns false when the backlog is full.
 func (l *listener) offer(c *conn) bool {
 	select {
 	case l.waiting <- c:
@@ -48,7 +48,7 @@
 	}
 }
 
-// Close implements net.Listener. Connections that wait are reset.
+// Close implements net.Listener. Connections that were not accepted yet are reset.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
--- a/internal/lab/memnet/memnet_test.go
+++ b/internal/lab/memnet/memnet_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
 // With the race detector, Go 1.26.8 crashes in a bubble when a timer is already due
-// as its channel is selected; scripts/go-test.sh plays these tests without it.
+// as its channel is selected; scripts/go-test.sh runs these tests without it.
 
 package memnet
 
@@ -142,7 +142,7 @@
 	})
 }
 
-// TestLibraryServesOverIt has net/http speak over the network, on both sides.
+// TestLibraryServesOverIt uses net/http over the network, as server and as client.
 func TestLibraryServesOverIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := New(delay)
--- a/internal/lab/memnet/network.go
+++ b/internal/lab/memnet/network.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// firstPort is the first of the ports that listeners on port 0 get.
+// firstPort is the first of the ports assigned to listeners on port 0 and to dialling hosts.
 const firstPort = 20000
 
 // link is one direction between two hosts.
@@ -53,17 +53,17 @@
 	return &Host{network: n, addr: netip.MustParseAddr(address)}
 }
 
-// Listen opens an IP:port of the host; port 0 takes any free one.
+// Listen opens an IP:port of the host; port 0 selects any free port.
 func (h *Host) Listen(address string) (net.Listener, error) {
-	asked, err := netip.ParseAddrPort(address)
+	requested, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: err}
 	}
 	n := h.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	at := netip.AddrPortFrom(h.addr, asked.Port())
-	if asked.Port() == 0 {
+	at := netip.AddrPortFrom(h.addr, requested.Port())
+	if requested.Port() == 0 {
 		at = n.freePort(h.addr)
 	}
 	if n.listeners[at] != nil {
@@ -112,7 +112,8 @@
 	return near, nil
 }
 
-// handshake waits for as long as two packets take.
+// handshake waits until neither direction is cut, and then for the round trip of a TCP
+// handshake, which is twice the one-way delay.
 func (h *Host) handshake(ctx context.Context, to netip.Addr) error {
 	n := h.network
 	stop := context.AfterFunc(ctx, func() {
@@ -146,7 +147,7 @@
 	return near, far
 }
 
-// CutOneWay holds back everything that goes from one host to another.
+// CutOneWay holds back everything that one host sends to another.
 func (n *Network) CutOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,8 +172,8 @@
 	}
 }
 
-// Reset breaks all connections of a host, as a loss of its power and a quick start
-// do. It returns how many there were.
+// Reset breaks all connections of a host, as a power failure with a quick restart
+// does. It returns how many there were.
 func (n *Network) Reset(host string) int {
 	addr := netip.MustParseAddr(host)
 	n.mu.Lock()
@@ -184,11 +185,11 @@
 	return len(pipes) / 2
 }
 
-// pipesWhere returns the open pipes that fit. The mutex is held.
-func (n *Network) pipesWhere(fits func(p *pipe) bool) []*pipe {
+// pipesWhere returns the open pipes that match. The mutex is held.
+func (n *Network) pipesWhere(matches func(p *pipe) bool) []*pipe {
 	var found []*pipe
 	for p := range n.conns {
-		if fits(p) {
+		if matches(p) {
 			found = append(found, p)
 		}
 	}
@@ -201,13 +202,13 @@
 	return n.cuts[l]
 }
 
-func (n *Network) forget(p *pipe) {
+func (n *Network) remove(p *pipe) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, p)
 }
 
-// String names the host.
+// String returns the IP address of the host.
 func (h *Host) String() string { return h.addr.String() }
 
 // Address returns an address of the host with a port.
