--- a/internal/lab/calls/call.go
+++ b/internal/lab/calls/call.go
@@ -22,12 +22,12 @@
 	id      string
 	kind    experiment.Call
 	targets []string
-	// answer is the size of the answer asked for, in bytes.
+	// answer is the requested size of the answer in bytes.
 	answer int64
 }
 
-// do makes the call at the first target that takes a connection. The reason
-// says what was wrong, if anything was.
+// do makes the call to the first target that accepts a connection. The reason
+// is why the call was not answered correctly, or empty.
 func (c call) do(client *http.Client) (Result, string) {
 	body := c.body()
 	for _, target := range c.targets {
@@ -44,7 +44,7 @@
 	return ResultNotRun, "no node takes a connection"
 }
 
-// body returns the bytes that the call uploads, which only its identifier decides.
+// body returns the bytes that the call uploads, a function of its identifier and size only.
 func (c call) body() []byte {
 	content := make([]byte, c.kind.Body)
 	seed := worker.NewDigester(c.id).Sum()
@@ -52,8 +52,8 @@
 	return content
 }
 
-// send sends the call to one target. The request cannot be rewound, so that the
-// client does not send it twice by itself.
+// send sends the call to one target. The body of the request cannot be rewound, so that
+// the HTTP client does not send it again on its own.
 func (c call) send(client *http.Client, target string, body []byte) (*http.Response, error) {
 	var upload io.Reader
 	if len(body) > 0 {
@@ -76,10 +76,10 @@
 	return errors.As(err, &failed) && failed.Op == "dial"
 }
 
-// judge compares the answer with the one that this call must get.
+// judge compares the answer with the one expected for this call.
 func (c call) judge(response *http.Response, body []byte) (Result, string) {
-	told, reason := outcome.FromResponse(response.Header)
-	switch told {
+	reported, reason := outcome.FromResponse(response.Header)
+	switch reported {
 	case outcome.NotRun:
 		return ResultNotRun, string(reason)
 	case outcome.Unknown:
--- a/internal/lab/calls/caller.go
+++ b/internal/lab/calls/caller.go
@@ -23,21 +23,21 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Targets returns the IP:port of nodes that callers send a kind of call to.
 	Targets func(experiment.Call) []string
-	// Passed reports whether a step of the timeline has been carried out; it
-	// says which calls can be made.
+	// Passed reports whether a step of the timeline has been carried out, which
+	// determines the calls whose route is in force.
 	Passed func(step string) bool
 }
 
-// Bounds of calls.
+// Limits of calls.
 const (
 	callTimeout    = 30 * time.Second
 	dialTimeout    = 2 * time.Second
-	mostInFlight   = 2000
+	maxInFlight    = 2000
 	targetAttempts = 4
 	idlePerTarget  = 64
 )
 
-// Caller makes calls at a steady rate until its context ends, whether or not
+// Caller makes calls at a constant rate until its context ends, whether or not
 // earlier ones have been answered.
 type Caller struct {
 	options  Options
@@ -89,7 +89,7 @@
 // begin starts one call unless too many are in flight.
 func (c *Caller) begin(number int) {
 	kind, ok := c.choose()
-	if !ok || c.inFlight.Load() >= mostInFlight {
+	if !ok || c.inFlight.Load() >= maxInFlight {
 		return
 	}
 	targets := c.options.Targets(kind)
@@ -107,18 +107,18 @@
 	})
 }
 
-// answerSizes are the sizes of answers asked for, in bytes.
+// answerSizes are the requested sizes of answers in bytes.
 var answerSizes = []int64{512, 4 << 10, 32 << 10}
 
-// finish makes the call and notes how it came out.
+// finish makes the call and records its result.
 func (c *Caller) finish(made call, began time.Time) {
 	result, reason := made.do(c.client)
 	ended := time.Now()
-	c.ledger.note(outcomeOf{made.id, made.kind.Repeatable, result}, reason,
+	c.ledger.record(callOutcome{made.id, made.kind.Repeatable, result}, reason,
 		int(ended.Sub(c.started)/time.Second), ended.Sub(began))
 }
 
-// choose picks a kind of call by share, of those whose route is there.
+// choose picks a kind of call at random by share, among those whose route is in force.
 func (c *Caller) choose() (experiment.Call, bool) {
 	var possible []experiment.Call
 	total := 0
--- a/internal/lab/calls/caller_test.go
+++ b/internal/lab/calls/caller_test.go
@@ -17,15 +17,15 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-// run makes calls against a handler until it has been asked a few times.
+// run makes calls to a handler until it has received three.
 func run(t *testing.T, kind experiment.Call, handler http.HandlerFunc) *calls.Caller {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var asked atomic.Int64
+	var received atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		defer func() {
-			if asked.Add(1) >= 3 {
+			if received.Add(1) >= 3 {
 				cancel()
 			}
 		}()
--- a/internal/lab/calls/doc.go
+++ b/internal/lab/calls/doc.go
@@ -1,4 +1,5 @@
-// Package calls gives a mesh the calls of an experiment and judges every
-// answer: each call has an identifier, the worker's answer is a function of it,
-// and what the workers executed is compared with what callers were told.
+// Package calls makes the calls of an experiment to a mesh and verifies every
+// answer: each call has an identifier, the worker's answer is a function of the
+// identifier and the body, and the executions that the workers recorded are compared
+// with the results that callers received.
 package calls
--- a/internal/lab/calls/kind.go
+++ b/internal/lab/calls/kind.go
@@ -1,29 +1,29 @@
 package calls
 
-// Result is how a call came out for its caller.
+// Result is the result of a call as its caller sees it.
 type Result uint8
 
 // The results.
 const (
-	// ResultAnswered: the whole and right answer came.
+	// ResultAnswered: the complete and correct answer was received.
 	ResultAnswered Result = iota
-	// ResultNotRun: the caller was told that the call did not run, or no node
-	// took the connection.
+	// ResultNotRun: the answer reported that the call did not run, or no node
+	// accepted the connection.
 	ResultNotRun
-	// ResultUnknown: the caller was told so, or the connection broke.
+	// ResultUnknown: the answer reported an unknown outcome, or the connection broke.
 	ResultUnknown
-	// ResultWrong: an answer came that is not the one of this call.
+	// ResultWrong: the answer received is not the one of this call.
 	ResultWrong
 )
 
-// outcomeOf is what became of one call.
-type outcomeOf struct {
+// callOutcome is the result of one call that has ended.
+type callOutcome struct {
 	id         string
 	repeatable bool
 	result     Result
 }
 
-// Detail says what was wrong with one call.
+// Detail explains why the answer to one call was wrong.
 type Detail struct {
 	ID     string
 	Reason string
--- a/internal/lab/calls/ledger.go
+++ b/internal/lab/calls/ledger.go
@@ -10,34 +10,34 @@
 	"github.com/levertide/levertide/internal/lab/worker"
 )
 
-// maxDetails bounds the details kept.
+// maxDetails limits the number of details kept.
 const maxDetails = 200
 
-// ledger keeps how every call came out.
+// ledger holds the results of all calls.
 type ledger struct {
 	mutex    sync.Mutex
 	totals   Totals
-	outcomes []outcomeOf
+	outcomes []callOutcome
 	details  []Detail
 	reasons  map[string]int
-	seconds  []secondOf
+	seconds  []callsInSecond
 	unknown  []time.Time
 }
 
-// secondOf keeps the calls that ended in one second.
-type secondOf struct {
+// callsInSecond counts the calls that ended in one second and holds their latencies in milliseconds.
+type callsInSecond struct {
 	totals    Totals
 	latencies []float64
 }
 
-// note takes one call.
-func (l *ledger) note(ended outcomeOf, reason string, second int, took time.Duration) {
+// record adds a call that has ended in the given second of the run.
+func (l *ledger) record(ended callOutcome, reason string, second int, took time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.totals.add(ended.result)
 	l.outcomes = append(l.outcomes, ended)
 	for len(l.seconds) <= second {
-		l.seconds = append(l.seconds, secondOf{})
+		l.seconds = append(l.seconds, callsInSecond{})
 	}
 	l.seconds[second].totals.add(ended.result)
 	l.seconds[second].latencies = append(l.seconds[second].latencies, observe.Milliseconds(took))
@@ -62,27 +62,27 @@
 	return c.ledger.totals
 }
 
-// Details returns what was wrong with wrong answers.
+// Details explains the wrong answers, at most maxDetails of them.
 func (c *Caller) Details() []Detail {
 	c.ledger.mutex.Lock()
 	defer c.ledger.mutex.Unlock()
 	return slices.Clone(c.ledger.details)
 }
 
-// UnknownAt returns when calls came out as unknown.
+// UnknownAt returns the times at which calls ended with an unknown outcome.
 func (c *Caller) UnknownAt() []time.Time {
 	c.ledger.mutex.Lock()
 	defer c.ledger.mutex.Unlock()
 	return slices.Clone(c.ledger.unknown)
 }
 
-// Reason is why calls were not answered, and how many.
+// Reason is why calls were not answered correctly, and how many.
 type Reason struct {
 	Text  string
 	Count int
 }
 
-// Reasons returns why calls were not answered, the most frequent first.
+// Reasons returns why calls were not answered correctly, the most frequent first.
 func (c *Caller) Reasons() []Reason {
 	c.ledger.mutex.Lock()
 	defer c.ledger.mutex.Unlock()
@@ -115,19 +115,19 @@
 	return seconds
 }
 
-// Audit is what a comparison of callers and workers found.
+// Audit lists the contradictions between the results of callers and the records of workers.
 type Audit struct {
-	// Duplicates are calls that must not be repeated and were let in by workers
+	// Duplicates are calls that must not be repeated and were admitted by workers
 	// more than once.
 	Duplicates []string
-	// RanThoughNotRun are calls whose caller was told that they did not run,
-	// and that a worker let in.
+	// RanThoughNotRun are calls with the result ResultNotRun that a worker
+	// admitted.
 	RanThoughNotRun []string
 	// NeverExecuted are calls that were answered and that no worker executed.
 	NeverExecuted []string
 }
 
-// Audit compares what callers were told with the records of all workers.
+// Audit compares the results of callers with the records of all workers.
 func (c *Caller) Audit(records []worker.Record) Audit {
 	c.ledger.mutex.Lock()
 	defer c.ledger.mutex.Unlock()
--- a/internal/lab/experiment/check.go
+++ b/internal/lab/experiment/check.go
@@ -6,18 +6,18 @@
 	"strings"
 )
 
-// problems are faults that concern several fields together.
+// problems lists mistakes in an experiment file that concern several fields together.
 type problems []string
 
-// add notes a fault.
+// add adds a mistake.
 func (p *problems) add(format string, arguments ...any) {
 	*p = append(*p, fmt.Sprintf(format, arguments...))
 }
 
-// String returns one fault on each line.
+// String returns one mistake on each line.
 func (p problems) String() string { return strings.Join(p, "\n") }
 
-// check returns the faults that a single field does not show.
+// check returns the mistakes that the validation of single fields cannot find.
 func (f *File) check() problems {
 	var found problems
 	if len(f.FileSet) == 0 {
@@ -104,7 +104,7 @@
 	return names
 }
 
-// checkLoad checks that calls refer to steps of the timeline.
+// checkLoad checks that calls refer to services of the deployment and to steps of the timeline.
 func (f *File) checkLoad(found *problems) {
 	if f.Load == nil {
 		return
--- a/internal/lab/experiment/errors.go
+++ b/internal/lab/experiment/errors.go
@@ -5,5 +5,5 @@
 // errorsNamespace holds the error types of this package.
 var errorsNamespace = errorx.NewNamespace("lab_experiment")
 
-// ErrInvalid tells that an experiment file cannot be used.
+// ErrInvalid reports that an experiment file cannot be read or is not valid.
 var ErrInvalid = errorsNamespace.NewType("invalid")
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -6,18 +6,18 @@
 type File struct {
 	// Name identifies the experiment in reports.
 	Name string `yaml:"name" validate:"required"`
-	// Seed fixes every choice that the lab makes at random.
+	// Seed determines every random choice of the lab.
 	Seed uint64 `yaml:"seed"`
 	// Deployment runs real processes.
 	Deployment *Deployment `yaml:"deployment" validate:"required"`
 	// FileSet lists directories, relative to the experiment file, that are
 	// applied as one set before the timeline starts.
 	FileSet []string `yaml:"fileSet"`
-	// Load is the work that callers give the mesh; nil means none.
+	// Load describes the calls made to the mesh; nil means none.
 	Load *Load `yaml:"load" validate:"omitempty"`
 	// Timeline lists changes and faults in the order in which they happen.
 	Timeline []Event `yaml:"timeline" validate:"dive"`
-	// Duration is how long calls go on after the timeline has started.
+	// Duration is how long calls are made after the timeline has started.
 	Duration time.Duration `yaml:"duration" validate:"min=0"`
 
 	// directory is where the file was read from.
@@ -35,16 +35,16 @@
 	StoreDelay  time.Duration `yaml:"storeDelay" validate:"min=0,max=1000000000"`
 	// Services lists the workers of each service.
 	Services []Workers `yaml:"services" validate:"required,min=1,unique=Name,dive"`
-	// Gateways is how many nodes without a worker take calls as well.
+	// Gateways is the number of nodes without a worker, which accept calls as well.
 	Gateways int `yaml:"gateways" validate:"min=0,max=16"`
-	// TLS makes nodes speak mutual TLS to one another, with certificates that
-	// the lab makes for the run.
+	// TLS makes nodes use mutual TLS among themselves, with certificates that
+	// the lab issues for the run.
 	TLS bool `yaml:"tls"`
 	// Worker describes each worker.
 	Worker Worker `yaml:"worker"`
 }
 
-// Workers says how many workers a service has.
+// Workers is the number of workers of a service.
 type Workers struct {
 	Name    string `yaml:"name" validate:"required"`
 	Workers int    `yaml:"workers" validate:"min=1,max=100"`
@@ -60,7 +60,7 @@
 	ProbeDelay      time.Duration `yaml:"probeDelay" validate:"min=0"`
 }
 
-// Load is the work that callers give a deployment.
+// Load describes the calls made to a deployment.
 type Load struct {
 	// CallsPerSecond is the rate over all kinds of call together.
 	CallsPerSecond float64 `yaml:"callsPerSecond" validate:"gt=0,max=10000"`
@@ -77,9 +77,9 @@
 	Share int `yaml:"share" validate:"min=1,max=1000"`
 	// Body is the size of the request body in bytes.
 	Body int `yaml:"body" validate:"min=0,max=67108864"`
-	// Repeatable tells that executing the call twice is no fault.
+	// Repeatable allows workers to execute the call more than once.
 	Repeatable bool `yaml:"repeatable"`
-	// Through lists services whose nodes take the call besides gateways: the
+	// Through lists services whose nodes accept the call besides gateways: the
 	// route's own service and services that call it, since other nodes do not
 	// hold the route.
 	Through []string `yaml:"through"`
--- a/internal/lab/experiment/load.go
+++ b/internal/lab/experiment/load.go
@@ -10,7 +10,7 @@
 )
 
 // LoadFile reads and validates an experiment file. It fails with ErrInvalid, whose
-// message lists every fault found.
+// message lists every mistake found.
 func LoadFile(path string) (*File, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return file, nil
 }
 
-// Paths resolves directories of a file set against the experiment file's own.
+// Paths resolves directories of a file set relative to the experiment file's directory.
 func (f *File) Paths(directories []string) []string {
 	resolved := make([]string, len(directories))
 	for i, directory := range directories {
--- a/internal/lab/experiment/timeline.go
+++ b/internal/lab/experiment/timeline.go
@@ -21,7 +21,7 @@
 	Lost    *Lost   `yaml:"storeLosesAnswers" validate:"omitempty"`
 }
 
-// Outcome is how an apply is to end.
+// Outcome is the expected result of an apply.
 type Outcome string
 
 // The outcomes of an apply.
@@ -44,15 +44,15 @@
 	Second []string `yaml:"second" validate:"required,min=1,dive,required"`
 }
 
-// Target names nodes. Exactly one of Node and Zone is set.
+// Target selects nodes. Exactly one of Node and Zone is set.
 type Target struct {
 	// Node is "<service>-<number>" or "gateway-<number>", counted from 1.
 	Node string `yaml:"node"`
-	// Zone takes every node of a zone.
+	// Zone selects every node of a zone.
 	Zone string `yaml:"zone"`
 }
 
-// Pause stops a node's process for a while without ending it.
+// Pause suspends a node's process for a while.
 type Pause struct {
 	Node string        `yaml:"node" validate:"required"`
 	For  time.Duration `yaml:"for" validate:"gt=0"`
--- a/internal/lab/observe/check.go
+++ b/internal/lab/observe/check.go
@@ -15,7 +15,8 @@
 	RuleNeverOlder Rule = "never-older"
 	// RuleOnlyCommitted: no node runs a version that was not committed.
 	RuleOnlyCommitted Rule = "only-committed"
-	// RuleComplete: what a node runs is complete and refers to nothing it lacks.
+	// RuleComplete: the configuration that a node runs is complete and refers to nothing
+	// that it lacks.
 	RuleComplete Rule = "whole"
 )
 
@@ -31,7 +32,7 @@
 	return fmt.Sprintf("%s: %s: %s", v.Rule, v.Node, v.Detail)
 }
 
-// checkStep checks that a node's version does not fall.
+// checkStep checks that a node's new version is not lower than any that it ran before.
 func (r *Recorder) checkStep(event Event, history *nodeHistory) {
 	if highest := history.highest(); event.Version < highest {
 		r.violations = append(r.violations, Violation{
--- a/internal/lab/observe/distribution.go
+++ b/internal/lab/observe/distribution.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Distribution sums up measured values.
+// Distribution summarizes measured values.
 type Distribution struct {
 	Count int     `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -15,7 +15,7 @@
 	Max   float64 `json:"max"`
 }
 
-// Distribute sums up values; nil when there are none, which JSON shows as null.
+// Distribute summarizes values; it returns nil when there are none, which JSON shows as null.
 func Distribute(values []float64) *Distribution {
 	if len(values) == 0 {
 		return nil
--- a/internal/lab/observe/event.go
+++ b/internal/lab/observe/event.go
@@ -41,14 +41,14 @@
 	Role    string      `json:"role"`
 	Error   string      `json:"error"`
 	Text    string      `json:"text"`
-	// Unreported is how many nodes had not reported when a version was committed.
+	// Unreported is the number of nodes that had not reported when a version was committed.
 	Unreported uint32 `json:"silent"`
-	// The addresses are those of EventListening.
+	// The addresses are set in EventListening only.
 	CallerAddress string `json:"caller_address"`
 	AdminAddress  string `json:"admin_address"`
 }
 
-// ParseEvent reads one line; false tells that the line is no event.
+// ParseEvent parses one line; it returns false when the line is no event.
 func ParseEvent(line []byte) (Event, bool) {
 	var event Event
 	if json.Unmarshal(line, &event) != nil {
--- a/internal/lab/observe/recorder.go
+++ b/internal/lab/observe/recorder.go
@@ -13,7 +13,7 @@
 	version uint64
 }
 
-// nodeHistory is what one node has done, its restarts included.
+// nodeHistory holds the versions and the last state that one node reported, across restarts.
 type nodeHistory struct {
 	steps []step
 	ready bool
@@ -37,9 +37,9 @@
 	return highest
 }
 
-// Recorder takes the events of all nodes and checks each as it comes. Its
-// methods may be called from several goroutines; events of one node must come
-// in the order in which they happened.
+// Recorder receives the events of all nodes and checks each on arrival. Its
+// methods are safe for concurrent use; events of one node must be passed in the
+// order in which they happened.
 type Recorder struct {
 	mutex      sync.Mutex
 	nodes      map[string]*nodeHistory
@@ -49,10 +49,10 @@
 	changed    chan struct{}
 }
 
-// maxNotices bounds the notices kept.
+// maxNotices limits the number of notices kept.
 const maxNotices = 1000
 
-// NewRecorder returns a recorder that has seen nothing.
+// NewRecorder returns a recorder without events.
 func NewRecorder() *Recorder {
 	return &Recorder{
 		nodes:   make(map[string]*nodeHistory),
@@ -60,14 +60,14 @@
 	}
 }
 
-// ObserveLine takes one line of a node's event log; other lines are ignored.
+// ObserveLine records one line of a node's log; a line that is no event is ignored.
 func (r *Recorder) ObserveLine(line []byte) {
 	if event, ok := ParseEvent(line); ok {
 		r.Observe(event)
 	}
 }
 
-// Observe takes one event.
+// Observe records and checks one event.
 func (r *Recorder) Observe(event Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -93,7 +93,7 @@
 	r.changed = make(chan struct{})
 }
 
-// history returns the history of a node, which may be new.
+// history returns the history of a node, which it creates if needed.
 func (r *Recorder) history(node string) *nodeHistory {
 	known, ok := r.nodes[node]
 	if !ok {
@@ -103,14 +103,14 @@
 	return known
 }
 
-// notice keeps an event that people should see at the end.
+// notice keeps a failure or alarm for the report at the end of the experiment.
 func (r *Recorder) notice(event Event) {
 	if len(r.notices) < maxNotices {
 		r.notices = append(r.notices, event)
 	}
 }
 
-// ProcessEnded notes that a node's process has ended, so that it is not ready.
+// ProcessEnded records that a node's process has ended, so that the node is not ready.
 func (r *Recorder) ProcessEnded(node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -176,8 +176,8 @@
 	}
 }
 
-// missing returns the nodes for which a condition does not hold, and what is
-// closed at the next change.
+// missing returns the nodes for which a condition does not hold, and a channel that
+// is closed at the next change.
 func (r *Recorder) missing(nodes []string, holds func(*nodeHistory) bool) ([]string, <-chan struct{}) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/observe/recorder_test.go
+++ b/internal/lab/observe/recorder_test.go
@@ -64,7 +64,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := recorder.AwaitVersion(ctx, 1, []string{"a"}); err == nil {
-		t.Error("no error for a node that never came")
+		t.Error("no error for a node that never had the version in force")
 	}
 	recorder.ObserveLine(inForce("a", 1, 0))
 	if err := recorder.AwaitVersion(context.Background(), 1, []string{"a"}); err != nil {
@@ -82,6 +82,6 @@
 		t.Errorf("distribution (-want +got):\n%s", diff)
 	}
 	if observe.Distribute(nil) != nil {
-		t.Error("a distribution of nothing")
+		t.Error("Distribute returned a distribution of no values, want nil")
 	}
 }
