--- a/internal/lab/certs/command.go
+++ b/internal/lab/certs/command.go
@@ -1,5 +1,5 @@
-// Package certs is the command that makes throw-away certificates for a mesh on
-// one machine. The authority's key is never written.
+// Package certs is the command that issues short-lived certificates for a mesh on
+// one machine. The authority's key is never written to disk.
 package certs
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/levertide/levertide/internal/identity"
 )
 
-// ErrHolder tells that a holder is not given as REGION/ZONE/ROLE/NODE.
+// ErrHolder reports that no holder is given, or one not as REGION/ZONE/ROLE/NODE.
 var ErrHolder = errorx.NewNamespace("certs").NewType("holder")
 
 const defaultValidity = 24 * time.Hour
 
-// Command returns "certs", which issues one certificate for each holder named
-// as an argument and puts it into a directory named after the holder.
+// Command returns the subcommand "certs", which issues one certificate for each holder
+// given as an argument and writes it to a directory named after the holder.
 func Command() *ffcli.Command {
 	flags := flag.NewFlagSet("certs", flag.ContinueOnError)
 	directory := flags.String("directory", "certs", "where to write; one directory for each holder")
@@ -40,7 +40,7 @@
 	}
 }
 
-// Write makes a new authority, issues a certificate for each holder and lists
+// Write generates a new authority, issues a certificate for each holder and lists
 // the directories written.
 func Write(output io.Writer, directory string, validity time.Duration, holders []string) error {
 	parsed, err := parseHolders(holders)
--- a/internal/lab/command/doc.go
+++ b/internal/lab/command/doc.go
@@ -1,3 +1,3 @@
-// Package command puts together the command line of levertide-lab: the
-// experiments of the lab and the stand-ins for the platform and the workers.
+// Package command assembles the command line of levertide-lab: the
+// experiments of the lab, its helper commands and the stand-in for a worker.
 package command
--- a/internal/lab/command/root.go
+++ b/internal/lab/command/root.go
@@ -22,14 +22,14 @@
 // Exit codes of levertide-lab.
 const (
 	exitPassed = 0
-	// exitFailed tells that an experiment ran and a check did not hold, or
-	// that it could not run.
+	// exitFailed means that a check of an experiment did not hold, or that
+	// the experiment could not run.
 	exitFailed = 1
-	// exitUsage tells that the command line was wrong.
+	// exitUsage means that the command line was wrong.
 	exitUsage = 2
 )
 
-// Run parses the arguments, runs the subcommand named by them and returns the
+// Run parses the arguments, runs the subcommand that they name and returns the
 // exit code of the program.
 func Run(ctx context.Context, arguments []string, errorOutput io.Writer) int {
 	root := newRoot(errorOutput)
@@ -47,7 +47,8 @@
 	return exitFailed
 }
 
-// usageExit reports a command line that cannot be parsed; asking for help is no fault.
+// usageExit reports a command line that cannot be parsed and returns the exit code. A
+// request for help is no error.
 func usageExit(err error, errorOutput io.Writer) int {
 	if errors.Is(err, flag.ErrHelp) {
 		return exitPassed
--- a/internal/lab/fuzz/command.go
+++ b/internal/lab/fuzz/command.go
@@ -15,7 +15,7 @@
 
 var namespace = errorx.NewNamespace("levertide.fuzz").ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 
-// ErrViolations tells that the run found violations; the process is to exit
+// ErrViolations reports that the run found violations; the process then exits
 // with status 1.
 var ErrViolations = namespace.NewType("violations")
 
--- a/internal/lab/fuzz/fuzz.go
+++ b/internal/lab/fuzz/fuzz.go
@@ -12,35 +12,35 @@
 const (
 	DefaultSeed  = 1
 	DefaultSteps = 100_000
-	// stepsBetweenSettling is how many steps run under faults before the world
-	// is given time to come to rest and is checked as a whole.
+	// stepsBetweenSettling is how many steps run under faults before the simulated
+	// system is given time to settle and is checked as a whole.
 	stepsBetweenSettling = 10_000
-	// stepsBetweenContextChecks bounds how late a cancelled run ends.
+	// stepsBetweenContextChecks limits how many steps a cancelled run still simulates.
 	stepsBetweenContextChecks = 256
 )
 
-// Options says what to run.
+// Options configures a run.
 type Options struct {
-	// Seed decides everything that happens in the run.
+	// Seed determines everything that happens in the run.
 	Seed uint64
 	// Steps is how many events are simulated at least; zero means DefaultSteps.
-	// The last stretch is always run to its end, so that a shorter run is the
-	// beginning of a longer one with the same seed.
+	// The last stepsBetweenSettling steps are always completed, so that a shorter run
+	// is the beginning of a longer one with the same seed.
 	Steps uint64
 	// Regions, ZonesPerRegion and NodesPerZone give the size of the simulated
 	// system; zero means the defaults of sim.Options.
 	Regions, ZonesPerRegion, NodesPerZone int
-	// Log, when set, is told of what happens.
+	// Log, when set, is called for each event of the run.
 	Log func(at time.Duration, step uint64, text string)
-	// Progress, when set, is told now and then how far the run is.
+	// Progress, when set, is called regularly with the steps done and the total.
 	Progress func(steps, total uint64)
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Seed  uint64 `json:"seed"`
 	Steps uint64 `json:"steps"`
-	// SimulatedSeconds is how much time has gone by in the simulated world.
+	// SimulatedSeconds is how much time has passed in the simulation.
 	SimulatedSeconds float64 `json:"simulated_seconds"`
 	// Trace is a hash of everything that happened, in hexadecimal. Two runs
 	// of the same program with the same seed and steps have the same.
@@ -49,11 +49,11 @@
 	Faults map[string]int `json:"faults"`
 	// Activity counts what the simulated system did.
 	Activity sim.Summary `json:"activity"`
-	// Violations lists what broke an invariant.
+	// Violations lists the violations of invariants.
 	Violations []sim.Violation `json:"violations"`
 }
 
-// Run simulates at least Options.Steps events, unless the context ends before; it then
+// Run simulates at least Options.Steps events. If the context ends before, it
 // returns the context's error with the report so far. Violations are no error.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if options.Steps == 0 {
--- a/internal/lab/report/call_plots.go
+++ b/internal/lab/report/call_plots.go
@@ -16,7 +16,7 @@
 	drawn := newPlot("Calls through faults, "+run.Result.Experiment, "time (s)", "calls per second")
 	var answered, notRun, unknown, wrong plotter.XYs
 	top := 0.0
-	// The last second is not a whole one.
+	// The last second is incomplete and would show too few calls.
 	for _, second := range run.Result.Seconds[:len(run.Result.Seconds)-1] {
 		at := float64(second.Second)
 		answered = append(answered, plotter.XY{X: at, Y: float64(second.Answered)})
--- a/internal/lab/report/doc.go
+++ b/internal/lab/report/doc.go
@@ -1,3 +1,3 @@
 // Package report turns the JSON files of experiments into plots and into one
-// HTML page that holds everything it shows.
+// self-contained HTML page.
 package report
--- a/internal/lab/report/input.go
+++ b/internal/lab/report/input.go
@@ -9,7 +9,7 @@
 	"github.com/levertide/levertide/internal/lab/results"
 )
 
-// named is one result and the name of the file that it came from.
+// named is one result and the name, without extension, of the file that it was read from.
 type named[T any] struct {
 	Name   string
 	Result T
@@ -26,13 +26,13 @@
 	return len(i.experiments)+len(i.loads) == 0
 }
 
-// kindFields are the fields that tell the kinds of result apart.
+// kindFields are the fields that distinguish the kinds of result.
 type kindFields struct {
 	Experiment *json.RawMessage `json:"experiment"`
 	Added      *json.RawMessage `json:"added_ms"`
 }
 
-// readInput reads every JSON file of a directory; files of other kinds are left out.
+// readInput reads every JSON file of a directory and skips those that are no results of a known kind.
 func readInput(directory string) (input, error) {
 	paths, err := filepath.Glob(filepath.Join(directory, "*.json"))
 	if err != nil {
--- a/internal/lab/report/marks.go
+++ b/internal/lab/report/marks.go
@@ -7,14 +7,15 @@
 	"github.com/levertide/levertide/internal/lab/results"
 )
 
-// Heights of the names of marks, in shares of the highest value.
+// Heights of the names of marks, in shares of the highest value. The names are spread
+// over markRows rows so that neighbours do not overlap.
 const (
 	markLowest = 1.05
 	markStep   = 0.11
 	markRows   = 8
 )
 
-// addMarks draws a line and a name at each moment.
+// addMarks draws a vertical line and the name of each mark at its time.
 func addMarks(drawn *plot.Plot, marks []results.Mark, top float64) error {
 	if len(marks) == 0 {
 		return nil
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -31,7 +31,7 @@
 	Rows   [][]string
 }
 
-// Source returns the image as a data address, so that the page needs no other file.
+// Source returns the image as a data URL, so that the page needs no other file.
 func (p picture) Source() template.URL {
 	return template.URL("data:image/png;base64," + base64.StdEncoding.EncodeToString(p.png))
 }
@@ -55,7 +55,7 @@
 // notMeasured stands in tables where a figure is nil.
 const notMeasured = "not measured"
 
-// number shows a figure with the given number of decimals.
+// number formats a figure with the given number of decimals.
 func number(figure *float64, decimals int) string {
 	if figure == nil {
 		return notMeasured
@@ -63,7 +63,7 @@
 	return fmt.Sprintf("%.*f", decimals, *figure)
 }
 
-// count shows a whole figure.
+// count formats an integer figure.
 func count(figure *int) string {
 	if figure == nil {
 		return notMeasured
@@ -71,7 +71,7 @@
 	return fmt.Sprint(*figure)
 }
 
-// quantiles shows p50, p99 and max.
+// quantiles formats p50, p99 and max.
 func quantiles(figure *results.Quantiles) []string {
 	if figure == nil {
 		return []string{notMeasured, notMeasured, notMeasured}
@@ -81,7 +81,7 @@
 	}
 }
 
-// spread shows mean, p99 and max.
+// spread formats mean, p99 and max.
 func spread(figure *results.Spread) []string {
 	if figure == nil {
 		return []string{notMeasured, notMeasured, notMeasured}
--- a/internal/lab/report/render.go
+++ b/internal/lab/report/render.go
@@ -17,7 +17,7 @@
 type picture struct {
 	// File is the name of the PNG file.
 	File string
-	// Caption says what the plot shows.
+	// Caption describes the plot.
 	Caption string
 	png     []byte
 }
--- a/internal/lab/report/sections.go
+++ b/internal/lab/report/sections.go
@@ -37,7 +37,7 @@
 	return shown, nil
 }
 
-// yesNo shows a truth value.
+// yesNo formats whether a check held; a failed check stands out in capitals.
 func yesNo(value bool) string {
 	if value {
 		return "yes"
--- a/internal/lab/report/style.go
+++ b/internal/lab/report/style.go
@@ -17,7 +17,7 @@
 	pointSize  = 1.2 * vg.Millimeter
 )
 
-// Colours that are told apart by most people, after Okabe and Ito.
+// Colours that people with colour vision deficiency can distinguish, after Okabe and Ito.
 var (
 	colourBlue   = color.RGBA{0, 114, 178, 255}
 	colourOrange = color.RGBA{230, 159, 0, 255}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// verticalLine returns a dashed line at one moment.
+// verticalLine returns a dashed vertical line at one time.
 func verticalLine(at, top float64) series {
 	return series{
 		points: plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}},
--- a/internal/lab/results/experiment.go
+++ b/internal/lab/results/experiment.go
@@ -1,6 +1,6 @@
 package results
 
-// Experiment is what a run of real processes measured.
+// Experiment holds the figures measured in a run of real processes.
 type Experiment struct {
 	Experiment string `json:"experiment"`
 	Seed       uint64 `json:"seed"`
@@ -41,7 +41,7 @@
 	Nodes              int      `json:"nodes"`
 }
 
-// Check is one thing that had to hold.
+// Check is one condition that a run had to meet.
 type Check struct {
 	Name   string `json:"name"`
 	Held   bool   `json:"held"`
--- a/internal/lab/results/figures.go
+++ b/internal/lab/results/figures.go
@@ -2,14 +2,14 @@
 
 import "github.com/levertide/levertide/internal/lab/observe"
 
-// Quantiles sums up times in milliseconds.
+// Quantiles summarizes times in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// Spread sums up rates over nodes and windows.
+// Spread summarizes rates over nodes and windows.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	P99  float64 `json:"p99"`
@@ -45,5 +45,6 @@
 	return []string{RoleLeaf, RoleRelay, RoleReader, RoleCoordinator}
 }
 
-// BudgetConvergenceMilliseconds bounds the time from acceptance to in force everywhere.
+// BudgetConvergenceMilliseconds is the longest allowed time from the acceptance of a version
+// until it is in force on every node.
 const BudgetConvergenceMilliseconds = 4000
--- a/internal/lab/results/other.go
+++ b/internal/lab/results/load.go
@@ -1,6 +1,6 @@
 package results
 
-// Load is what a load run measured, as "levertide-lab load --json" writes it.
+// Load holds the figures measured in a load run, as "levertide-lab load --json" writes it.
 type Load struct {
 	Calls          *int       `json:"calls"`
 	CallsPerSecond *float64   `json:"calls_per_second"`
@@ -13,7 +13,7 @@
 	Duplicates     *int       `json:"duplicate_executions"`
 }
 
-// Fuzz is what a fuzz run found, as "levertide-lab fuzz --json" writes it.
+// Fuzz holds the seed and the length of a fuzz run, as "levertide-lab fuzz --json" writes it.
 type Fuzz struct {
 	Seed  uint64 `json:"seed"`
 	Steps int    `json:"steps"`
