--- a/internal/lab/soak/tenants.go
+++ b/internal/lab/soak/tenants.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// statusUnauthenticated is what a caller is told whose key no tenant holds.
+	// statusUnauthenticated is the status that a caller gets whose key no tenant holds.
 	statusUnauthenticated = http.StatusUnauthorized
-	// strangerPrefix begins the ids of requests whose callers have no key that any version knows.
-	strangerPrefix = "stranger-"
-	strangersKey   = "key-of-nobody"
-	// strangerShare is the share of the requests that come from them, and nestedShare the
-	// share of the runs in which a worker calls another one.
-	strangerShare = 0.05
-	nestedShare   = 0.1
-	nestedSuffix  = "/nested"
+	// unknownCallerPrefix begins the ids of requests from unknown callers, whose key is in no
+	// version.
+	unknownCallerPrefix = "stranger-"
+	unknownKey          = "key-of-nobody"
+	// unknownCallerShare is the share of the requests that come from unknown callers, and
+	// nestedShare the share of the runs in which a worker calls another one.
+	unknownCallerShare = 0.05
+	nestedShare        = 0.1
+	nestedSuffix       = "/nested"
 )
 
-// tenantNames are the tenants of all versions. The first one has a key of its own in each
-// version, which comes and goes with it.
+// tenantNames are the tenants of all versions. The first one has an additional key in each
+// version, which is valid in that version only.
 var tenantNames = []string{"acme", "zenith"}
 
 func lastingKey(tenant string) string { return "key-of-" + tenant }
@@ -45,8 +46,8 @@
 	return resources
 }
 
-// tenantOf returns whose the requests for a path are: a request in the same words comes from
-// one tenant, and what a worker calls for it is that tenant's, too.
+// tenantOf returns the tenant that sends the requests for a path. Identical requests come
+// from one tenant, and the nested calls of workers for them belong to that tenant, too.
 func tenantOf(path string) string {
 	if strings.HasPrefix(path, "/version-") {
 		return tenantNames[0]
@@ -56,11 +57,11 @@
 	return tenantNames[hash.Sum32()%uint32(len(tenantNames))]
 }
 
-// keyOf returns the key that the caller of a request gives; workers give none.
+// keyOf returns the key that the caller of a request presents; workers present none.
 func keyOf(path, id string) string {
 	switch {
-	case strings.HasPrefix(id, strangerPrefix):
-		return strangersKey
+	case strings.HasPrefix(id, unknownCallerPrefix):
+		return unknownKey
 	case strings.HasSuffix(path, nestedSuffix):
 		return ""
 	default:
@@ -68,46 +69,49 @@
 	}
 }
 
-// checkTenant checks what a worker sees of the caller.
+// checkTenant checks which tenant and key a worker is shown for a request: the caller's
+// tenant, not the forged one that the caller sent, and no key.
 func (w *worker) checkTenant(r *http.Request) {
-	id, told := r.Header.Get(dialect.RequestID), r.Header[dialect.Tenant]
-	if strings.HasPrefix(id, strangerPrefix) {
-		w.ledger.fail("worker %s ran request %s, whose key no version has held", w.name, id)
+	id, reported := r.Header.Get(dialect.RequestID), r.Header[dialect.Tenant]
+	if strings.HasPrefix(id, unknownCallerPrefix) {
+		w.ledger.fail("worker %s ran request %s, whose key no version has held", w.incarnation, id)
 	}
-	if !slices.Equal(told, []string{tenantOf(r.URL.Path)}) {
-		w.ledger.fail("worker %s was told that request %s is of %q, and it is of %s", w.name, id, told, tenantOf(r.URL.Path))
+	if !slices.Equal(reported, []string{tenantOf(r.URL.Path)}) {
+		w.ledger.fail("worker %s was told that request %s is of %q, and it is of %s", w.incarnation, id, reported, tenantOf(r.URL.Path))
 	}
 	if len(r.Header[dialect.Key.Header]) > 0 {
-		w.ledger.fail("worker %s was given the key of request %s", w.name, id)
+		w.ledger.fail("worker %s was given the key of request %s", w.incarnation, id)
 	}
 }
 
-// callNested has the worker call another one for the request that it runs, by the node beside it.
+// callNested has the worker call another one for the request that it runs, through the node
+// beside it. The call needs no key of its own while its parent request runs.
 func (w *worker) callNested(ctx context.Context, m *machine, r *http.Request) {
 	began := time.Now()
 	id := fmt.Sprintf("%s/%d", r.Header.Get(dialect.RequestID), w.runs.Load())
-	w.ledger.began(id, true)
+	w.ledger.recordCall(id, true)
 	status, body, err := send(ctx, w.client, m, http.MethodGet, r.URL.Path+nestedSuffix, id)
 	if err != nil {
 		status = 0
 	}
 	if status == statusUnauthenticated && time.Since(began) < callBound/2 {
-		w.ledger.fail("%s asked worker %s for a key for request %s, whose parent it runs", m.id, w.name, id)
+		w.ledger.fail("%s asked worker %s for a key for request %s, whose parent it runs", m.id, w.incarnation, id)
 		return
 	}
-	w.ledger.told(id, status, body)
+	w.ledger.recordOutcome(id, status, body)
 }
 
-// keysFollow reports whether a machine takes the key of a version and refuses that of the one before.
-func (s *soak) keysFollow(m *machine, version uint64) bool {
-	ask := func(key string) int {
+// acceptsOnlyCurrentKey reports whether a machine accepts the key of a version and refuses
+// that of the version before it.
+func (s *soak) acceptsOnlyCurrentKey(m *machine, version uint64) bool {
+	statusWithKey := func(key string) int {
 		id := fmt.Sprintf("key-%s-%d", m.id, s.checks.Add(1))
-		s.ledger.began(id, true)
+		s.ledger.recordCall(id, true)
 		status, _, err := sendWith(context.Background(), s.probe, m, http.MethodGet, versionPrefix(version), id, key)
 		if err != nil {
 			return 0
 		}
 		return status
 	}
-	return ask(versionKey(version)) == statusServed && ask(versionKey(version-1)) == statusUnauthenticated
+	return statusWithKey(versionKey(version)) == statusServed && statusWithKey(versionKey(version-1)) == statusUnauthenticated
 }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -11,11 +11,12 @@
 // Version is the program's version, set by the linker.
 var Version = "unknown"
 
-// stop ends the node as planned. It is unready at once and asks callers to close
-// their connections, but still takes what comes until the platform has noticed;
-// the worker is served meanwhile. Then other nodes turn elsewhere, nothing more is
-// taken from callers, also from those that would go on for ever, and the process
-// ends when nothing is in flight, or when the bound is reached.
+// stop carries out a planned stop. The node is unready at once and asks callers to
+// close their connections, but still accepts calls until the platform has noticed;
+// the worker is served meanwhile. Then other nodes route their calls elsewhere,
+// nothing more is accepted from callers, even from those that would send calls for
+// ever, and the process ends when nothing is in flight, or when drain-bound is
+// reached.
 func (n *Node) stop() {
 	began := time.Now()
 	n.stopping.Store(true)
@@ -24,15 +25,15 @@
 	defer cancel()
 	wait(bounded, time.Until(began.Add(n.settings.StopNotice)))
 	var ending sync.WaitGroup
-	ending.Go(func() { n.callers.shutdown(bounded) })
+	ending.Go(func() { n.callerListener.shutdown(bounded) })
 	n.agent.AnnounceStop(bounded, fleet.StateLeaving)
-	wait(bounded, farewellTime)
+	wait(bounded, rerouteTime)
 	n.plane.Stop()
 	ending.Wait()
 	_ = n.plane.WaitIdle(bounded)
 	calls, hops := n.plane.InFlight()
 	n.reportDrain(time.Since(began), int(calls+hops))
-	n.calls.shutdown(bounded)
+	n.hopListener.shutdown(bounded)
 	n.agent.AnnounceStop(context.Background(), fleet.StateLeft)
 	n.plane.Close()
 }
