--- a/internal/lab/mesh/node.go
+++ b/internal/lab/mesh/node.go
@@ -263,7 +263,7 @@
 	for _, relay := range n.relays {
 		relay.CloseListener()
 	}
-	n.mesh.options.Recorder.Gone(n.Name)
+	n.mesh.options.Recorder.ProcessEnded(n.Name)
 }
 
 // Pause suspends the node's process; Resume continues it.
