--- a/tests/integration/admin_test.go
+++ b/tests/integration/admin_test.go
@@ -122,7 +122,7 @@
 		t.Errorf("exit codes %v", counts)
 	}
 	mesh.AwaitVersion(first+1, mesh.Nodes("")...)
-	mesh.Operator.NoteCommitted(first + 1)
+	mesh.Operator.RecordCommitted(first + 1)
 	status := harness.Levertide(t.Context(), "status", "--node", mesh.Node("a-gateway").Control.Address)
 	if status.ExitCode != int(exit.Accepted) {
 		t.Errorf("status: %+v", status)
--- a/tests/integration/harness/door.go
+++ b/tests/integration/harness/endpoint.go
@@ -28,9 +28,9 @@
 	Attributes map[string]int `json:"attributes"`
 }
 
-// Door is the way to one listener: a relay that delays or holds back by zone,
+// Endpoint is the way to one listener: a relay that delays or holds back by zone,
 // and behind it a fault-injecting proxy.
-type Door struct {
+type Endpoint struct {
 	// Address is what others dial.
 	Address string
 	// Target is what the process listens on.
@@ -109,7 +109,7 @@
 
 // newDoor makes a way to the listener with the given number on an address that
 // no other node of this process has.
-func newDoor(proxies *toxiproxy.ApiServer, links *fabric.Links, zone fabric.ZoneNumber, host uint8, number int) (*Door, error) {
+func newDoor(proxies *toxiproxy.ApiServer, links *fabric.Links, zone fabric.ZoneNumber, host uint8, number int) (*Endpoint, error) {
 	first := portBase + portsOfDoor*number
 	address := fabric.HostPort(zone, host, first)
 	target := fabric.HostPort(zone, host, first+1)
@@ -118,11 +118,11 @@
 		return nil, err
 	}
 	relay := fabric.NewRelay(fabric.RelayOptions{Links: links, Zone: zone, Listen: address, Target: proxy.Listen})
-	return &Door{Address: address, Target: target, proxy: proxy, relay: relay}, nil
+	return &Endpoint{Address: address, Target: target, proxy: proxy, relay: relay}, nil
 }
 
 // AddToxic puts a fault on all connections through the door.
-func (d *Door) AddToxic(toxic Toxic) error {
+func (d *Endpoint) AddToxic(toxic Toxic) error {
 	encoded, err := json.Marshal(toxic)
 	if err != nil {
 		return err
@@ -132,14 +132,14 @@
 }
 
 // RemoveToxics ends every fault.
-func (d *Door) RemoveToxics() { d.proxy.Toxics.ResetToxics(context.Background()) }
+func (d *Endpoint) RemoveToxics() { d.proxy.Toxics.ResetToxics(context.Background()) }
 
 // Shut refuses connections and breaks the open ones.
-func (d *Door) Shut() { d.relay.Close() }
+func (d *Endpoint) Shut() { d.relay.Close() }
 
-func (d *Door) open() error { return onceFree(d.relay.Open) }
+func (d *Endpoint) open() error { return onceFree(d.relay.Open) }
 
-func (d *Door) close() {
+func (d *Endpoint) close() {
 	d.relay.Close()
 	d.proxy.Stop()
 }
--- a/tests/integration/harness/node.go
+++ b/tests/integration/harness/node.go
@@ -28,8 +28,8 @@
 type Node struct {
 	NodeOptions
 	// Control and Calls are the ways by which other nodes reach it.
-	Control *Door
-	Calls   *Door
+	Control *Endpoint
+	Calls   *Endpoint
 	// Worker is the stand-in beside the node; nil without a service.
 	Worker *worker.Worker
 
@@ -67,7 +67,7 @@
 // Start starts the process and opens its doors. It does not wait for readiness.
 func (n *Node) Start() {
 	n.mesh.t.Helper()
-	for _, door := range []*Door{n.Control, n.Calls} {
+	for _, door := range []*Endpoint{n.Control, n.Calls} {
 		if err := door.open(); err != nil {
 			n.mesh.t.Fatal(err)
 		}
--- a/tests/integration/harness/operator.go
+++ b/tests/integration/harness/operator.go
@@ -75,17 +75,17 @@
 	return state
 }
 
-// Settled is Outcome for an apply whose proposal may have failed, so that it may
+// AwaitSettled is Outcome for an apply whose proposal may have failed, so that it may
 // not have been written.
-func (o *Operator) Settled(apply string) {
+func (o *Operator) AwaitSettled(apply string) {
 	o.t.Helper()
-	if !o.SettledWithin(apply, Bound) {
+	if !o.AwaitSettledWithin(apply, Bound) {
 		o.t.Errorf("apply %s was not decided", apply)
 	}
 }
 
-// SettledWithin is Settled with a bound; it returns false when that went by.
-func (o *Operator) SettledWithin(apply string, bound time.Duration) bool {
+// AwaitSettledWithin is Settled with a bound; it returns false when that went by.
+func (o *Operator) AwaitSettledWithin(apply string, bound time.Duration) bool {
 	_, done := o.await(apply, bound, func(phase versionstore.ApplyPhase) bool {
 		return phase != versionstore.ApplyProposed
 	})
@@ -118,13 +118,13 @@
 	}
 }
 
-// NoteCommitted adds a version that was applied in another way.
-func (o *Operator) NoteCommitted(version uint64) {
+// RecordCommitted adds a version that was applied in another way.
+func (o *Operator) RecordCommitted(version uint64) {
 	o.note(versionstore.ApplyState{Phase: versionstore.ApplyCommitted, Version: version})
 }
 
-// LastSeen returns the highest version that this operator saw committed.
-func (o *Operator) LastSeen() uint64 {
+// LastCommitted returns the highest version that this operator saw committed.
+func (o *Operator) LastCommitted() uint64 {
 	var highest uint64
 	for _, version := range o.seen() {
 		highest = max(highest, version)
--- a/tests/integration/tls_test.go
+++ b/tests/integration/tls_test.go
@@ -69,7 +69,7 @@
 		get(t, mesh, node, 1)
 	}
 	for name, client := range strangers(t, authority) {
-		for _, door := range []*harness.Door{nodeDoor(mesh).Control, nodeDoor(mesh).Calls} {
+		for _, door := range []*harness.Endpoint{nodeDoor(mesh).Control, nodeDoor(mesh).Calls} {
 			if acceptedBy(door.Address, client) {
 				t.Errorf("%s was let in", name)
 			}
