--- a/tests/integration/admin_test.go
+++ b/tests/integration/admin_test.go
@@ -14,8 +14,8 @@
 	"github.com/levertide/levertide/tests/integration/harness"
 )
 
-// ask returns the status and the body of an administration request.
-func ask(t *testing.T, node *harness.Node, path string) (int, string) {
+// getAdmin returns the status and the body of an administration request.
+func getAdmin(t *testing.T, node *harness.Node, path string) (int, string) {
 	t.Helper()
 	response, err := http.Get("http://" + node.AdminAddress() + path)
 	if err != nil {
@@ -35,19 +35,19 @@
 	mesh.Store.SetFaults(platform.Faults{Outage: platform.OutageRefuse})
 	mesh.StartAll()
 	node := mesh.Node("a-gateway")
-	if status, _ := ask(t, node, "/healthz"); status != http.StatusOK {
+	if status, _ := getAdmin(t, node, "/healthz"); status != http.StatusOK {
 		t.Errorf("/healthz: %d", status)
 	}
-	if status, reason := ask(t, node, "/readyz"); status != http.StatusServiceUnavailable || strings.TrimSpace(reason) == "" {
+	if status, reason := getAdmin(t, node, "/readyz"); status != http.StatusServiceUnavailable || strings.TrimSpace(reason) == "" {
 		t.Errorf("/readyz before a floor is known: %d %q", status, reason)
 	}
 	mesh.Store.SetFaults(platform.Faults{})
 	version := mesh.Operator.Apply(resources(1))
 	mesh.AwaitReady(mesh.Nodes("")...)
-	if status, _ := ask(t, node, "/readyz"); status != http.StatusOK {
+	if status, _ := getAdmin(t, node, "/readyz"); status != http.StatusOK {
 		t.Errorf("/readyz when ready: %d", status)
 	}
-	_, body := ask(t, node, "/v1/status")
+	_, body := getAdmin(t, node, "/v1/status")
 	var status struct {
 		Node           string
 		Ready          bool
@@ -60,7 +60,7 @@
 	if status.Node != node.Name || !status.Ready || status.VersionInForce != version || status.System.Head.Committed == "" {
 		t.Errorf("status %+v from %s", status, body)
 	}
-	if _, metrics := ask(t, node, "/metrics"); !strings.Contains(metrics, "levertide_version_in_force 1") {
+	if _, metrics := getAdmin(t, node, "/metrics"); !strings.Contains(metrics, "levertide_version_in_force 1") {
 		t.Error("no version among the metrics")
 	}
 }
@@ -71,7 +71,7 @@
 	shown := strings.Join(mesh.Events.Lines(), "\n")
 	for _, node := range mesh.Nodes("") {
 		for _, path := range []string{"/metrics", "/v1/status", "/readyz"} {
-			_, body := ask(t, node, path)
+			_, body := getAdmin(t, node, path)
 			shown += body
 		}
 	}
--- a/tests/integration/calls_test.go
+++ b/tests/integration/calls_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAnswerCutShortIsNoAnswer(t *testing.T) {
+func TestTruncatedAnswerIsNotAnswered(t *testing.T) {
 	mesh, _ := running(t, twoZones()...)
 	gateway := mesh.Node("b-gateway")
 	get(t, mesh, gateway, 1)
--- a/tests/integration/crash_test.go
+++ b/tests/integration/crash_test.go
@@ -24,8 +24,8 @@
 	return found
 }
 
-// without returns all nodes but one.
-func without(mesh *harness.Mesh, left *harness.Node) []*harness.Node {
+// allExcept returns all nodes but one.
+func allExcept(mesh *harness.Mesh, left *harness.Node) []*harness.Node {
 	var others []*harness.Node
 	for _, node := range mesh.Nodes("") {
 		if node != left {
@@ -41,9 +41,9 @@
 	holder.Pause()
 	mesh.Store.LapseSessions()
 	second := mesh.Operator.Apply(resources(2))
-	mesh.AwaitVersion(second, without(mesh, holder)...)
+	mesh.AwaitVersion(second, allExcept(mesh, holder)...)
 	third := mesh.Operator.Apply(resources(3))
-	mesh.AwaitVersion(third, without(mesh, holder)...)
+	mesh.AwaitVersion(third, allExcept(mesh, holder)...)
 	holder.Resume()
 	mesh.AwaitVersion(third, holder)
 	fourth := mesh.Operator.Apply(resources(4))
@@ -56,7 +56,7 @@
 	relay := withRole(mesh, "relay")
 	relay.Kill()
 	second := mesh.Operator.Apply(resources(2))
-	mesh.AwaitVersion(second, without(mesh, relay)...)
+	mesh.AwaitVersion(second, allExcept(mesh, relay)...)
 	relay.Start()
 	mesh.AwaitReady(relay)
 	get(t, mesh, relay, 2)
@@ -65,17 +65,17 @@
 func TestCoordinatorKilledWhileVersionIsStaged(t *testing.T) {
 	mesh, first := running(t, twoZones()...)
 	coordinator := withRole(mesh, roleCoordinator)
-	silent := without(mesh, coordinator)[0]
-	silent.Pause()
+	paused := allExcept(mesh, coordinator)[0]
+	paused.Pause()
 	apply, version, err := mesh.Operator.Propose(first, resources(2))
 	if err != nil {
 		t.Fatal(err)
 	}
 	mesh.Events.Await("", "version staged", staged(version))
 	coordinator.Kill()
-	silent.Resume()
+	paused.Resume()
 	mesh.Operator.ExpectCommit(apply)
-	mesh.AwaitVersion(version, without(mesh, coordinator)...)
+	mesh.AwaitVersion(version, allExcept(mesh, coordinator)...)
 }
 
 func TestZoneDiesAndStartsTogether(t *testing.T) {
@@ -149,8 +149,8 @@
 
 func TestNodeStagesAndDies(t *testing.T) {
 	mesh, first := running(t, twoZones()...)
-	silent, dying := mesh.Node("a-ledger-1"), mesh.Node("b-ledger-2")
-	silent.Pause()
+	paused, dying := mesh.Node("a-ledger-1"), mesh.Node("b-ledger-2")
+	paused.Pause()
 	apply, version, err := mesh.Operator.Propose(first, resources(2))
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 	dying.Kill()
 	mesh.Operator.ExpectCommit(apply)
 	dying.Start()
-	silent.Resume()
+	paused.Resume()
 	mesh.AwaitReady(dying)
 	mesh.AwaitVersion(version, mesh.Nodes("")...)
 	get(t, mesh, dying, 2)
--- a/tests/integration/harness/endpoint.go
+++ b/tests/integration/harness/endpoint.go
@@ -48,9 +48,9 @@
 // process of another mesh that still knows it would be let in.
 const (
 	lowestPort      = 10000
-	portsOfProcess  = 10
-	portsOfDoor     = 3
-	processesToTell = 2000
+	portsPerProcess  = 10
+	portsPerEndpoint     = 3
+	portRanges = 2000
 )
 
 // portBase is the first port of this test process. portClaim, a listener on it
@@ -58,8 +58,8 @@
 var portBase, portClaim = claimPorts()
 
 func claimPorts() (int, net.Listener) {
-	for attempt := range processesToTell {
-		base := lowestPort + (os.Getpid()+attempt)%processesToTell*portsOfProcess
+	for attempt := range portRanges {
+		base := lowestPort + (os.Getpid()+attempt)%portRanges*portsPerProcess
 		claim, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(base)))
 		if err == nil {
 			return base, claim
@@ -70,7 +70,7 @@
 
 // portsAreFree reports whether all ports that doors of a host use can be opened.
 func portsAreFree(zone fabric.ZoneNumber, host uint8) bool {
-	for offset := range portsOfProcess {
+	for offset := range portsPerProcess {
 		listener, err := net.Listen("tcp", fabric.HostPort(zone, host, portBase+offset))
 		if err != nil {
 			return false
@@ -80,16 +80,16 @@
 	return true
 }
 
-// forkBound is far above the time for which a process that is being started holds what
+// inheritedListenerBound is far above the time for which a process that is being started holds what
 // this one had open.
-const forkBound = 5 * time.Second
+const inheritedListenerBound = 5 * time.Second
 
-// onceFree calls listen until its address is free. The ports of a host are looked at by
+// retryWhileInUse calls listen until its address is free. The ports of a host are looked at by
 // opening and closing them; a process of another test that is started at that moment
 // holds a copy of the closed listener until its program runs, some milliseconds on a
 // busy machine (3,904 of 127,643 listeners on such an address while processes started).
-func onceFree(listen func() error) error {
-	end := time.Now().Add(forkBound)
+func retryWhileInUse(listen func() error) error {
+	end := time.Now().Add(inheritedListenerBound)
 	for {
 		err := listen()
 		if !addressInUse(err) || time.Now().After(end) {
@@ -107,14 +107,14 @@
 	return errors.Is(err, syscall.EADDRINUSE)
 }
 
-// newDoor makes a way to the listener with the given number on an address that
+// newEndpoint makes a way to the listener with the given number on an address that
 // no other node of this process has.
-func newDoor(proxies *toxiproxy.ApiServer, links *fabric.Links, zone fabric.ZoneNumber, host uint8, number int) (*Endpoint, error) {
-	first := portBase + portsOfDoor*number
+func newEndpoint(proxies *toxiproxy.ApiServer, links *fabric.Links, zone fabric.ZoneNumber, host uint8, number int) (*Endpoint, error) {
+	first := portBase + portsPerEndpoint*number
 	address := fabric.HostPort(zone, host, first)
 	target := fabric.HostPort(zone, host, first+1)
 	proxy := toxiproxy.NewProxy(proxies, address, fabric.HostPort(zone, host, first+2), target)
-	if err := onceFree(proxy.Start); err != nil {
+	if err := retryWhileInUse(proxy.Start); err != nil {
 		return nil, err
 	}
 	relay := fabric.NewRelay(fabric.RelayOptions{Links: links, Zone: zone, Listen: address, Target: proxy.Listen})
@@ -137,7 +137,7 @@
 // Shut refuses connections and breaks the open ones.
 func (d *Endpoint) Shut() { d.relay.Close() }
 
-func (d *Endpoint) open() error { return onceFree(d.relay.Open) }
+func (d *Endpoint) open() error { return retryWhileInUse(d.relay.Open) }
 
 func (d *Endpoint) close() {
 	d.relay.Close()
--- a/tests/integration/harness/endpoint_test.go
+++ b/tests/integration/harness/endpoint_test.go
@@ -8,9 +8,9 @@
 	"github.com/levertide/levertide/internal/lab/fabric"
 )
 
-// TestDoorWaitsForItsAddress has another listener hold the address of a door for a
+// TestEndpointWaitsUntilAddressIsFree has another listener hold the address of a door for a
 // moment, as a process does that is just being started.
-func TestDoorWaitsForItsAddress(t *testing.T) {
+func TestEndpointWaitsUntilAddressIsFree(t *testing.T) {
 	const zone = fabric.ZoneNumber(90)
 	host := newHost(zone)
 	address := fabric.HostPort(zone, host, portBase+2)
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { _ = held.Close() })
-	door, err := newDoor(newProxies(), fabric.NewLinks(0), zone, host, 0)
+	door, err := newEndpoint(newProxies(), fabric.NewLinks(0), zone, host, 0)
 	if err != nil {
 		t.Fatalf("the door did not wait: %v", err)
 	}
--- a/tests/integration/harness/events.go
+++ b/tests/integration/harness/events.go
@@ -23,7 +23,7 @@
 type Events struct {
 	t       *testing.T
 	mutex   sync.Mutex
-	kept    []nodeEvent
+	records    []nodeEvent
 	raw     []string
 	changed chan struct{}
 }
@@ -35,7 +35,7 @@
 	defer e.mutex.Unlock()
 	e.raw = append(e.raw, node+" "+string(line))
 	if event, ok := observe.ParseEvent(line); ok {
-		e.kept = append(e.kept, nodeEvent{node: node, event: event})
+		e.records = append(e.records, nodeEvent{node: node, event: event})
 	}
 	close(e.changed)
 	e.changed = make(chan struct{})
@@ -45,18 +45,18 @@
 func (e *Events) Mark() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return len(e.kept)
+	return len(e.records)
 }
 
 // Await returns the last matching event of a node (of any node when it is
 // empty), and waits for it if there is none yet.
-func (e *Events) Await(node, what string, matches func(observe.Event) bool) observe.Event {
+func (e *Events) Await(node, description string, matches func(observe.Event) bool) observe.Event {
 	e.t.Helper()
-	return e.AwaitAfter(0, node, what, matches)
+	return e.AwaitAfter(0, node, description, matches)
 }
 
 // AwaitAfter is Await for events after a mark.
-func (e *Events) AwaitAfter(mark int, node, what string, matches func(observe.Event) bool) observe.Event {
+func (e *Events) AwaitAfter(mark int, node, description string, matches func(observe.Event) bool) observe.Event {
 	e.t.Helper()
 	deadline := time.After(Bound)
 	for {
@@ -67,7 +67,7 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			e.t.Fatalf("%s: no event: %s", node, what)
+			e.t.Fatalf("%s: no event: %s", node, description)
 		}
 	}
 }
@@ -75,8 +75,8 @@
 func (e *Events) last(mark int, node string, matches func(observe.Event) bool) (observe.Event, bool, <-chan struct{}) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for index := len(e.kept) - 1; index >= mark; index-- {
-		kept := e.kept[index]
+	for index := len(e.records) - 1; index >= mark; index-- {
+		kept := e.records[index]
 		if (node == "" || kept.node == node) && matches(kept.event) {
 			return kept.event, true, nil
 		}
@@ -89,7 +89,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	count := 0
-	for _, kept := range e.kept[mark:] {
+	for _, kept := range e.records[mark:] {
 		if matches(kept.event) {
 			count++
 		}
@@ -104,8 +104,8 @@
 	return slices.Clone(e.raw)
 }
 
-// print shows every line, for tests that failed.
-func (e *Events) print() {
+// logAll shows every line, for tests that failed.
+func (e *Events) logAll() {
 	for _, line := range e.Lines() {
 		e.t.Log(line)
 	}
--- a/tests/integration/harness/mesh.go
+++ b/tests/integration/harness/mesh.go
@@ -28,15 +28,15 @@
 
 const (
 	firstHost = 1
-	hosts     = 250
+	hostCount     = 250
 )
 
-var hostsGiven atomic.Uint32
+var hostsAllocated atomic.Uint32
 
 // newHost returns a host number whose ports in a zone nobody listens on.
 func newHost(zone fabric.ZoneNumber) uint8 {
-	for range hosts {
-		host := uint8(firstHost + (hostsGiven.Add(1)-1)%hosts)
+	for range hostCount {
+		host := uint8(firstHost + (hostsAllocated.Add(1)-1)%hostCount)
 		if portsAreFree(zone, host) {
 			return host
 		}
@@ -76,7 +76,7 @@
 		storeProxies: make(map[string]*toxiproxy.Proxy),
 		zones:        make(map[string]fabric.ZoneNumber),
 	}
-	t.Cleanup(mesh.end)
+	t.Cleanup(mesh.shutDown)
 	var err error
 	if mesh.storeAddress, err = mesh.Store.Listen(fabric.HostPort(fabric.ZonePlatform, newHost(fabric.ZonePlatform), portBase)); err != nil {
 		t.Fatal(err)
@@ -102,15 +102,15 @@
 	m.storeProxies[zone] = proxy
 }
 
-// end stops the processes and checks the rules.
-func (m *Mesh) end() {
+// shutDown stops the processes and checks the rules.
+func (m *Mesh) shutDown() {
 	m.group.StopAll(groupStopBound)
 	m.checkCommitted()
 	for _, violation := range m.Recorder.Violations() {
 		m.t.Error(violation)
 	}
 	if m.t.Failed() {
-		m.Events.print()
+		m.Events.logAll()
 	}
 	for _, node := range m.nodes {
 		node.Control.close()
@@ -133,7 +133,7 @@
 func (m *Mesh) checkCommitted() {
 	var committed []uint64
 	for _, operator := range m.operators {
-		committed = append(committed, operator.seen()...)
+		committed = append(committed, operator.committedVersions()...)
 	}
 	m.Recorder.CheckCommitted(committed)
 }
@@ -229,7 +229,7 @@
 }
 
 // Eventually waits until a condition holds.
-func (m *Mesh) Eventually(what string, holds func() bool) {
+func (m *Mesh) Eventually(condition string, holds func() bool) {
 	m.t.Helper()
 	deadline := time.After(Bound)
 	poll := time.NewTicker(pollInterval)
@@ -238,7 +238,7 @@
 		select {
 		case <-poll.C:
 		case <-deadline:
-			m.t.Fatalf("not reached: %s", what)
+			m.t.Fatalf("not reached: %s", condition)
 		}
 	}
 }
--- a/tests/integration/harness/node.go
+++ b/tests/integration/harness/node.go
@@ -43,10 +43,10 @@
 	m.t.Helper()
 	node := &Node{NodeOptions: options, mesh: m, zone: zone, host: host}
 	var err error
-	if node.Control, err = newDoor(m.proxies, m.Links, zone, host, 0); err != nil {
+	if node.Control, err = newEndpoint(m.proxies, m.Links, zone, host, 0); err != nil {
 		m.t.Fatal(err)
 	}
-	if node.Calls, err = newDoor(m.proxies, m.Links, zone, host, 1); err != nil {
+	if node.Calls, err = newEndpoint(m.proxies, m.Links, zone, host, 1); err != nil {
 		m.t.Fatal(err)
 	}
 	if options.Service != "" {
@@ -114,7 +114,7 @@
 // new ones are refused.
 func (n *Node) Kill() {
 	n.running.Kill()
-	n.gone()
+	n.markStopped()
 }
 
 // Terminate asks for a planned stop and does not wait.
@@ -128,7 +128,7 @@
 	case <-time.After(stopBound):
 		n.mesh.t.Fatalf("%s did not end", n.Name)
 	}
-	n.gone()
+	n.markStopped()
 	return n.running.ExitCode()
 }
 
@@ -138,7 +138,7 @@
 // Resume lets a paused process go on.
 func (n *Node) Resume() { n.running.Signal(syscall.SIGCONT) }
 
-func (n *Node) gone() {
+func (n *Node) markStopped() {
 	n.Control.Shut()
 	n.Calls.Shut()
 	n.mesh.Recorder.Gone(n.Name)
--- a/tests/integration/harness/operator.go
+++ b/tests/integration/harness/operator.go
@@ -99,7 +99,7 @@
 	for {
 		state, err := o.versions.Resolve(o.t.Context(), apply)
 		if err == nil && decided(state.Phase) {
-			o.note(state)
+			o.recordDecision(state)
 			return state, true
 		}
 		select {
@@ -110,7 +110,7 @@
 	}
 }
 
-func (o *Operator) note(state versionstore.ApplyState) {
+func (o *Operator) recordDecision(state versionstore.ApplyState) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if state.Phase == versionstore.ApplyCommitted {
@@ -120,20 +120,20 @@
 
 // RecordCommitted adds a version that was applied in another way.
 func (o *Operator) RecordCommitted(version uint64) {
-	o.note(versionstore.ApplyState{Phase: versionstore.ApplyCommitted, Version: version})
+	o.recordDecision(versionstore.ApplyState{Phase: versionstore.ApplyCommitted, Version: version})
 }
 
 // LastCommitted returns the highest version that this operator saw committed.
 func (o *Operator) LastCommitted() uint64 {
 	var highest uint64
-	for _, version := range o.seen() {
+	for _, version := range o.committedVersions() {
 		highest = max(highest, version)
 	}
 	return highest
 }
 
-// seen returns the versions that this operator saw committed.
-func (o *Operator) seen() []uint64 {
+// committedVersions returns the versions that this operator saw committed.
+func (o *Operator) committedVersions() []uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.committed)
--- a/tests/integration/store_test.go
+++ b/tests/integration/store_test.go
@@ -41,16 +41,16 @@
 
 func TestStoreDownDuringApply(t *testing.T) {
 	mesh, first := running(t, twoZones()...)
-	silent := mesh.Node("b-ledger-2")
-	silent.Pause()
+	paused := mesh.Node("b-ledger-2")
+	paused.Pause()
 	apply, version, err := mesh.Operator.Propose(first, resources(2))
 	if err != nil {
 		t.Fatal(err)
 	}
 	mesh.Events.Await("a-ledger-1", "version staged", staged(version))
 	mesh.Store.SetFaults(platform.Faults{Outage: platform.OutageRefuse})
-	silent.Resume()
-	mesh.Events.Await(silent.Name, "version staged", staged(version))
+	paused.Resume()
+	mesh.Events.Await(paused.Name, "version staged", staged(version))
 	mesh.Store.SetFaults(platform.Faults{})
 	mesh.Operator.ExpectCommit(apply)
 	mesh.AwaitVersion(version, mesh.Nodes("")...)
--- a/tests/integration/tls_test.go
+++ b/tests/integration/tls_test.go
@@ -68,8 +68,8 @@
 	for _, node := range mesh.Nodes("") {
 		get(t, mesh, node, 1)
 	}
-	for name, client := range strangers(t, authority) {
-		for _, door := range []*harness.Endpoint{nodeDoor(mesh).Control, nodeDoor(mesh).Calls} {
+	for name, client := range unauthorizedClients(t, authority) {
+		for _, door := range []*harness.Endpoint{targetNode(mesh).Control, targetNode(mesh).Calls} {
 			if acceptedBy(door.Address, client) {
 				t.Errorf("%s was let in", name)
 			}
@@ -90,21 +90,21 @@
 	}
 }
 
-func nodeDoor(mesh *harness.Mesh) *harness.Node { return mesh.Node("a-ledger-1") }
+func targetNode(mesh *harness.Mesh) *harness.Node { return mesh.Node("a-ledger-1") }
 
-// strangers returns clients that no node may let in.
-func strangers(t *testing.T, authority *identity.Authority) map[string]*tls.Config {
+// unauthorizedClients returns clients that no node may let in.
+func unauthorizedClients(t *testing.T, authority *identity.Authority) map[string]*tls.Config {
 	t.Helper()
 	operator := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleOperator, Node: "someone"}
 	node := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleNode, Node: "a-ledger-2"}
 	return map[string]*tls.Config{
 		"a client without certificate":    {InsecureSkipVerify: true},
-		"a node of another authority":     clientOf(t, newAuthority(t), node),
-		"an operator on a calls listener": clientOf(t, authority, operator),
+		"a node of another authority":     clientConfig(t, newAuthority(t), node),
+		"an operator on a calls listener": clientConfig(t, authority, operator),
 	}
 }
 
-func clientOf(t *testing.T, authority *identity.Authority, holder identity.Identity) *tls.Config {
+func clientConfig(t *testing.T, authority *identity.Authority, holder identity.Identity) *tls.Config {
 	t.Helper()
 	files := issue(t, authority, holder, t.TempDir())
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
@@ -150,13 +150,13 @@
 	mesh, _ := running(t, nodes...)
 	operator := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleOperator, Node: "someone"}
 	files := issue(t, authority, operator, t.TempDir())
-	status := harness.Levertide(t.Context(), "status", "--node", nodeDoor(mesh).Control.Address,
+	status := harness.Levertide(t.Context(), "status", "--node", targetNode(mesh).Control.Address,
 		"--tls-ca", files.Authorities, "--tls-cert", files.Certificate, "--tls-key", files.Key)
 	if status.ExitCode != int(exit.Accepted) {
 		t.Errorf("status: %+v", status)
 	}
 	for _, method := range []string{"Watch", "Report", "Members", "Floor"} {
-		if answered := postAs(t, mesh, clientOf(t, authority, operator), method); answered != http.StatusForbidden {
+		if answered := postAs(t, mesh, clientConfig(t, authority, operator), method); answered != http.StatusForbidden {
 			t.Errorf("%s answered an operator with %d", method, answered)
 		}
 	}
@@ -166,7 +166,7 @@
 func postAs(t *testing.T, mesh *harness.Mesh, config *tls.Config, method string) int {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
-	url := "https://" + nodeDoor(mesh).Control.Address + "/twirp/levertide.control.v1.Control/" + method
+	url := "https://" + targetNode(mesh).Control.Address + "/twirp/levertide.control.v1.Control/" + method
 	response, err := client.Post(url, "application/protobuf", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -180,8 +180,8 @@
 	withCertificates(t, authority, t.TempDir(), nodes)
 	mesh, _ := running(t, nodes...)
 	holder := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleNode, Node: "intruder"}
-	client := controlpb.NewControlProtobufClient("https://"+nodeDoor(mesh).Control.Address,
-		&http.Client{Transport: &http.Transport{TLSClientConfig: clientOf(t, authority, holder)}})
+	client := controlpb.NewControlProtobufClient("https://"+targetNode(mesh).Control.Address,
+		&http.Client{Transport: &http.Transport{TLSClientConfig: clientConfig(t, authority, holder)}})
 	claims := map[string]*controlpb.Member{
 		"another zone": {Id: "intruder", Region: testRegion, Zone: "b"},
 		"another node": {Id: "a-ledger-2", Region: testRegion, Zone: "a"},
--- a/tests/layout/layout_test.go
+++ b/tests/layout/layout_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// topOf returns the first folder below the root.
-func topOf(path string) string {
+// topFolder returns the first folder below the root.
+func topFolder(path string) string {
 	relative, err := filepath.Rel(root, path)
 	if err != nil {
 		return ""
@@ -53,7 +53,7 @@
 
 func TestOnlyTheAdapterKnowsThePlatformsNames(t *testing.T) {
 	sourceFiles(t, func(path string) {
-		if topOf(path) == "platform" {
+		if topFolder(path) == "platform" {
 			return
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ParseComments)
@@ -76,7 +76,7 @@
 func TestImportsRunOneWay(t *testing.T) {
 	rank := map[string]int{"pkg": 0, "internal": 1, "platform": 2, "cmd": 3}
 	sourceFiles(t, func(path string) {
-		own, ranked := rank[topOf(path)]
+		own, ranked := rank[topFolder(path)]
 		if !ranked {
 			return
 		}
--- a/tests/robustness/coordination/fuzz_test.go
+++ b/tests/robustness/coordination/fuzz_test.go
@@ -44,14 +44,14 @@
 	}
 }
 
-func TestOtherShapes(t *testing.T) {
-	shapes := map[string]sim.Options{
+func TestOtherTopologies(t *testing.T) {
+	topologies := map[string]sim.Options{
 		"one zone":     {Seed: 11, Regions: 1, ZonesPerRegion: 1, NodesPerZone: 7},
 		"many regions": {Seed: 12, Regions: 5, ZonesPerRegion: 1, NodesPerZone: 4},
 		"flat":         {Seed: 13, Regions: 1, ZonesPerRegion: 4, NodesPerZone: 4, FanOut: 8},
 		"one reader":   {Seed: 14, Readers: 1},
 	}
-	for name, options := range shapes {
+	for name, options := range topologies {
 		t.Run(name, func(t *testing.T) {
 			w := sim.New(options)
 			defer w.Close()
--- a/tests/robustness/storeprotocol/rivals_test.go
+++ b/tests/robustness/storeprotocol/contention_test.go
@@ -20,8 +20,8 @@
 	err     error
 }
 
-// TestOperatorsAtOnce lets operators apply different sets on the same base.
-func TestOperatorsAtOnce(t *testing.T) {
+// TestConcurrentOperators lets operators apply different sets on the same base.
+func TestConcurrentOperators(t *testing.T) {
 	for _, operators := range []int{2, 3} {
 		t.Run(fmt.Sprintf("%d operators", operators), func(t *testing.T) {
 			_, address := startPlatform(t)
@@ -52,22 +52,22 @@
 // race proposes with all clients at once and returns the one that succeeded.
 func race(t *testing.T, clients []*versionstore.VersionStore, base rollout.Version) proposal {
 	t.Helper()
-	told := make(chan proposal)
+	results := make(chan proposal)
 	for i, client := range clients {
 		applyID := fmt.Sprintf("operator-%d-%d", i, base)
 		go func() {
 			result, err := client.Propose(t.Context(), request(applyID, base, applyID))
-			told <- proposal{applyID: applyID, result: result, err: err}
+			results <- proposal{applyID: applyID, result: result, err: err}
 		}()
 	}
 	var winners []proposal
 	for range clients {
-		answer := <-told
+		received := <-results
 		switch {
-		case answer.err == nil:
-			winners = append(winners, answer)
-		case !errorx.IsOfType(answer.err, versionstore.ErrConflict) && !errorx.IsOfType(answer.err, versionstore.ErrRolloutInProgress):
-			t.Errorf("%s was told %v", answer.applyID, answer.err)
+		case received.err == nil:
+			winners = append(winners, received)
+		case !errorx.IsOfType(received.err, versionstore.ErrConflict) && !errorx.IsOfType(received.err, versionstore.ErrRolloutInProgress):
+			t.Errorf("%s was told %v", received.applyID, received.err)
 		}
 	}
 	if len(winners) != 1 {
--- a/tests/robustness/storeprotocol/fixture_test.go
+++ b/tests/robustness/storeprotocol/fixture_test.go
@@ -122,14 +122,14 @@
 	}
 }
 
-// watchedStore calls before and after around each transaction, with its number from one.
-type watchedStore struct {
+// hookedStore calls before and after around each transaction, with its number from one.
+type hookedStore struct {
 	store.Store
 	number        int
 	before, after func(number int)
 }
 
-func (w *watchedStore) Transact(ctx context.Context, operations []store.Operation) error {
+func (w *hookedStore) Transact(ctx context.Context, operations []store.Operation) error {
 	w.number++
 	if w.before != nil {
 		w.before(w.number)
--- a/tests/robustness/storeprotocol/model_test.go
+++ b/tests/robustness/storeprotocol/model_test.go
@@ -78,18 +78,18 @@
 		}
 		return []any{head}
 	case verdictRefused:
-		return when(!allowed, head)
+		return headIf(!allowed, head)
 	}
 	if in.action == actionRead {
-		return when(out.head == head, head)
+		return headIf(out.head == head, head)
 	}
 	if in.action == actionPropose {
-		return when(allowed && out.version == next.proposed, next)
+		return headIf(allowed && out.version == next.proposed, next)
 	}
-	return when(allowed, next)
+	return headIf(allowed, next)
 }
 
-func when(possible bool, head headModel) []any {
+func headIf(possible bool, head headModel) []any {
 	if !possible {
 		return nil
 	}
--- a/tests/robustness/storeprotocol/outage_test.go
+++ b/tests/robustness/storeprotocol/outage_test.go
@@ -43,7 +43,7 @@
 	for _, outage := range outages {
 		t.Run(string(outage), func(t *testing.T) {
 			server, address := startPlatform(t)
-			watched := &watchedStore{Store: dial(t, address)}
+			watched := &hookedStore{Store: dial(t, address)}
 			watched.before = func(number int) {
 				if number == proposalTransaction {
 					server.SetFaults(platform.Faults{Outage: outage})
@@ -83,7 +83,7 @@
 // store down past the time allowed to settle it.
 func TestStoreDownAfterTheWrite(t *testing.T) {
 	server, address := startPlatform(t)
-	watched := &watchedStore{Store: dial(t, address)}
+	watched := &hookedStore{Store: dial(t, address)}
 	watched.before = func(number int) {
 		if number == proposalTransaction {
 			server.SetFaults(platform.Faults{LoseAnswers: 1})
@@ -122,7 +122,7 @@
 	const timeout = 400 * time.Millisecond
 	client := consul.New(consul.Config{Address: "http://" + address, Timeout: timeout})
 	t.Cleanup(client.Close)
-	watched := &watchedStore{Store: client}
+	watched := &hookedStore{Store: client}
 	watched.before = func(number int) {
 		if number == proposalTransaction {
 			server.SetFaults(platform.Faults{Delay: 2 * timeout})
@@ -166,10 +166,10 @@
 	requireHead(t, address, 2, 1, 0)
 }
 
-// TestCrossingAnswers reads while the head is written, with answers that
+// TestReorderedAnswers reads while the head is written, with answers that
 // arrive in another order than they were given. None may pass for a store
 // that went back.
-func TestCrossingAnswers(t *testing.T) {
+func TestReorderedAnswers(t *testing.T) {
 	_, address := startPlatform(t)
 	versions := open(dial(t, address))
 	done := make(chan struct{})
