--- a/tests/integration/harness/calls.go
+++ b/tests/integration/harness/calls.go
@@ -17,14 +17,14 @@
 
 var requestNumber atomic.Uint64
 
-// Answer is what a caller got.
+// Answer is the result of a call as its caller received it.
 type Answer struct {
 	RequestID string
 	Status    int
 	Outcome   outcome.Outcome
 	Reason    outcome.Reason
 	Worker    string
-	// Err is set when no whole answer came, or a wrong one.
+	// Err is set when the answer was missing, incomplete or wrong.
 	Err error
 }
 
@@ -35,16 +35,17 @@
 	Method string
 	Host   string
 	Path   string
-	// Body is sent as it is read; nil for none.
+	// Body is streamed as it is read; nil means no body.
 	Body io.Reader
-	// Content is what Body holds in the end, for the check of the answer.
+	// Content is the complete content of Body, used to verify the answer.
 	Content []byte
 }
 
-// NewRequestID returns an identifier that no other request has.
+// NewRequestID returns an identifier that is unique in this process.
 func NewRequestID() string { return fmt.Sprintf("request-%d", requestNumber.Add(1)) }
 
-// Call sends a request to a node and checks that the answer is whole and its own.
+// Call sends a request to a node and checks that the answer is complete and
+// belongs to this request.
 func Call(ctx context.Context, node *Node, call Request) Answer {
 	id := cmp.Or(call.ID, NewRequestID())
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+node.CallerAddress()+call.Path, call.Body)
@@ -53,7 +54,7 @@
 	}
 	request.Host = call.Host
 	request.Header.Set(worker.RequestIDHeader, id)
-	// A connection of its own keeps the client from sending a request twice.
+	// Without connection reuse, the client never resends a request by itself.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Do(request)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return answer
 }
 
-// Executions returns how often all workers together ran a request to its end.
+// Executions returns how often the workers, taken together, completed a request.
 func (m *Mesh) Executions(requestID string) int {
 	total := 0
 	for _, node := range m.nodes {
@@ -84,7 +85,7 @@
 	return total
 }
 
-// AllExecutions returns, for each request, how often it ran to its end.
+// AllExecutions returns how often each request was completed, by request ID.
 func (m *Mesh) AllExecutions() map[string]int {
 	executions := make(map[string]int)
 	for _, node := range m.nodes {
@@ -99,7 +100,7 @@
 	return executions
 }
 
-// Holder returns the node whose worker let a request in, or nil.
+// Holder returns the node whose worker admitted a request, or nil.
 func (m *Mesh) Holder(requestID string) *Node {
 	for _, node := range m.nodes {
 		if node.record(requestID).Started > 0 {
@@ -122,7 +123,7 @@
 	return worker.Record{}
 }
 
-// Body returns a body and its content of the given size.
+// Body returns a request body of the given size, as a reader and as bytes.
 func Body(t *testing.T, size int) (io.Reader, []byte) {
 	t.Helper()
 	content := bytes.Repeat([]byte(strconv.Itoa(size)), size)[:size]
--- a/tests/integration/harness/doc.go
+++ b/tests/integration/harness/doc.go
@@ -1,7 +1,8 @@
 // Package harness runs meshes of real levertided processes for the integration
-// tests. The store stand-in and the workers run in the test's process; each node
-// is reached through a fault-injecting proxy and a relay that knows the zones.
+// tests. The store stand-in and the workers run in the test's process. Each node
+// is reached through a relay that applies the faults between zones and a
+// fault-injecting proxy.
 //
-// What nodes did is read from the event lines that they write to standard
-// error, and what callers got from their answers.
+// Tests observe the nodes through the event lines that these write to standard
+// error, and the callers through the answers that they receive.
 package harness
--- a/tests/integration/harness/endpoint.go
+++ b/tests/integration/harness/endpoint.go
@@ -19,7 +19,7 @@
 	"github.com/levertide/levertide/internal/lab/fabric"
 )
 
-// Toxic is one fault of package toxiproxy, such as latency or timeout.
+// Toxic is a fault that package toxiproxy injects, such as latency or timeout.
 type Toxic struct {
 	Name string `json:"name"`
 	Type string `json:"type"`
@@ -28,12 +28,12 @@
 	Attributes map[string]int `json:"attributes"`
 }
 
-// Endpoint is the way to one listener: a relay that delays or holds back by zone,
-// and behind it a fault-injecting proxy.
+// Endpoint fronts one listener of a node: a relay that delays or withholds traffic
+// by zone, followed by a fault-injecting proxy.
 type Endpoint struct {
-	// Address is what others dial.
+	// Address is the address that clients dial.
 	Address string
-	// Target is what the process listens on.
+	// Target is the address that the process listens on.
 	Target string
 	proxy  *toxiproxy.Proxy
 	relay  *fabric.Relay
@@ -43,18 +43,19 @@
 	return toxiproxy.NewServer(toxiproxy.NewMetricsContainer(prometheus.NewRegistry()), zerolog.Nop())
 }
 
-// Ports lie below those that the kernel gives away and differ between the test
-// processes of one machine. An address that was free for a moment would not do: a
-// process of another mesh that still knows it would be let in.
+// Ports lie below the kernel's ephemeral range and differ between the test
+// processes of one machine. An address that merely happens to be free would not
+// do: a process of another mesh that still knows it would be accepted.
 const (
-	lowestPort      = 10000
+	lowestPort       = 10000
 	portsPerProcess  = 10
-	portsPerEndpoint     = 3
-	portRanges = 2000
+	portsPerEndpoint = 3
+	portRanges       = 2000
 )
 
-// portBase is the first port of this test process. portClaim, a listener on it
-// that is held to the end, keeps another test process from taking the same.
+// portBase is the first port of this test process. portClaim is a listener on it
+// that stays open until the process ends, so that no other test process takes
+// the same range.
 var portBase, portClaim = claimPorts()
 
 func claimPorts() (int, net.Listener) {
@@ -65,10 +66,10 @@
 			return base, claim
 		}
 	}
-	panic("harness: every range of ports is taken")
+	panic("harness: no free port range left")
 }
 
-// portsAreFree reports whether all ports that doors of a host use can be opened.
+// portsAreFree reports whether all ports that the endpoints of a host use can be opened.
 func portsAreFree(zone fabric.ZoneNumber, host uint8) bool {
 	for offset := range portsPerProcess {
 		listener, err := net.Listen("tcp", fabric.HostPort(zone, host, portBase+offset))
@@ -80,14 +81,15 @@
 	return true
 }
 
-// inheritedListenerBound is far above the time for which a process that is being started holds what
-// this one had open.
+// inheritedListenerBound is far above the time for which a child process that is
+// being started holds the listeners that it inherited from this process.
 const inheritedListenerBound = 5 * time.Second
 
-// retryWhileInUse calls listen until its address is free. The ports of a host are looked at by
-// opening and closing them; a process of another test that is started at that moment
-// holds a copy of the closed listener until its program runs, some milliseconds on a
-// busy machine (3,904 of 127,643 listeners on such an address while processes started).
+// retryWhileInUse calls listen until its address is free. The ports of a host are
+// checked by opening and closing them. A process that another test starts at that
+// moment holds a copy of the closed listener until its program is executed, which
+// takes some milliseconds on a busy machine (3,904 of 127,643 listeners failed on
+// such an address while processes were starting).
 func retryWhileInUse(listen func() error) error {
 	end := time.Now().Add(inheritedListenerBound)
 	for {
@@ -99,7 +101,7 @@
 	}
 }
 
-// addressInUse looks behind errorx's wrapping, which errors.Is does not.
+// addressInUse unwraps errorx errors first, which errors.Is does not.
 func addressInUse(err error) bool {
 	if wrapped := errorx.Cast(err); wrapped != nil {
 		err = wrapped.Cause()
@@ -107,8 +109,8 @@
 	return errors.Is(err, syscall.EADDRINUSE)
 }
 
-// newEndpoint makes a way to the listener with the given number on an address that
-// no other node of this process has.
+// newEndpoint opens the proxy for the listener with the given number, on an
+// address that no other node of this process has.
 func newEndpoint(proxies *toxiproxy.ApiServer, links *fabric.Links, zone fabric.ZoneNumber, host uint8, number int) (*Endpoint, error) {
 	first := portBase + portsPerEndpoint*number
 	address := fabric.HostPort(zone, host, first)
@@ -121,7 +123,7 @@
 	return &Endpoint{Address: address, Target: target, proxy: proxy, relay: relay}, nil
 }
 
-// AddToxic puts a fault on all connections through the door.
+// AddToxic injects a fault into all connections through the endpoint.
 func (d *Endpoint) AddToxic(toxic Toxic) error {
 	encoded, err := json.Marshal(toxic)
 	if err != nil {
@@ -131,10 +133,10 @@
 	return err
 }
 
-// RemoveToxics ends every fault.
+// RemoveToxics removes every injected fault.
 func (d *Endpoint) RemoveToxics() { d.proxy.Toxics.ResetToxics(context.Background()) }
 
-// Shut refuses connections and breaks the open ones.
+// Shut refuses new connections and breaks the open ones.
 func (d *Endpoint) Shut() { d.relay.Close() }
 
 func (d *Endpoint) open() error { return retryWhileInUse(d.relay.Open) }
--- a/tests/integration/harness/endpoint_test.go
+++ b/tests/integration/harness/endpoint_test.go
@@ -8,8 +8,9 @@
 	"github.com/levertide/levertide/internal/lab/fabric"
 )
 
-// TestEndpointWaitsUntilAddressIsFree has another listener hold the address of a door for a
-// moment, as a process does that is just being started.
+// TestEndpointWaitsUntilAddressIsFree guards against an endpoint failing to open
+// because another listener holds its address briefly, as a process that is just
+// being started does.
 func TestEndpointWaitsUntilAddressIsFree(t *testing.T) {
 	const zone = fabric.ZoneNumber(90)
 	host := newHost(zone)
@@ -21,7 +22,7 @@
 	time.AfterFunc(50*time.Millisecond, func() { _ = held.Close() })
 	door, err := newEndpoint(newProxies(), fabric.NewLinks(0), zone, host, 0)
 	if err != nil {
-		t.Fatalf("the door did not wait: %v", err)
+		t.Fatalf("the endpoint did not wait for its address: %v", err)
 	}
 	door.close()
 }
--- a/tests/integration/harness/events.go
+++ b/tests/integration/harness/events.go
@@ -9,21 +9,21 @@
 	"github.com/levertide/levertide/internal/lab/observe"
 )
 
-// Bound is how long a test waits for something that must happen. It is far
-// above what is usual, for busy machines.
+// Bound limits how long a test waits for something that must happen. It is far
+// above the usual time, to allow for busy machines.
 const Bound = 60 * time.Second
 
-// nodeEvent is one event line and the place that it came from.
+// nodeEvent is one event line and the name of the node that wrote it.
 type nodeEvent struct {
 	node  string
 	event observe.Event
 }
 
-// Events keeps every event line of every node in the order of arrival.
+// Events records every event line of every node in order of arrival.
 type Events struct {
 	t       *testing.T
 	mutex   sync.Mutex
-	records    []nodeEvent
+	records []nodeEvent
 	raw     []string
 	changed chan struct{}
 }
@@ -41,21 +41,21 @@
 	e.changed = make(chan struct{})
 }
 
-// Mark returns a place in the sequence of events, to look only at later ones.
+// Mark returns the current position in the sequence of events; see AwaitAfter and Count.
 func (e *Events) Mark() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.records)
 }
 
-// Await returns the last matching event of a node (of any node when it is
-// empty), and waits for it if there is none yet.
+// Await returns the last matching event of a node, or of any node when node is
+// empty. It waits if there is none yet.
 func (e *Events) Await(node, description string, matches func(observe.Event) bool) observe.Event {
 	e.t.Helper()
 	return e.AwaitAfter(0, node, description, matches)
 }
 
-// AwaitAfter is Await for events after a mark.
+// AwaitAfter is like Await but considers only events after a mark.
 func (e *Events) AwaitAfter(mark int, node, description string, matches func(observe.Event) bool) observe.Event {
 	e.t.Helper()
 	deadline := time.After(Bound)
@@ -104,7 +104,7 @@
 	return slices.Clone(e.raw)
 }
 
-// logAll shows every line, for tests that failed.
+// logAll logs every line, for tests that failed.
 func (e *Events) logAll() {
 	for _, line := range e.Lines() {
 		e.t.Log(line)
--- a/tests/integration/harness/mesh.go
+++ b/tests/integration/harness/mesh.go
@@ -22,18 +22,18 @@
 	groupStopBound = 0
 )
 
-// Zone and host numbers, which make up the addresses of nodes. No two nodes of a
-// test process share a host number while their number does not exceed the range.
+// Zone and host numbers make up the addresses of nodes. No two nodes of a test
+// process share a host number as long as there are at most hostCount of them.
 const firstZone fabric.ZoneNumber = 100
 
 const (
 	firstHost = 1
-	hostCount     = 250
+	hostCount = 250
 )
 
 var hostsAllocated atomic.Uint32
 
-// newHost returns a host number whose ports in a zone nobody listens on.
+// newHost returns a host number whose ports in a zone are all free.
 func newHost(zone fabric.ZoneNumber) uint8 {
 	for range hostCount {
 		host := uint8(firstHost + (hostsAllocated.Add(1)-1)%hostCount)
@@ -41,10 +41,10 @@
 			return host
 		}
 	}
-	panic("harness: every host is taken")
+	panic("harness: no free host number left")
 }
 
-// Mesh is one store, its nodes and everything between them.
+// Mesh is one store, its nodes and the simulated network between them.
 type Mesh struct {
 	Store    *platform.Server
 	Links    *fabric.Links
@@ -62,8 +62,8 @@
 	nodes        []*Node
 }
 
-// New makes a mesh whose processes are not started yet. At the end of the test
-// everything is stopped and the rules that must always hold are checked.
+// New returns a mesh whose processes are not started yet. At the end of the test
+// everything is stopped and the invariants are checked.
 func New(t *testing.T, nodes ...NodeOptions) *Mesh {
 	t.Helper()
 	mesh := &Mesh{
@@ -102,7 +102,7 @@
 	m.storeProxies[zone] = proxy
 }
 
-// shutDown stops the processes and checks the rules.
+// shutDown stops the processes and checks the invariants.
 func (m *Mesh) shutDown() {
 	m.group.StopAll(groupStopBound)
 	m.checkCommitted()
@@ -128,8 +128,8 @@
 	m.Store.Close()
 }
 
-// checkCommitted checks that only versions which some operator saw committed
-// were ever in force.
+// checkCommitted checks that every version that was ever in force had been
+// observed as committed by some operator.
 func (m *Mesh) checkCommitted() {
 	var committed []uint64
 	for _, operator := range m.operators {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// Nodes returns the nodes of a zone, or all when it is empty.
+// Nodes returns the nodes of a zone, or all nodes when zone is empty.
 func (m *Mesh) Nodes(zone string) []*Node {
 	var selected []*Node
 	for _, node := range m.nodes {
@@ -177,7 +177,7 @@
 	}
 }
 
-// AwaitReady waits until nodes take calls.
+// AwaitReady waits until the given nodes accept calls.
 func (m *Mesh) AwaitReady(nodes ...*Node) {
 	m.t.Helper()
 	ctx, cancel := context.WithTimeout(m.t.Context(), Bound)
@@ -187,7 +187,7 @@
 	}
 }
 
-// AwaitVersion waits until nodes have a version, or a later one, in force.
+// AwaitVersion waits until the given nodes have a version, or a later one, in force.
 func (m *Mesh) AwaitVersion(version uint64, nodes ...*Node) {
 	m.t.Helper()
 	ctx, cancel := context.WithTimeout(m.t.Context(), Bound)
@@ -205,7 +205,7 @@
 	return result
 }
 
-// CutZone separates a zone from all others; the store stays reachable.
+// CutZone cuts the links between a zone and all others; the store stays reachable.
 func (m *Mesh) CutZone(zone string) {
 	for other, number := range m.zones {
 		if other != zone {
@@ -214,13 +214,13 @@
 	}
 }
 
-// CutOneWay holds back what goes from one zone to another.
+// CutOneWay blocks traffic from one zone to another, in this direction only.
 func (m *Mesh) CutOneWay(from, to string) { m.Links.CutOneWay(m.zones[from], m.zones[to]) }
 
-// CutStore separates a zone from the store; HealStore ends it.
+// CutStore cuts a zone off from the store until HealStore is called.
 func (m *Mesh) CutStore(zone string) { m.storeProxies[zone].Stop() }
 
-// HealStore ends CutStore.
+// HealStore reverses CutStore.
 func (m *Mesh) HealStore(zone string) {
 	m.t.Helper()
 	if err := m.storeProxies[zone].Start(); err != nil {
@@ -228,7 +228,7 @@
 	}
 }
 
-// Eventually waits until a condition holds.
+// Eventually waits until holds returns true; condition describes it in the failure message.
 func (m *Mesh) Eventually(condition string, holds func() bool) {
 	m.t.Helper()
 	deadline := time.After(Bound)
@@ -238,12 +238,12 @@
 		select {
 		case <-poll.C:
 		case <-deadline:
-			m.t.Fatalf("not reached: %s", condition)
+			m.t.Fatalf("condition not reached within %v: %s", Bound, condition)
 		}
 	}
 }
 
-// pollInterval is how often Eventually looks.
+// pollInterval is the interval at which Eventually checks its condition.
 const pollInterval = 10 * time.Millisecond
 
 // DialControl opens a connection to a node's control listener.
--- a/tests/integration/harness/node.go
+++ b/tests/integration/harness/node.go
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/internal/lab/worker"
 )
 
-// stopBound is how long an orderly stop may take before a test calls it hung.
+// stopBound limits how long an orderly stop may take before a test considers it hung.
 const stopBound = 40 * time.Second
 
 // NodeOptions describes one node.
@@ -20,14 +20,14 @@
 	Name    string
 	Zone    string
 	Service string
-	// Settings are further settings, by key.
+	// Settings are additional settings of the process, by key.
 	Settings map[string]string
 }
 
-// Node is one place for a process; the process may be started many times.
+// Node is one node of the mesh. Its process may be started many times.
 type Node struct {
 	NodeOptions
-	// Control and Calls are the ways by which other nodes reach it.
+	// Control and Calls are the endpoints through which other nodes reach it.
 	Control *Endpoint
 	Calls   *Endpoint
 	// Worker is the stand-in beside the node; nil without a service.
@@ -64,7 +64,7 @@
 	return started
 }
 
-// Start starts the process and opens its doors. It does not wait for readiness.
+// Start starts the process and opens its endpoints. It does not wait for readiness.
 func (n *Node) Start() {
 	n.mesh.t.Helper()
 	for _, door := range []*Endpoint{n.Control, n.Calls} {
@@ -110,14 +110,14 @@
 	return arguments
 }
 
-// Kill ends the process at once, as a crash does. Connections to it break and
-// new ones are refused.
+// Kill ends the process at once, as a crash does. Open connections to it break
+// and new ones are refused.
 func (n *Node) Kill() {
 	n.running.Kill()
 	n.markStopped()
 }
 
-// Terminate asks for a planned stop and does not wait.
+// Terminate requests a planned stop and does not wait for it.
 func (n *Node) Terminate() { n.running.Signal(syscall.SIGTERM) }
 
 // AwaitExit waits for the process to end by itself and returns its exit code.
@@ -126,16 +126,16 @@
 	select {
 	case <-n.running.Done():
 	case <-time.After(stopBound):
-		n.mesh.t.Fatalf("%s did not end", n.Name)
+		n.mesh.t.Fatalf("process of %s did not exit within %v", n.Name, stopBound)
 	}
 	n.markStopped()
 	return n.running.ExitCode()
 }
 
-// Pause stops the process in its tracks; Resume lets it go on.
+// Pause suspends the process; Resume continues it.
 func (n *Node) Pause() { n.running.Signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (n *Node) Resume() { n.running.Signal(syscall.SIGCONT) }
 
 func (n *Node) markStopped() {
@@ -144,7 +144,7 @@
 	n.mesh.Recorder.Gone(n.Name)
 }
 
-// Usage returns what the running process has used.
+// Usage returns the resource usage of the running process.
 func (n *Node) Usage() process.Usage {
 	n.mesh.t.Helper()
 	usage, err := n.running.Usage()
@@ -162,10 +162,10 @@
 	return role.Role
 }
 
-// CallerAddress returns where the process that started last takes calls of callers.
+// CallerAddress returns the address at which the most recently started process accepts calls from callers.
 func (n *Node) CallerAddress() string { return n.listening().CallerAddress }
 
-// AdminAddress returns where it answers for administration.
+// AdminAddress returns the address of its administration listener.
 func (n *Node) AdminAddress() string { return n.listening().AdminAddress }
 
 func (n *Node) listening() observe.Event {
--- a/tests/integration/harness/operator.go
+++ b/tests/integration/harness/operator.go
@@ -19,7 +19,7 @@
 const resolveInterval = 50 * time.Millisecond
 
 // Operator applies file sets to the store, as the command line does. Its methods
-// may be called from several goroutines.
+// are safe for concurrent use.
 type Operator struct {
 	name     string
 	t        *testing.T
@@ -31,7 +31,7 @@
 	committed []uint64
 }
 
-// NewOperator returns an operator beside the others.
+// NewOperator adds an operator to the mesh and returns it.
 func (m *Mesh) NewOperator(name string) *Operator {
 	client := consul.New(consul.Config{Address: "http://" + m.storeAddress, Client: name})
 	operator := &Operator{
@@ -43,13 +43,13 @@
 }
 
 // Propose writes a set as the next version and returns the apply's identifier
-// and the version; it fails as versionstore.Propose does.
+// and the version. It returns the errors of versionstore.Propose.
 func (o *Operator) Propose(base uint64, resources []model.Resource) (apply string, version uint64, err error) {
 	return o.propose(versionstore.ProposeRequest{Base: base, Resources: resources})
 }
 
-// ProposeAfterRestore is Propose when the store was restored from an older copy
-// and the nodes hold the given head.
+// ProposeAfterRestore is like Propose, for a store that was restored from an
+// older copy while the nodes hold the given head.
 func (o *Operator) ProposeAfterRestore(known rollout.Head, resources []model.Resource) (apply string, version uint64, err error) {
 	return o.propose(versionstore.ProposeRequest{Base: known.Committed, Resources: resources, KnownHead: &known})
 }
@@ -63,7 +63,7 @@
 	return request.ApplyID, result.Version, err
 }
 
-// Outcome waits until an apply is decided and returns what became of it.
+// Outcome waits until an apply is committed or aborted and returns its state.
 func (o *Operator) Outcome(apply string) versionstore.ApplyState {
 	o.t.Helper()
 	state, done := o.await(apply, Bound, func(phase versionstore.ApplyPhase) bool {
@@ -75,8 +75,8 @@
 	return state
 }
 
-// AwaitSettled is Outcome for an apply whose proposal may have failed, so that it may
-// not have been written.
+// AwaitSettled is like Outcome, for an apply whose proposal may have failed and so
+// may never have been written.
 func (o *Operator) AwaitSettled(apply string) {
 	o.t.Helper()
 	if !o.AwaitSettledWithin(apply, Bound) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// AwaitSettledWithin is Settled with a bound; it returns false when that went by.
+// AwaitSettledWithin is AwaitSettled with a bound; it returns false if the bound passed first.
 func (o *Operator) AwaitSettledWithin(apply string, bound time.Duration) bool {
 	_, done := o.await(apply, bound, func(phase versionstore.ApplyPhase) bool {
 		return phase != versionstore.ApplyProposed
@@ -118,12 +118,12 @@
 	}
 }
 
-// RecordCommitted adds a version that was applied in another way.
+// RecordCommitted records a committed version that was not applied through this operator.
 func (o *Operator) RecordCommitted(version uint64) {
 	o.recordDecision(versionstore.ApplyState{Phase: versionstore.ApplyCommitted, Version: version})
 }
 
-// LastCommitted returns the highest version that this operator saw committed.
+// LastCommitted returns the highest version that this operator observed as committed.
 func (o *Operator) LastCommitted() uint64 {
 	var highest uint64
 	for _, version := range o.committedVersions() {
@@ -132,14 +132,14 @@
 	return highest
 }
 
-// committedVersions returns the versions that this operator saw committed.
+// committedVersions returns the versions that this operator observed as committed.
 func (o *Operator) committedVersions() []uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return slices.Clone(o.committed)
 }
 
-// Apply proposes on top of the committed version and expects a commit.
+// Apply proposes a set based on the committed version and requires that it is committed.
 func (o *Operator) Apply(resources []model.Resource) uint64 {
 	o.t.Helper()
 	apply, _, err := o.Propose(o.Head().Committed, resources)
@@ -149,7 +149,7 @@
 	return o.ExpectCommit(apply)
 }
 
-// ExpectCommit waits for an apply and returns its version.
+// ExpectCommit waits until an apply is decided, requires that it is committed, and returns its version.
 func (o *Operator) ExpectCommit(apply string) uint64 {
 	o.t.Helper()
 	state := o.Outcome(apply)
@@ -159,7 +159,7 @@
 	return state.Version
 }
 
-// Head returns the store's head.
+// Head returns the head record of the store.
 func (o *Operator) Head() rollout.Head {
 	o.t.Helper()
 	head, _, err := o.versions.ReadHead(o.t.Context(), true)
@@ -169,7 +169,7 @@
 	return head
 }
 
-// Overwrite replaces the value of one key of the store, as a fault would.
+// Overwrite replaces the value of one key in the store, to simulate corruption.
 func (o *Operator) Overwrite(key, value string) {
 	o.t.Helper()
 	err := o.client.Transact(o.t.Context(), []store.Operation{{Verb: store.VerbSet, Key: key, Value: []byte(value)}})
--- a/tests/integration/harness/programs.go
+++ b/tests/integration/harness/programs.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// programs is the directory with the programs under test.
+// programs is the directory of the binaries under test.
 var programs string
 
 // Main builds the programs once, runs the tests and returns the exit code.
@@ -27,21 +27,21 @@
 	return m.Run()
 }
 
-// Command is what one run of the operators' command line gave.
+// Command is the result of one run of the operators' command line.
 type Command struct {
 	ExitCode int
 	Output   string
 }
 
-// Levertide runs the operators' command line to its end. An interrupted one has
-// exit code -1.
+// Levertide runs the operators' command line and waits for it to exit. An
+// interrupted run has exit code -1.
 func Levertide(ctx context.Context, arguments ...string) Command {
 	command := exec.CommandContext(ctx, program("levertide"), arguments...)
 	output, _ := command.CombinedOutput()
 	return Command{ExitCode: command.ProcessState.ExitCode(), Output: string(output)}
 }
 
-// StoreAddress returns where operators reach the store.
+// StoreAddress returns the address at which operators reach the store.
 func (m *Mesh) StoreAddress() string { return m.storeAddress }
 
 func program(name string) string { return filepath.Join(programs, name) }
