--- a/internal/sim/call_oracle.go
+++ b/internal/sim/call_oracle.go
@@ -9,14 +9,14 @@
 
 const leavingState = membership.StateLeaving
 
-// observeExecution is told that a worker begins to run a request.
+// observeExecution checks and records that a worker begins to run a request.
 func (o *oracle) observeExecution(r *request, s *serving) {
 	r.executions++
 	id := s.agent.node.id
 	if r.executions > 1 && !r.repeatable {
 		o.violate(InvariantOnce, id, fmt.Sprintf("request %d ran %d times", r.id, r.executions))
 	}
-	if r.told == outcome.NotRun {
+	if r.reported == outcome.NotRun {
 		o.violate(InvariantNotRun, id, fmt.Sprintf("request %d ran after its caller was told that it did not", r.id))
 	}
 	if s.leaving && o.world.scheduler.now-s.leavingSince > leavingGrace {
@@ -24,14 +24,14 @@
 	}
 }
 
-// observeOutcome is told what a caller was told.
-func (o *oracle) observeOutcome(r *request, told outcome.Outcome, body string) {
+// observeOutcome checks and records the outcome that a caller was given.
+func (o *oracle) observeOutcome(r *request, reported outcome.Outcome, body string) {
 	subject := fmt.Sprint("request ", r.id)
 	if r.ended {
 		o.violate(InvariantEnds, subject, "ended twice")
 	}
-	r.ended, r.told = true, told
-	switch told {
+	r.ended, r.reported = true, reported
+	switch reported {
 	case outcome.Answered:
 		o.summary.Answered++
 	case outcome.NotRun:
@@ -39,26 +39,27 @@
 	case outcome.Unknown:
 		o.summary.Unknown++
 	}
-	if told == outcome.NotRun && r.executions > 0 {
+	if reported == outcome.NotRun && r.executions > 0 {
 		o.violate(InvariantNotRun, subject, "it ran")
 	}
-	if told == outcome.Answered && (body != bodyOf(r.id) || r.executions == 0) {
+	if reported == outcome.Answered && (body != bodyOf(r.id) || r.executions == 0) {
 		o.violate(InvariantOwnAnswer, subject, fmt.Sprintf("got %q after %d executions", body, r.executions))
 	}
 }
 
-// observeArrival is told that a request reached a worker's node. Once a node
-// has been leaving for some seconds, and nothing kept that news from the
-// sender, none should come.
+// observeArrival checks a request that has reached a worker's node. None should
+// come once the node has been leaving for longer than leavingGrace, unless a
+// recent fault may have kept the sender from learning of it.
 func (o *oracle) observeArrival(s *serving, entry *agent) {
 	now := o.world.scheduler.now
-	if !s.leaving || now-s.leavingSince <= leavingGrace || now-o.world.faults.lastAt < undisturbedBefore {
+	if !s.leaving || now-s.leavingSince <= leavingGrace || now-o.world.faults.lastInjectedAt < undisturbedBefore {
 		return
 	}
 	o.violate(InvariantLeaving, s.agent.node.id, "still sent requests by "+entry.node.id)
 }
 
-// observePlannedStop is told that a node's process ends as planned.
+// observePlannedStop checks that a planned stop of a node's process cuts off no
+// request.
 func (o *oracle) observePlannedStop(s *serving) {
 	if s.executing > 0 || s.forwarding > 0 {
 		o.violate(InvariantPlannedStop, s.agent.node.id, fmt.Sprintf("%d executing, %d forwarding", s.executing, s.forwarding))
--- a/internal/sim/node_floor.go
+++ b/internal/sim/node_floor.go
@@ -9,23 +9,25 @@
 	"github.com/levertide/levertide/pkg/topology"
 )
 
-// Times of the search for the floor.
+// Times of the search for the floor: a round is repeated after floorRound, and the
+// decision waits at most floorWaitLimit for answers.
 const (
-	floorRound    = 2 * time.Second
-	floorPatience = 600 * time.Millisecond
+	floorRound     = 2 * time.Second
+	floorWaitLimit = 600 * time.Millisecond
 )
 
-// floorSearch is a started node's search for the lowest version it may run.
+// floorSearch is the search of a node that has just started for the lowest version
+// that it may run.
 type floorSearch struct {
-	round   uint64
-	since   time.Duration
-	asked   int
-	answers []rollout.FloorAnswer
-	quorum  rollout.FloorQuorum
-	running bool
+	round     uint64
+	since     time.Duration
+	requested int
+	answers   []rollout.FloorAnswer
+	quorum    rollout.FloorQuorum
+	running   bool
 }
 
-// searchFloor asks the store and other nodes until the floor is known.
+// searchFloor queries the store and other nodes until the floor is known.
 func (a *agent) searchFloor() {
 	if a.participant.State().FloorKnown {
 		return
@@ -39,7 +41,7 @@
 		a.startFloorRound()
 		return
 	}
-	if now-a.floor.since >= floorPatience || len(a.floor.answers) == a.floor.asked {
+	if now-a.floor.since >= floorWaitLimit || len(a.floor.answers) == a.floor.requested {
 		a.decideFloor()
 	}
 }
@@ -52,36 +54,36 @@
 			a.floor.answers = append(a.floor.answers, answer)
 		}
 	}
-	a.floor.asked++
+	a.floor.requested++
 	a.confirmFloor(0, take)
-	a.floor.quorum.ZoneMembers, a.floor.quorum.Zones = a.countFor(a.node)
+	a.floor.quorum.ZoneMembers, a.floor.quorum.Zones = a.countOtherMembers(a.node)
 	for record := range a.table.View().All() {
 		if record.Zone == a.node.zone && record.ID != a.node.id {
-			a.askFloor(a.world.byID[record.ID], take)
+			a.requestFloor(a.world.byID[record.ID], take)
 		}
 	}
 	for _, relay := range a.relaysElsewhere() {
-		a.askFloor(a.world.byID[relay.ID], take)
+		a.requestFloor(a.world.byID[relay.ID], take)
 	}
 }
 
-// countFor counts the other members of a node's zone, and the other zones, that
-// this node knows of, lost members included.
-func (a *agent) countFor(asking *node) (members, zones int) {
+// countOtherMembers counts the members of the requester's zone without itself, and
+// the other zones, as far as this node knows of them, lost members included.
+func (a *agent) countOtherMembers(requester *node) (members, zones int) {
 	seen := make(map[string]bool)
 	for record := range a.table.View().All() {
 		switch {
-		case record.Zone != asking.zone:
+		case record.Zone != requester.zone:
 			seen[record.Zone] = true
-		case record.ID != asking.id:
+		case record.ID != requester.id:
 			members++
 		}
 	}
 	return members, len(seen)
 }
 
-// relaysElsewhere lists one node of each other zone: its relay, or any if all
-// of its members are taken to be lost.
+// relaysElsewhere lists one node of each other zone: its relay, or any of its
+// members if all of them are recorded as lost.
 func (a *agent) relaysElsewhere() []topology.Peer {
 	var relays []topology.Peer
 	for _, zone := range a.world.zones {
@@ -105,9 +107,9 @@
 	return relays
 }
 
-// askFloor asks a node for what it knows itself.
-func (a *agent) askFloor(peer *node, take func(rollout.FloorAnswer)) {
-	a.floor.asked++
+// requestFloor requests the answer of another node.
+func (a *agent) requestFloor(peer *node, take func(rollout.FloorAnswer)) {
+	a.floor.requested++
 	a.world.network.call(a.node, peer, "floor", callTimeout,
 		func(answer func(any)) { answer(peer.agent.ownFloor(a.node)) },
 		func(reply any, err error) {
@@ -121,9 +123,9 @@
 		})
 }
 
-// ownFloor is what this node knows without the store, and of the zone of the
-// node that asks.
-func (a *agent) ownFloor(asking *node) rollout.FloorAnswer {
+// ownFloor is what this node knows about the floor without reading the store, with
+// its counts of members for the zone of the requester.
+func (a *agent) ownFloor(requester *node) rollout.FloorAnswer {
 	state := a.participant.State()
 	below := a.readiness()
 	answer := rollout.FloorAnswer{
@@ -131,17 +133,19 @@
 		Committed: max(state.Head.Committed, state.Floor, below.Committed, a.reported.committed),
 		Staged:    max(state.Head.Proposed, below.Proposed, a.reported.proposed),
 	}
-	answer.ZoneMembers, answer.Zones = a.countFor(asking)
+	answer.ZoneMembers, answer.Zones = a.countOtherMembers(requester)
 	if state.InForce != nil {
 		answer.Committed = max(answer.Committed, state.InForce.Version())
 	}
 	return answer
 }
 
-// maximumForwards bounds how often the question is passed up the tree.
+// maximumForwards bounds how often a request to confirm the floor is forwarded up
+// the tree.
 const maximumForwards = 8
 
-// confirmFloor has the store read after this moment, here or by a node above.
+// confirmFloor reads the committed version from the store, here if this node holds
+// a lease, or else at a node further up the tree. The read begins after the call.
 func (a *agent) confirmFloor(forwards int, take func(rollout.FloorAnswer)) {
 	switch {
 	case a.reader.holdsLease():
@@ -176,7 +180,7 @@
 	if !decision.Decided {
 		return
 	}
-	a.world.log("%s has answers %+v to %+v", a.node.id, a.floor.answers, a.floor.quorum)
+	a.world.log("%s decides its floor by answers %+v and quorum %+v", a.node.id, a.floor.answers, a.floor.quorum)
 	a.world.oracle.observeFloor(a, decision.Floor)
 	a.act(a.participant.LearnFloor(decision.Floor))
 }
--- a/internal/sim/node_watch.go
+++ b/internal/sim/node_watch.go
@@ -14,14 +14,14 @@
 // upstream is a node's relation to its parent.
 type upstream struct {
 	parent *node
-	// parentIncarnation and cursor name a place in the parent's table.
+	// parentIncarnation and cursor name a position in the parent's table.
 	parentIncarnation uint64
 	cursor            uint64
-	// attached is the attachment number under which the parent was taken.
+	// attached is the attachment number under which the node attached to the parent.
 	attached uint64
 	path     []string
 	watching bool
-	// generation tells the answers of this parent from those of a former one.
+	// generation distinguishes the answers of this parent from those of a previous one.
 	generation     uint64
 	reportSequence uint64
 	reported       uint64
@@ -42,16 +42,16 @@
 }
 
 type watchRequest struct {
-	self       membership.Record
-	scope      snapshot.Scope
-	generation uint64
-	held       []heldVersion
-	wants      []rollout.Version
-	relay      uint64
-	cursor     uint64
+	self              membership.Record
+	scope             snapshot.Scope
+	generation        uint64
+	held              []heldVersion
+	requested         []rollout.Version
+	parentIncarnation uint64
+	cursor            uint64
 }
 
-// encodedDelta is a delta as it crosses the network.
+// encodedDelta is a delta as it is sent over the network.
 type encodedDelta struct {
 	header  snapshot.Delta
 	payload []byte
@@ -68,25 +68,25 @@
 	reads       bool
 }
 
-// keepWatching takes a parent if there is none, and watches it.
-func (a *agent) keepWatching() {
+// maintainWatch chooses a parent if there is none, and watches it.
+func (a *agent) maintainWatch() {
 	if a.upstream.parent != nil && !a.isParent(a.upstream.parent.id) {
 		a.upstream.drop()
 	}
 	if a.upstream.parent == nil {
-		a.takeParent()
+		a.chooseParent()
 	}
 	if a.upstream.parent != nil && !a.upstream.watching {
 		a.watch()
 	}
 }
 
-// isParent reports whether the plan still lists a node near its top.
+// isParent reports whether the plan still lists a node as a possible parent.
 func (a *agent) isParent(id string) bool {
 	return slices.ContainsFunc(a.plan.Parents, func(peer topology.Peer) bool { return peer.ID == id })
 }
 
-func (a *agent) takeParent() {
+func (a *agent) chooseParent() {
 	if len(a.plan.Parents) == 0 {
 		return
 	}
@@ -102,8 +102,8 @@
 	state := a.participant.State()
 	request := watchRequest{
 		self: a.self, scope: a.scope(), generation: state.Head.Generation,
-		held: a.held(state), wants: a.missing(),
-		relay: a.upstream.parentIncarnation, cursor: a.upstream.cursor,
+		held: a.held(state), requested: a.missing(),
+		parentIncarnation: a.upstream.parentIncarnation, cursor: a.upstream.cursor,
 	}
 	generation := a.upstream.generation
 	a.upstream.watching = true
@@ -118,7 +118,7 @@
 				a.parentFailed(parent)
 				return
 			}
-			a.takeReply(parent, request, reply.(watchReply))
+			a.handleReply(parent, request, reply.(watchReply))
 		})
 }
 
@@ -140,10 +140,11 @@
 	}
 	a.upstream.drop()
 	a.replan()
-	a.keepWatching()
+	a.maintainWatch()
 }
 
-// checkUnreachable reports a former parent as lost that has not attached again.
+// checkUnreachable records a former parent as lost that has not attached again
+// within suspectFor.
 func (a *agent) checkUnreachable() {
 	for _, id := range sortedKeys(a.unreachable) {
 		missing := a.unreachable[id]
@@ -160,8 +161,10 @@
 	}
 }
 
-// takeReply takes in what the parent answered and watches on.
-func (a *agent) takeReply(parent *node, request watchRequest, reply watchReply) {
+// handleReply processes an answer of the parent and watches again. It leaves the
+// parent when the path shows a loop through this node, or when the parent must be a
+// reader and is none.
+func (a *agent) handleReply(parent *node, request watchRequest, reply watchReply) {
 	inLoop := slices.Contains(reply.path, a.node.id)
 	notReader := a.plan.MustBeReader(parent.id) && !reply.reads
 	if inLoop || notReader {
@@ -174,7 +177,7 @@
 	a.upstream.parentIncarnation, a.upstream.cursor = reply.incarnation, reply.cursor
 	generation := a.upstream.generation
 	a.learn(reply.members)
-	for _, version := range request.wants {
+	for _, version := range request.requested {
 		if !slices.ContainsFunc(reply.deltas, func(d encodedDelta) bool { return d.header.Target == version }) {
 			a.participant.FetchFailed(version)
 		}
@@ -183,7 +186,7 @@
 		a.observeHead(reply.head)
 	}
 	for _, delta := range reply.deltas {
-		a.takeDelta(delta, request.scope)
+		a.applyDelta(delta, request.scope)
 	}
 	if a.upstream.generation == generation && a.upstream.parent == parent {
 		a.process.after(inZoneDelay, "watch again", a.watchAgain)
@@ -196,7 +199,7 @@
 	}
 }
 
-func (a *agent) takeDelta(message encodedDelta, scope snapshot.Scope) {
+func (a *agent) applyDelta(message encodedDelta, scope snapshot.Scope) {
 	delta, err := snapshot.DecodeDelta(message.header, message.payload)
 	if err != nil {
 		a.world.oracle.violate(InvariantDelta, a.node.id, err.Error())
@@ -210,7 +213,8 @@
 	a.receive(received, scope.All)
 }
 
-// base returns the snapshot that a delta starts from, if it is still held.
+// base returns the snapshot that a delta starts from if it is still held, and the
+// empty snapshot otherwise.
 func (a *agent) base(delta snapshot.Delta) *snapshot.Snapshot {
 	state := a.participant.State()
 	for _, s := range []*snapshot.Snapshot{state.InForce, state.Staged} {
@@ -221,14 +225,14 @@
 	return snapshot.Empty()
 }
 
-// child is a node that has this one as parent.
+// child is a node that has attached to this one.
 type child struct {
 	incarnation    uint64
 	attachment     uint64
 	heardAt        time.Duration
 	reportSequence uint64
 	readiness      rollout.Readiness
-	// parked is a watch that waits for news; nil when there is none.
+	// parked is a watch that waits for updates; nil when there is none.
 	parked *parkedWatch
 }
 
@@ -238,7 +242,8 @@
 	until   time.Duration
 }
 
-// serveWatch answers a child at once if there is news, or later.
+// serveWatch answers the watch of a child at once if there are updates, and
+// otherwise parks it until there are, for at most watchHold.
 func (a *agent) serveWatch(request watchRequest, answer func(any)) {
 	a.learn([]membership.Record{request.self})
 	known := a.children[request.self.ID]
@@ -252,19 +257,19 @@
 	a.answerParked(known, false)
 }
 
-// wakeChildren answers the watches for which there is news now.
+// wakeChildren answers the parked watches for which there are updates now.
 func (a *agent) wakeChildren() {
 	for _, id := range sortedKeys(a.children) {
 		a.answerParked(a.children[id], false)
 	}
 }
 
-func (a *agent) answerParked(c *child, always bool) {
+func (a *agent) answerParked(c *child, evenWithoutUpdates bool) {
 	if c.parked == nil {
 		return
 	}
-	reply, news := a.replyTo(c.parked.request)
-	if !news && !always {
+	reply, hasUpdates := a.replyTo(c.parked.request)
+	if !hasUpdates && !evenWithoutUpdates {
 		return
 	}
 	answer := c.parked.answer
@@ -272,10 +277,10 @@
 	answer(reply)
 }
 
-func (a *agent) replyTo(request watchRequest) (reply watchReply, news bool) {
+func (a *agent) replyTo(request watchRequest) (reply watchReply, hasUpdates bool) {
 	state := a.participant.State()
 	cursor := request.cursor
-	if request.relay != a.node.incarnation {
+	if request.parentIncarnation != a.node.incarnation {
 		cursor = 0
 	}
 	reply = watchReply{
@@ -283,16 +288,17 @@
 		path: append([]string{a.node.id}, a.upstream.path...), reads: a.reader.holdsLease(),
 	}
 	reply.members, reply.cursor = a.table.Since(cursor)
-	for _, version := range request.wants {
+	for _, version := range request.requested {
 		if delta, found := a.deltaFor(request, version); found {
 			reply.deltas = append(reply.deltas, delta)
 		}
 	}
-	news = len(reply.members) > 0 || len(reply.deltas) > 0 || state.Head.Generation > request.generation
-	return reply, news
+	hasUpdates = len(reply.members) > 0 || len(reply.deltas) > 0 || state.Head.Generation > request.generation
+	return reply, hasUpdates
 }
 
-// deltaFor encodes the difference from what a child holds to a version.
+// deltaFor encodes the difference between a snapshot that a child holds and the
+// given version.
 func (a *agent) deltaFor(request watchRequest, version rollout.Version) (encodedDelta, bool) {
 	target, found := a.history.Get(version)
 	if !found {
@@ -300,11 +306,11 @@
 	}
 	base := snapshot.Empty()
 	for _, held := range request.held {
-		whole, known := a.history.Get(held.version)
+		complete, known := a.history.Get(held.version)
 		if !known {
 			continue
 		}
-		if restricted := whole.Restrict(request.scope); restricted.Digest() == held.digest {
+		if restricted := complete.Restrict(request.scope); restricted.Digest() == held.digest {
 			base = restricted
 		}
 	}
