--- a/tests/integration/harness/endpoint_test.go
+++ b/tests/integration/harness/endpoint_test.go
@@ -8,10 +8,10 @@
 	"github.com/levertide/levertide/internal/lab/fabric"
 )
 
-// TestEndpointWaitsUntilAddressIsFree guards against an endpoint failing to open
+// TestDoorWaitsForItsAddress guards against an endpoint failing to open
 // because another listener holds its address briefly, as a process that is just
 // being started does.
-func TestEndpointWaitsUntilAddressIsFree(t *testing.T) {
+func TestDoorWaitsForItsAddress(t *testing.T) {
 	const zone = fabric.ZoneNumber(90)
 	host := newHost(zone)
 	address := fabric.HostPort(zone, host, portBase+2)
