--- a/tests/integration/harness/endpoint_test.go
+++ b/tests/integration/harness/endpoint_test.go
@@ -20,9 +20,9 @@
 		t.Fatal(err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { _ = held.Close() })
-	door, err := newEndpoint(newProxies(), fabric.NewLinks(0), zone, host, 0)
+	endpoint, err := newEndpoint(newProxies(), fabric.NewLinks(0), zone, host, 0)
 	if err != nil {
 		t.Fatalf("the endpoint did not wait for its address: %v", err)
 	}
-	door.close()
+	endpoint.close()
 }
--- a/tests/integration/harness/node.go
+++ b/tests/integration/harness/node.go
@@ -67,8 +67,8 @@
 // Start starts the process and opens its endpoints. It does not wait for readiness.
 func (n *Node) Start() {
 	n.mesh.t.Helper()
-	for _, door := range []*Endpoint{n.Control, n.Calls} {
-		if err := door.open(); err != nil {
+	for _, endpoint := range []*Endpoint{n.Control, n.Calls} {
+		if err := endpoint.open(); err != nil {
 			n.mesh.t.Fatal(err)
 		}
 	}
--- a/tests/integration/tls_test.go
+++ b/tests/integration/tls_test.go
@@ -69,8 +69,8 @@
 		get(t, mesh, node, 1)
 	}
 	for name, client := range unauthorizedClients(t, authority) {
-		for _, door := range []*harness.Endpoint{targetNode(mesh).Control, targetNode(mesh).Calls} {
-			if acceptedBy(door.Address, client) {
+		for _, endpoint := range []*harness.Endpoint{targetNode(mesh).Control, targetNode(mesh).Calls} {
+			if acceptedBy(endpoint.Address, client) {
 				t.Errorf("%s was accepted", name)
 			}
 		}
