--- a/tests/integration/admin_test.go
+++ b/tests/integration/admin_test.go
@@ -14,8 +14,8 @@
 	"github.com/levertide/levertide/tests/integration/harness"
 )
 
-// ask returns the status and the body of an administration request.
-func ask(t *testing.T, node *harness.Node, path string) (int, string) {
+// getAdmin sends a request to the administration listener and returns the status and the body.
+func getAdmin(t *testing.T, node *harness.Node, path string) (int, string) {
 	t.Helper()
 	response, err := http.Get("http://" + node.AdminAddress() + path)
 	if err != nil {
@@ -35,19 +35,19 @@
 	mesh.Store.SetFaults(platform.Faults{Outage: platform.OutageRefuse})
 	mesh.StartAll()
 	node := mesh.Node("a-gateway")
-	if status, _ := ask(t, node, "/healthz"); status != http.StatusOK {
+	if status, _ := getAdmin(t, node, "/healthz"); status != http.StatusOK {
 		t.Errorf("/healthz: %d", status)
 	}
-	if status, reason := ask(t, node, "/readyz"); status != http.StatusServiceUnavailable || strings.TrimSpace(reason) == "" {
+	if status, reason := getAdmin(t, node, "/readyz"); status != http.StatusServiceUnavailable || strings.TrimSpace(reason) == "" {
 		t.Errorf("/readyz before a floor is known: %d %q", status, reason)
 	}
 	mesh.Store.SetFaults(platform.Faults{})
 	version := mesh.Operator.Apply(resources(1))
 	mesh.AwaitReady(mesh.Nodes("")...)
-	if status, _ := ask(t, node, "/readyz"); status != http.StatusOK {
+	if status, _ := getAdmin(t, node, "/readyz"); status != http.StatusOK {
 		t.Errorf("/readyz when ready: %d", status)
 	}
-	_, body := ask(t, node, "/v1/status")
+	_, body := getAdmin(t, node, "/v1/status")
 	var status struct {
 		Node           string
 		Ready          bool
@@ -60,8 +60,8 @@
 	if status.Node != node.Name || !status.Ready || status.VersionInForce != version || status.System.Head.Committed == "" {
 		t.Errorf("status %+v from %s", status, body)
 	}
-	if _, metrics := ask(t, node, "/metrics"); !strings.Contains(metrics, "levertide_version_in_force 1") {
-		t.Error("no version among the metrics")
+	if _, metrics := getAdmin(t, node, "/metrics"); !strings.Contains(metrics, "levertide_version_in_force 1") {
+		t.Error("/metrics: levertide_version_in_force 1 is missing")
 	}
 }
 
@@ -71,16 +71,16 @@
 	shown := strings.Join(mesh.Events.Lines(), "\n")
 	for _, node := range mesh.Nodes("") {
 		for _, path := range []string{"/metrics", "/v1/status", "/readyz"} {
-			_, body := ask(t, node, path)
+			_, body := getAdmin(t, node, path)
 			shown += body
 		}
 	}
 	if strings.Contains(shown, "value-1") {
-		t.Error("the value of a secret is shown")
+		t.Error("the value of a secret appears in event lines or administration answers")
 	}
 }
 
-// writeSet writes a file set that differs by its path and returns its directory.
+// writeSet writes a file set whose route has the given path prefix and returns its directory.
 func writeSet(t *testing.T, route string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -122,7 +122,7 @@
 		t.Errorf("exit codes %v", counts)
 	}
 	mesh.AwaitVersion(first+1, mesh.Nodes("")...)
-	mesh.Operator.NoteCommitted(first + 1)
+	mesh.Operator.RecordCommitted(first + 1)
 	status := harness.Levertide(t.Context(), "status", "--node", mesh.Node("a-gateway").Control.Address)
 	if status.ExitCode != int(exit.Accepted) {
 		t.Errorf("status: %+v", status)
--- a/tests/integration/harness/door_test.go
+++ b/tests/integration/harness/endpoint_test.go
@@ -8,8 +8,9 @@
 	"github.com/levertide/levertide/internal/lab/fabric"
 )
 
-// TestDoorWaitsForItsAddress has another listener hold the address of a door for a
-// moment, as a process does that is just being started.
+// TestDoorWaitsForItsAddress guards against an endpoint failing to open
+// because another listener holds its address briefly, as a process that is just
+// being started does.
 func TestDoorWaitsForItsAddress(t *testing.T) {
 	const zone = fabric.ZoneNumber(90)
 	host := newHost(zone)
@@ -19,9 +20,9 @@
 		t.Fatal(err)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { _ = held.Close() })
-	door, err := newDoor(newProxies(), fabric.NewLinks(0), zone, host, 0)
+	endpoint, err := newEndpoint(newProxies(), fabric.NewLinks(0), zone, host, 0)
 	if err != nil {
-		t.Fatalf("the door did not wait: %v", err)
+		t.Fatalf("the endpoint did not wait for its address: %v", err)
 	}
-	door.close()
+	endpoint.close()
 }
--- a/tests/integration/harness/events.go
+++ b/tests/integration/harness/events.go
@@ -9,21 +9,21 @@
 	"github.com/levertide/levertide/internal/lab/observe"
 )
 
-// Bound is how long a test waits for something that must happen. It is far
-// above what is usual, for busy machines.
+// Bound limits how long a test waits for something that must happen. It is far
+// above the usual time, to allow for busy machines.
 const Bound = 60 * time.Second
 
-// nodeEvent is one event line and the place that it came from.
+// nodeEvent is one event line and the name of the node that wrote it.
 type nodeEvent struct {
 	node  string
 	event observe.Event
 }
 
-// Events keeps every event line of every node in the order of arrival.
+// Events records every event line of every node in order of arrival.
 type Events struct {
 	t       *testing.T
 	mutex   sync.Mutex
-	kept    []nodeEvent
+	records []nodeEvent
 	raw     []string
 	changed chan struct{}
 }
@@ -35,28 +35,28 @@
 	defer e.mutex.Unlock()
 	e.raw = append(e.raw, node+" "+string(line))
 	if event, ok := observe.ParseEvent(line); ok {
-		e.kept = append(e.kept, nodeEvent{node: node, event: event})
+		e.records = append(e.records, nodeEvent{node: node, event: event})
 	}
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// Mark returns a place in the sequence of events, to look only at later ones.
+// Mark returns the current position in the sequence of events; see AwaitAfter and Count.
 func (e *Events) Mark() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return len(e.kept)
+	return len(e.records)
 }
 
-// Await returns the last matching event of a node (of any node when it is
-// empty), and waits for it if there is none yet.
-func (e *Events) Await(node, what string, matches func(observe.Event) bool) observe.Event {
+// Await returns the last matching event of a node, or of any node when node is
+// empty. It waits if there is none yet.
+func (e *Events) Await(node, description string, matches func(observe.Event) bool) observe.Event {
 	e.t.Helper()
-	return e.AwaitAfter(0, node, what, matches)
+	return e.AwaitAfter(0, node, description, matches)
 }
 
-// AwaitAfter is Await for events after a mark.
-func (e *Events) AwaitAfter(mark int, node, what string, matches func(observe.Event) bool) observe.Event {
+// AwaitAfter is like Await but considers only events after a mark.
+func (e *Events) AwaitAfter(mark int, node, description string, matches func(observe.Event) bool) observe.Event {
 	e.t.Helper()
 	deadline := time.After(Bound)
 	for {
@@ -67,7 +67,7 @@
 		select {
 		case <-changed:
 		case <-deadline:
-			e.t.Fatalf("%s: no event: %s", node, what)
+			e.t.Fatalf("%s: no event: %s", node, description)
 		}
 	}
 }
@@ -75,10 +75,10 @@
 func (e *Events) last(mark int, node string, matches func(observe.Event) bool) (observe.Event, bool, <-chan struct{}) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	for index := len(e.kept) - 1; index >= mark; index-- {
-		kept := e.kept[index]
-		if (node == "" || kept.node == node) && matches(kept.event) {
-			return kept.event, true, nil
+	for index := len(e.records) - 1; index >= mark; index-- {
+		record := e.records[index]
+		if (node == "" || record.node == node) && matches(record.event) {
+			return record.event, true, nil
 		}
 	}
 	return observe.Event{}, false, e.changed
@@ -89,8 +89,8 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	count := 0
-	for _, kept := range e.kept[mark:] {
-		if matches(kept.event) {
+	for _, record := range e.records[mark:] {
+		if matches(record.event) {
 			count++
 		}
 	}
@@ -104,8 +104,8 @@
 	return slices.Clone(e.raw)
 }
 
-// print shows every line, for tests that failed.
-func (e *Events) print() {
+// logAll logs every line, for tests that failed.
+func (e *Events) logAll() {
 	for _, line := range e.Lines() {
 		e.t.Log(line)
 	}
--- a/tests/integration/harness/node.go
+++ b/tests/integration/harness/node.go
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/internal/lab/worker"
 )
 
-// stopBound is how long an orderly stop may take before a test calls it hung.
+// stopBound limits how long an orderly stop may take before a test considers it hung.
 const stopBound = 40 * time.Second
 
 // NodeOptions describes one node.
@@ -20,16 +20,16 @@
 	Name    string
 	Zone    string
 	Service string
-	// Settings are further settings, by key.
+	// Settings are additional settings of the process, by key.
 	Settings map[string]string
 }
 
-// Node is one place for a process; the process may be started many times.
+// Node is one node of the mesh. Its process may be started many times.
 type Node struct {
 	NodeOptions
-	// Control and Calls are the ways by which other nodes reach it.
-	Control *Door
-	Calls   *Door
+	// Control and Calls are the endpoints through which other nodes reach it.
+	Control *Endpoint
+	Calls   *Endpoint
 	// Worker is the stand-in beside the node; nil without a service.
 	Worker *worker.Worker
 
@@ -43,10 +43,10 @@
 	m.t.Helper()
 	node := &Node{NodeOptions: options, mesh: m, zone: zone, host: host}
 	var err error
-	if node.Control, err = newDoor(m.proxies, m.Links, zone, host, 0); err != nil {
+	if node.Control, err = newEndpoint(m.proxies, m.Links, zone, host, 0); err != nil {
 		m.t.Fatal(err)
 	}
-	if node.Calls, err = newDoor(m.proxies, m.Links, zone, host, 1); err != nil {
+	if node.Calls, err = newEndpoint(m.proxies, m.Links, zone, host, 1); err != nil {
 		m.t.Fatal(err)
 	}
 	if options.Service != "" {
@@ -64,11 +64,11 @@
 	return started
 }
 
-// Start starts the process and opens its doors. It does not wait for readiness.
+// Start starts the process and opens its endpoints. It does not wait for readiness.
 func (n *Node) Start() {
 	n.mesh.t.Helper()
-	for _, door := range []*Door{n.Control, n.Calls} {
-		if err := door.open(); err != nil {
+	for _, endpoint := range []*Endpoint{n.Control, n.Calls} {
+		if err := endpoint.open(); err != nil {
 			n.mesh.t.Fatal(err)
 		}
 	}
@@ -110,14 +110,14 @@
 	return arguments
 }
 
-// Kill ends the process at once, as a crash does. Connections to it break and
-// new ones are refused.
+// Kill ends the process at once, as a crash does. Open connections to it break
+// and new ones are refused.
 func (n *Node) Kill() {
 	n.running.Kill()
-	n.gone()
+	n.markStopped()
 }
 
-// Terminate asks for a planned stop and does not wait.
+// Terminate requests a planned stop and does not wait for it.
 func (n *Node) Terminate() { n.running.Signal(syscall.SIGTERM) }
 
 // AwaitExit waits for the process to end by itself and returns its exit code.
@@ -126,25 +126,25 @@
 	select {
 	case <-n.running.Done():
 	case <-time.After(stopBound):
-		n.mesh.t.Fatalf("%s did not end", n.Name)
+		n.mesh.t.Fatalf("process of %s did not exit in time", n.Name)
 	}
-	n.gone()
+	n.markStopped()
 	return n.running.ExitCode()
 }
 
-// Pause stops the process in its tracks; Resume lets it go on.
+// Pause suspends the process; Resume continues it.
 func (n *Node) Pause() { n.running.Signal(syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (n *Node) Resume() { n.running.Signal(syscall.SIGCONT) }
 
-func (n *Node) gone() {
+func (n *Node) markStopped() {
 	n.Control.Shut()
 	n.Calls.Shut()
 	n.mesh.Recorder.ProcessEnded(n.Name)
 }
 
-// Usage returns what the running process has used.
+// Usage returns the resource usage of the running process.
 func (n *Node) Usage() process.Usage {
 	n.mesh.t.Helper()
 	usage, err := n.running.Usage()
@@ -162,10 +162,10 @@
 	return role.Role
 }
 
-// CallerAddress returns where the process that started last takes calls of callers.
+// CallerAddress returns the address at which the most recently started process accepts calls from callers.
 func (n *Node) CallerAddress() string { return n.listening().CallerAddress }
 
-// AdminAddress returns where it answers for administration.
+// AdminAddress returns the address of its administration listener.
 func (n *Node) AdminAddress() string { return n.listening().AdminAddress }
 
 func (n *Node) listening() observe.Event {
--- a/tests/integration/tls_test.go
+++ b/tests/integration/tls_test.go
@@ -24,10 +24,10 @@
 	exitFailed          = 1
 )
 
-// eventCertificatesLoaded is the number in docs/EVENTS.md.
+// eventCertificatesLoaded is the event number listed in docs/EVENTS.md.
 const eventCertificatesLoaded observe.EventNumber = 501
 
-// withCertificates gives each node a certificate in a directory of its own.
+// withCertificates issues a certificate for each node, in a separate directory.
 func withCertificates(t *testing.T, authority *identity.Authority, directory string, nodes []harness.NodeOptions) {
 	t.Helper()
 	for index, node := range nodes {
@@ -68,10 +68,10 @@
 	for _, node := range mesh.Nodes("") {
 		get(t, mesh, node, 1)
 	}
-	for name, client := range strangers(t, authority) {
-		for _, door := range []*harness.Door{nodeDoor(mesh).Control, nodeDoor(mesh).Calls} {
-			if acceptedBy(door.Address, client) {
-				t.Errorf("%s was let in", name)
+	for name, client := range unauthorizedClients(t, authority) {
+		for _, endpoint := range []*harness.Endpoint{targetNode(mesh).Control, targetNode(mesh).Calls} {
+			if acceptedBy(endpoint.Address, client) {
+				t.Errorf("%s was accepted", name)
 			}
 		}
 	}
@@ -90,21 +90,21 @@
 	}
 }
 
-func nodeDoor(mesh *harness.Mesh) *harness.Node { return mesh.Node("a-ledger-1") }
+func targetNode(mesh *harness.Mesh) *harness.Node { return mesh.Node("a-ledger-1") }
 
-// strangers returns clients that no node may let in.
-func strangers(t *testing.T, authority *identity.Authority) map[string]*tls.Config {
+// unauthorizedClients returns the configurations of clients that no node may accept.
+func unauthorizedClients(t *testing.T, authority *identity.Authority) map[string]*tls.Config {
 	t.Helper()
 	operator := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleOperator, Node: "someone"}
 	node := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleNode, Node: "a-ledger-2"}
 	return map[string]*tls.Config{
 		"a client without certificate":    {InsecureSkipVerify: true},
-		"a node of another authority":     clientOf(t, newAuthority(t), node),
-		"an operator on a calls listener": clientOf(t, authority, operator),
+		"a node of another authority":     clientConfig(t, newAuthority(t), node),
+		"an operator on a calls listener": clientConfig(t, authority, operator),
 	}
 }
 
-func clientOf(t *testing.T, authority *identity.Authority, holder identity.Identity) *tls.Config {
+func clientConfig(t *testing.T, authority *identity.Authority, holder identity.Identity) *tls.Config {
 	t.Helper()
 	files := issue(t, authority, holder, t.TempDir())
 	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
@@ -114,7 +114,7 @@
 	return &tls.Config{InsecureSkipVerify: true, Certificates: []tls.Certificate{certificate}}
 }
 
-// acceptedBy reports whether a request gets any answer but a refusal.
+// acceptedBy reports whether a request gets any answer other than status 403.
 func acceptedBy(address string, config *tls.Config) bool {
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
@@ -150,23 +150,23 @@
 	mesh, _ := running(t, nodes...)
 	operator := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleOperator, Node: "someone"}
 	files := issue(t, authority, operator, t.TempDir())
-	status := harness.Levertide(t.Context(), "status", "--node", nodeDoor(mesh).Control.Address,
+	status := harness.Levertide(t.Context(), "status", "--node", targetNode(mesh).Control.Address,
 		"--tls-ca", files.Authorities, "--tls-cert", files.Certificate, "--tls-key", files.Key)
 	if status.ExitCode != int(exit.Accepted) {
 		t.Errorf("status: %+v", status)
 	}
 	for _, method := range []string{"Watch", "Report", "Members", "Floor"} {
-		if answered := postAs(t, mesh, clientOf(t, authority, operator), method); answered != http.StatusForbidden {
-			t.Errorf("%s answered an operator with %d", method, answered)
+		if answered := postAs(t, mesh, clientConfig(t, authority, operator), method); answered != http.StatusForbidden {
+			t.Errorf("%s answered an operator with status %d, want 403", method, answered)
 		}
 	}
 }
 
-// postAs sends an empty message of one kind and returns the status.
+// postAs calls a control method with an empty message and returns the status.
 func postAs(t *testing.T, mesh *harness.Mesh, config *tls.Config, method string) int {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: config}}
-	url := "https://" + nodeDoor(mesh).Control.Address + "/twirp/levertide.control.v1.Control/" + method
+	url := "https://" + targetNode(mesh).Control.Address + "/twirp/levertide.control.v1.Control/" + method
 	response, err := client.Post(url, "application/protobuf", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -180,8 +180,8 @@
 	withCertificates(t, authority, t.TempDir(), nodes)
 	mesh, _ := running(t, nodes...)
 	holder := identity.Identity{Region: testRegion, Zone: "a", Role: identity.RoleNode, Node: "intruder"}
-	client := controlpb.NewControlProtobufClient("https://"+nodeDoor(mesh).Control.Address,
-		&http.Client{Transport: &http.Transport{TLSClientConfig: clientOf(t, authority, holder)}})
+	client := controlpb.NewControlProtobufClient("https://"+targetNode(mesh).Control.Address,
+		&http.Client{Transport: &http.Transport{TLSClientConfig: clientConfig(t, authority, holder)}})
 	claims := map[string]*controlpb.Member{
 		"another zone": {Id: "intruder", Region: testRegion, Zone: "b"},
 		"another node": {Id: "a-ledger-2", Region: testRegion, Zone: "a"},
--- a/tests/robustness/coordination/fuzz_test.go
+++ b/tests/robustness/coordination/fuzz_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// expectedFaults are the kinds of fault that the runs below must have met.
+// expectedFaults are the kinds of fault that TestSeedsWithAllFaults must have injected.
 var expectedFaults = []string{
 	"answer lost", "clock step", "crash", "cut", "cut in one direction", "herd of crashes", "leases lapsed",
 	"message lost", "pause", "pause of a coordinator", "pause of a relay", "planned stop", "rate limited",
@@ -39,19 +39,19 @@
 	}
 	for _, kind := range expectedFaults {
 		if met[kind] == 0 {
-			t.Errorf("no fault of the kind %q was met", kind)
+			t.Errorf("no fault of kind %q occurred", kind)
 		}
 	}
 }
 
-func TestOtherShapes(t *testing.T) {
-	shapes := map[string]sim.Options{
+func TestOtherTopologies(t *testing.T) {
+	topologies := map[string]sim.Options{
 		"one zone":     {Seed: 11, Regions: 1, ZonesPerRegion: 1, NodesPerZone: 7},
 		"many regions": {Seed: 12, Regions: 5, ZonesPerRegion: 1, NodesPerZone: 4},
 		"flat":         {Seed: 13, Regions: 1, ZonesPerRegion: 4, NodesPerZone: 4, FanOut: 8},
 		"one reader":   {Seed: 14, Readers: 1},
 	}
-	for name, options := range shapes {
+	for name, options := range topologies {
 		t.Run(name, func(t *testing.T) {
 			w := sim.New(options)
 			defer w.Close()
--- a/tests/robustness/storeprotocol/rivals_test.go
+++ b/tests/robustness/storeprotocol/contention_test.go
@@ -13,15 +13,15 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// proposal is what one operator was told.
+// proposal is the result of one operator's proposal.
 type proposal struct {
 	applyID string
 	result  versionstore.ProposeResult
 	err     error
 }
 
-// TestOperatorsAtOnce lets operators apply different sets on the same base.
-func TestOperatorsAtOnce(t *testing.T) {
+// TestConcurrentOperators has several operators apply different sets on the same base at once.
+func TestConcurrentOperators(t *testing.T) {
 	for _, operators := range []int{2, 3} {
 		t.Run(fmt.Sprintf("%d operators", operators), func(t *testing.T) {
 			_, address := startPlatform(t)
@@ -38,7 +38,7 @@
 					t.Fatal(err)
 				}
 				if _, found := loaded.Service(winner.applyID); !found || loaded.Len() != 1 {
-					t.Fatalf("version %d holds %v, not what %s applied", loaded.Version(), loaded.Keys(), winner.applyID)
+					t.Fatalf("version %d holds %v, want only the service that %s applied", loaded.Version(), loaded.Keys(), winner.applyID)
 				}
 				if _, err := coordinator.Commit(t.Context(), winner.result.Version, winner.applyID); err != nil {
 					t.Fatal(err)
@@ -52,32 +52,33 @@
 // race proposes with all clients at once and returns the one that succeeded.
 func race(t *testing.T, clients []*versionstore.VersionStore, base rollout.Version) proposal {
 	t.Helper()
-	told := make(chan proposal)
+	results := make(chan proposal)
 	for i, client := range clients {
 		applyID := fmt.Sprintf("operator-%d-%d", i, base)
 		go func() {
 			result, err := client.Propose(t.Context(), request(applyID, base, applyID))
-			told <- proposal{applyID: applyID, result: result, err: err}
+			results <- proposal{applyID: applyID, result: result, err: err}
 		}()
 	}
 	var winners []proposal
 	for range clients {
-		answer := <-told
+		received := <-results
 		switch {
-		case answer.err == nil:
-			winners = append(winners, answer)
-		case !errorx.IsOfType(answer.err, versionstore.ErrConflict) && !errorx.IsOfType(answer.err, versionstore.ErrRolloutInProgress):
-			t.Errorf("%s was told %v", answer.applyID, answer.err)
+		case received.err == nil:
+			winners = append(winners, received)
+		case !errorx.IsOfType(received.err, versionstore.ErrConflict) && !errorx.IsOfType(received.err, versionstore.ErrRolloutInProgress):
+			t.Errorf("%s got unexpected error %v", received.applyID, received.err)
 		}
 	}
 	if len(winners) != 1 {
-		t.Fatalf("%d operators succeeded on base %d", len(winners), base)
+		t.Fatalf("%d operators succeeded on base %d, want 1", len(winners), base)
 	}
 	return winners[0]
 }
 
-// TestPausedCoordinatorDoesNoHarm pauses the holder of a lease past its time
-// to live, lets another take over and abort, and has the first go on.
+// TestPausedCoordinatorDoesNoHarm pauses the holder of a lease past its time to
+// live, has another node take over and abort the version, and then resumes the
+// first holder, whose commit must fail.
 func TestPausedCoordinatorDoesNoHarm(t *testing.T) {
 	server, address := startPlatform(t)
 	var pausedFor atomic.Int64
@@ -106,7 +107,7 @@
 	}
 
 	if held.Valid() {
-		t.Error("the paused holder trusts its lease")
+		t.Error("the paused holder still considers its lease valid")
 	}
 	<-held.Lost()
 	_, err = first.Commit(t.Context(), 1, "apply-1")
