--- a/internal/hosted/restores.go
+++ b/internal/hosted/restores.go
@@ -20,7 +20,7 @@
 	Rejected uint64
 }
 
-// restoreCounters are the counters behind StoreReturns.
+// restoreCounters are the counters behind StoreRestores.
 type restoreCounters struct{ era, restores, passedOver, rejected atomic.Uint64 }
 
 func (c *restoreCounters) read() StoreRestores {
