--- a/internal/forwarding/additionaloffers.go
+++ b/internal/forwarding/additionaloffers.go
@@ -13,16 +13,16 @@
 	// no more than this share of the served calls.
 	additionalOfferShare = 0.1
 	additionalOfferBurst = 10
-	// additionalOfferReward is how many additional offers one earns that was answered: they
-	// continue as long as one of three finds a free slot.
+	// additionalOfferReward is how many further ones an additional offer earns when it is
+	// answered: they continue as long as at least one of three finds a free slot.
 	additionalOfferReward = 3
-	// additionalOffersPerSecond is how many per second are allowed however few calls are served:
-	// next to none.
+	// additionalOffersPerSecond is how many additional offers per second are allowed however few
+	// calls are served: hardly any.
 	additionalOffersPerSecond = 0.01
 	// shortRoundTrip is the round-trip time of an offer below which an additional one is free.
 	// Messages between zones take 1 to 3 ms where links are not full, and 40 to 200 ms where they
-	// are. With a sixteenth of the call's wait limit, 10 to 30 ms on such links, offers filled
-	// them again (a loss of 0.02 of a day's value).
+	// are. A bound of a sixteenth of the call's wait limit (10 to 30 ms) let offers fill such
+	// links again, at a loss of 0.02 of a day's value.
 	shortRoundTrip = 3 * time.Millisecond
 )
 
--- a/internal/forwarding/authentication.go
+++ b/internal/forwarding/authentication.go
@@ -88,21 +88,21 @@
 	return key, given
 }
 
-// tenantsSince is the age of the node, in nanoseconds, when the first call came under a
+// tenantsSince is the age of the node, in nanoseconds, when the first call arrived under a
 // configuration version with tenants. Setting the clock does not change an age.
 type tenantsSince struct{ age atomic.Int64 }
 
-// mark returns how long ago the first such call came, given the current age of the node; zero
+// mark returns how long ago the first such call arrived, given the current age of the node; zero
 // when this is the first one.
 func (s *tenantsSince) mark(age time.Duration) time.Duration {
-	// Zero stands for no call.
+	// Zero means that no call has arrived yet, so that a recorded age is at least 1.
 	if s.age.CompareAndSwap(0, max(int64(age), 1)) {
 		return 0
 	}
 	return age - time.Duration(s.age.Load())
 }
 
-// reset forgets the first call: the version in force has no tenants.
+// reset clears the recorded age. It is called when the version in force has no tenants.
 func (s *tenantsSince) reset() {
 	if s.age.Load() != 0 {
 		s.age.Store(0)
--- a/internal/forwarding/calls_test.go
+++ b/internal/forwarding/calls_test.go
@@ -195,8 +195,7 @@
 }
 
 // TestCallThatMayHaveRunIsNeverToldNotRun makes a first attempt break off after the worker
-// received it, and a second one be refused: the caller must not be told that the call did not
-// run.
+// received it, and a second one be refused: the answer to the caller must not be not-run.
 func TestCallThatMayHaveRunIsNeverToldNotRun(t *testing.T) {
 	broken, refusing := startWorker(t), startWorker(t)
 	broken.answer(func(w http.ResponseWriter, _ *http.Request) { reset(hijack(t, w)) })
--- a/internal/forwarding/config.go
+++ b/internal/forwarding/config.go
@@ -55,7 +55,7 @@
 	Suspended func(since time.Time) time.Duration
 	// Quota enforces the limits of tenants over all nodes; nil means that there are no limits.
 	Quota Quota
-	// Observer is notified how calls ended; nil means that nobody is.
+	// Observer is notified how calls ended; nil means no notifications.
 	Observer Observer
 }
 
@@ -86,7 +86,7 @@
 	parallelTransfers = 2
 	slowTransfer      = 300 * time.Millisecond
 	// pacedPart is how much of a long body a node sends at a time, in bytes, at the rate of its
-	// link: other traffic on the link then waits behind one part, and not behind a whole body.
+	// link: other traffic on the link then waits behind one part, and not behind a complete body.
 	pacedPart = 4 << 10
 	// bufferedAnswer is the size in bytes up to which an answer is buffered completely before it
 	// is forwarded, so that the call can be attempted again if the answer is truncated.
--- a/internal/forwarding/endpoints.go
+++ b/internal/forwarding/endpoints.go
@@ -44,9 +44,9 @@
 	failureCost  = 2.0
 	// overdueFactor and overdueMargin bound how long an endpoint that holds requests of this node
 	// may answer none of them before others are preferred: overdueFactor times the expected
-	// duration of a request plus overdueMargin. Otherwise a machine that froze, or connections
-	// that went dead without a reset, would get work until the callers' time is over. One request
-	// in a hundred takes three to five times the usual.
+	// duration of a request plus overdueMargin. Otherwise a machine that has stopped
+	// responding, or connections that were lost without a reset, would get requests until the
+	// deadlines of the calls. One request in a hundred takes three to five times the usual.
 	overdueFactor = 5
 	overdueMargin = 200 * time.Millisecond
 	// slowestFactor and fastestFactor bound the relative duration that one observation may
@@ -163,9 +163,9 @@
 	return d.workers, d.grewAt
 }
 
-// serving returns the nodes whose workers take this node's calls. In a large mesh they are a part
-// of all nodes: connections, and what is known of each worker, then stay the same however large
-// the mesh is.
+// serving returns the nodes whose workers take this node's calls. In a large mesh they are a
+// subset, so that the number of connections, and how much this node learns of each worker, do not
+// depend on the size of the mesh.
 func (d *destination) serving(view *fleet.View, steering *steeringTable) []*fleet.Node {
 	var serving []*fleet.Node
 	for _, node := range view.Nodes() {
--- a/internal/forwarding/failure.go
+++ b/internal/forwarding/failure.go
@@ -22,7 +22,7 @@
 	case reason == outcome.QuotaExceeded:
 		return http.StatusTooManyRequests
 	case reason == outcome.Malformed, reason == outcome.Quarantined:
-		// Callers do not retry after this status, and no other status tells them not to.
+		// This is the only status after which callers do not retry.
 		return http.StatusBadRequest
 	case reason == outcome.BodyNotReceived:
 		return http.StatusRequestTimeout
--- a/internal/forwarding/linkwait.go
+++ b/internal/forwarding/linkwait.go
@@ -20,7 +20,7 @@
 // linkWaits holds how long bodies wait for the links of a service's workers, by zone, as far as
 // this node knows. One worker reports its wait to this node only now and then; without the mean
 // of its zone, the worker whose report is oldest would appear to have a free link. The zero value
-// knows nothing.
+// has no reports.
 type linkWaits struct{ byZone map[string]linkWait }
 
 // linkWait is the mean of the waits reported by workers of one zone, as of its last change.
--- a/internal/forwarding/offers.go
+++ b/internal/forwarding/offers.go
@@ -201,8 +201,8 @@
 
 // slowest returns the slowness of the chosen worker beyond which its node is to decline the call;
 // zero where it must not decline: the call could not be offered elsewhere, has been declined
-// maximumDeclines times, or waits for its turn at the last node. A nested call may be declined
-// wherever it waits: a second offer costs it nothing.
+// maximumDeclines times, or waits at this node for as long as it can, because no additional offer
+// follows. A nested call may be declined in that case, too: a second offer costs it nothing.
 func (o *offers) slowest(chosen choice) float64 {
 	if o.declines >= maximumDeclines || o.call.body.long() || !o.call.body.repeatable() || o.lastRefusal() && !o.call.nested {
 		return 0
--- a/internal/forwarding/rank.go
+++ b/internal/forwarding/rank.go
@@ -25,8 +25,8 @@
 }
 
 // nestedRankOf returns the rank of a nested call. When it fails, the work on its parent is lost,
-// too: it goes before the calls of the next lower rank of a route, and before those of its own
-// rank where there is no lower one.
+// too. It therefore goes before the calls of the route rank just ahead of its parent's, or before
+// those of the same route rank where none is ahead.
 func nestedRankOf(parent parentCall) int {
 	if parent.rank < 0 {
 		return parent.rank
--- a/internal/forwarding/repeats.go
+++ b/internal/forwarding/repeats.go
@@ -8,14 +8,13 @@
 
 // firstAttemptShare is the share of the retry budget that the calls of first-time callers may
 // use. The rest is reserved for retried calls and for nested calls: these are lost with the next
-// refusal, where a first one can still be retried by its caller. When all workers of a service
-// turn away 0.55 of the calls, one further attempt saves 0.45 calls of retrying callers, and 0.25
-// of the others.
+// refusal, whereas a first-time caller can still retry. When all workers of a service refuse 0.55
+// of the calls, one further attempt saves 0.45 calls of retrying callers, and 0.25 of the others.
 const firstAttemptShare = 0.6
 
 // repeatedCallShare is the most that a node spends, as a share of its part of the retry budget,
 // once the calls of repeated runs are counted. These are mostly admitted beyond the node's own
-// part of three quarters, since refusing such a call makes the run fail that waits for it; but
+// part of three quarters, since refusing such a call makes the run that waits for it fail; but
 // when all workers of two services shed half of their calls, repeats at the second one would be
 // 1.4 times the allowed number.
 const repeatedCallShare = 1.2
--- a/internal/forwarding/routes.go
+++ b/internal/forwarding/routes.go
@@ -13,15 +13,15 @@
 	// routeWeight is the weight of one more observation in the means of a route.
 	routeWeight = 0.05
 	// startPlaces is the number of positions in the sequence of backends at which a node may
-	// begin: operators give weights in parts of a hundred.
+	// begin: operators give weights in percent.
 	startPlaces = 100
 )
 
 // routeState is what a node keeps of a route across configuration versions.
 type routeState struct {
 	mutex sync.Mutex
-	// credit is, for each service, by how much it has been given less (above zero) or more
-	// requests than its share.
+	// credit is, for each service, how far the requests that it has been given are below its share
+	// (positive) or above it (negative), times the sum of the weights.
 	credit   map[string]float64
 	timeouts commonTimeouts
 	// work and answerBytes are the means over the observed answers.
@@ -70,8 +70,8 @@
 	return s.pick(backends)
 }
 
-// lacksCredit reports whether there is a backend without credit, which has been given nothing so
-// far. The mutex must be held.
+// lacksCredit reports whether a backend has no entry in credit: it is new, and has been given no
+// request so far. The mutex must be held.
 func (s *routeState) lacksCredit(backends []model.Backend) bool {
 	for _, backend := range backends {
 		if _, known := s.credit[backend.Service]; !known {
--- a/internal/forwarding/slowness.go
+++ b/internal/forwarding/slowness.go
@@ -27,7 +27,7 @@
 	maximumDeclines = 2
 )
 
-// decayingMean estimates a value that is reported now and then. The zero value knows nothing.
+// decayingMean estimates a value that is reported now and then. The zero value has no report.
 type decayingMean struct {
 	// latest was reported last, at latestAt; longTerm is the mean over time.
 	latest, longTerm float64
--- a/internal/forwarding/starting.go
+++ b/internal/forwarding/starting.go
@@ -9,8 +9,9 @@
 
 // After a power failure of all machines callers connect as soon as their nodes listen, some
 // tenths of a second before these know a configuration and workers. All calls of the second
-// without power arrive at this moment, most of them for the last time. A call that is refused
-// then is lost, and one that waits until the node knows workers is answered, mostly in time.
+// without power arrive at this moment, most of them as the last attempt of their caller. A call
+// that is refused then is lost; one that waits until the node knows workers is answered, mostly in
+// time.
 
 const (
 	// startPeriod is how long after its start a node is assumed to know only a part of the mesh:
--- a/internal/forwarding/steering.go
+++ b/internal/forwarding/steering.go
@@ -47,8 +47,8 @@
 		return fleet.Rollout{}, false
 	}
 	d, known := t.decisions[service]
-	// Once the move is completed, the workers of the former version end by themselves, and
-	// workers of a later version are taken without steering.
+	// Once the move is completed, requests are no longer steered: the workers of the previous
+	// version end by themselves, and workers of a later version get requests like any other.
 	return d, known && d.State != canary.Completed
 }
 
@@ -124,8 +124,8 @@
 type versionChoice struct {
 	// target is the version that the service moves to; empty when it does not move.
 	target string
-	// wanted is set when the target takes the call, and strict when nothing else may: neither the
-	// target in place of the former version, nor the other way round.
+	// wanted is set when the target takes the call, and clear when the previous version does.
+	// strict is set when a worker of the other version must not take it instead.
 	wanted, strict bool
 }
 
@@ -140,7 +140,7 @@
 }
 
 // mostCanaryShare is the share below which the target is on trial: it gets no more requests even
-// where the former version has no free capacity.
+// where the previous version has no free capacity.
 const mostCanaryShare = 0.5
 
 // takes reports whether a worker of the version may take the call.
@@ -160,7 +160,8 @@
 	return versionChoice{target: c.target, wanted: !c.wanted, strict: true}, c.target != "" && !c.strict
 }
 
-// byVersion splits the nodes that serve a service while it moves by the version of their workers.
+// byVersion splits the nodes that serve a moving service by the version of their workers: the
+// target, and any other or unreported version.
 // While the target is on trial only a part of its workers gets requests, so that these are as
 // busy as the others: some faults show under load only.
 func byVersion(nodes []*fleet.Node, d fleet.Rollout) (former, target []*fleet.Node) {
--- a/internal/forwarding/suspended_test.go
+++ b/internal/forwarding/suspended_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestWorkersGetNoTimeThatCallersLack suspends the machine of the worker or of the caller's node:
-// the monotonic clock stands still, the caller's time does not. Without the correction the worker
-// was given the whole time of the call, 2.5 s more than its caller had.
+// the monotonic clock stops, but the caller's time goes on. Without the correction the worker was
+// given the full time of the call, 2.5 s more than its caller had.
 func TestWorkersGetNoTimeThatCallersLack(t *testing.T) {
 	const suspension = 2500 * time.Millisecond
 	for name, suspended := range map[string]func(front, beside *testNode) *testNode{
--- a/internal/forwarding/timeouts.go
+++ b/internal/forwarding/timeouts.go
@@ -14,10 +14,10 @@
 	// largestCount limits how long one is remembered that no caller sends any more.
 	commonCount  = 8
 	largestCount = 200
-	// commonFactor is how many times as often as another timeout one must have been observed,
-	// below commonCount, to be the usual one beside it. Otherwise nodes that get one call of a
-	// route in two seconds, as one of a thousand nodes does, would know no usual timeout for 16
-	// s.
+	// commonFactor applies to timeouts that were observed fewer than commonCount times: one that
+	// was observed this many times as often as another is common compared with it. Without the
+	// factor, nodes that get one call of a route in two seconds, as one of a thousand nodes does,
+	// would know no common timeout for 16 s.
 	commonFactor = 2
 )
 
@@ -50,8 +50,8 @@
 	return c.belowCommon(milliseconds, 1)
 }
 
-// belowCommon reports whether a longer timeout is common, compared with one that was observed so
-// often.
+// belowCommon reports whether a longer timeout is common, compared with the given one, which was
+// observed seen times.
 func (c *commonTimeouts) belowCommon(milliseconds int64, seen int) bool {
 	usual := min(commonCount, commonFactor*seen)
 	for _, each := range c.counters {
--- a/internal/forwarding/zones.go
+++ b/internal/forwarding/zones.go
@@ -14,7 +14,7 @@
 	// otherZoneDelay is the network delay to another zone.
 	otherZoneDelay = 3 * time.Millisecond
 	// leastOwnZoneWaitShare is the least share of its wait limit that a long body waits in its
-	// own zone rather than cross to another. The share is drawn for each body, up to the whole
+	// own zone rather than cross to another. The share is drawn for each body, up to the full
 	// wait limit, so that not all bodies leave a zone, or arrive in another, at the same time.
 	leastOwnZoneWaitShare = 0.5
 	// otherZoneWaitShare is the share of its wait limit for which a long body may wait in another
