--- a/internal/dataplane/answer.go
+++ b/internal/dataplane/answer.go
@@ -109,7 +109,7 @@
 		err = d.control.Flush()
 	}
 	d.pace.step(len(part), time.Since(began))
-	// The next read waits for the worker, not for the caller: it gets the whole
+	// The next read waits for the worker, not for the caller: it gets the full
 	// stall time, however long this write took.
 	d.lifetime.answerProgressed(d.stall)
 	return err
--- a/internal/dataplane/pace.go
+++ b/internal/dataplane/pace.go
@@ -8,7 +8,7 @@
 // up that rate is never cut off, however long it takes.
 type pace struct {
 	grace       time.Duration
-	rate        int64 // bytes a second
+	rate        int64 // bytes per second
 	waited      time.Duration
 	transferred int64
 }
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// recordCrash records that the worker ended while it ran the call. The incarnation of the worker
-// is distinguished from others by the time: a node knows nothing more of it.
+// recordCrash records that the worker ended while it ran the call. The current time
+// identifies the incarnation of the worker, since the node has no other information about it.
 func (c *inboundCall) recordCrash(level int) {
 	if f, ok := c.fingerprint(); ok {
 		c.plane.config.Quarantine.Crashed(f, c.plane.config.Node+" "+time.Now().UTC().Format(time.RFC3339), level, time.Now())
