--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -41,7 +41,7 @@
 	slots chan struct{}
 
 	mu sync.Mutex
-	// newest is the last request that was handed to the handler.
+	// newest is the last request that was passed to the handler.
 	newest   *exchange
 	inFlight int
 	// awaitingRequest is set while the reader waits for a request to begin.
@@ -86,7 +86,7 @@
 	}
 }
 
-// readRequests hands requests to the handler. It returns nil when no further one
+// readRequests passes requests to the handler. It returns nil when no further one
 // is accepted, and an error when the connection is broken or idle.
 func (c *conn) readRequests() error {
 	for {
--- a/internal/pipeline/exchange.go
+++ b/internal/pipeline/exchange.go
@@ -14,7 +14,7 @@
 	conn     *conn
 	request  *http.Request
 	response response
-	// fault is the status of a request that is not handed to the handler.
+	// fault is the status of a request that is not passed to the handler.
 	fault int
 	// last is set when no further request follows on the connection.
 	last bool
@@ -53,7 +53,8 @@
 	return x
 }
 
-// handle runs the handler and lets the next answer be written.
+// handle runs the handler, completes the answer or aborts the connection, and then lets the next
+// answer be written.
 func (x *exchange) handle() {
 	x.request = x.request.WithContext(x.conn.ctx)
 	defer x.end()
--- a/internal/pipeline/fixture_test.go
+++ b/internal/pipeline/fixture_test.go
@@ -23,7 +23,7 @@
 
 	mu    sync.Mutex
 	gates map[string]chan struct{}
-	// began receives the path of each request that is handed to the handler, and
+	// began receives the path of each request that is passed to the handler, and
 	// canceled that of each whose context was canceled.
 	began, canceled chan string
 }
@@ -93,7 +93,7 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, path, content)
 }
 
-// awaitBegan waits until requests were handed to the handler, in any order.
+// awaitBegan waits until requests were passed to the handler, in any order.
 func (s *testServer) awaitBegan(t *testing.T, paths ...string) {
 	t.Helper()
 	missing := map[string]bool{}
--- a/internal/pipeline/response.go
+++ b/internal/pipeline/response.go
@@ -140,7 +140,7 @@
 // been read.
 func (w *response) EnableFullDuplex() error { return nil }
 
-// sendContinue tells the caller to send the body that it holds back.
+// sendContinue sends 100 Continue to a caller that waits for it before it sends the body.
 func (w *response) sendContinue() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
