--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -14,7 +14,7 @@
 	connSealed                 // nothing was written and nothing ever will be
 )
 
-// Conn knows whether anything of a request was handed to the network.
+// Conn is a connection that records whether anything of the current request was written to it.
 type Conn struct {
 	net.Conn
 	state atomic.Int32
