--- a/internal/sidecar/configuration.go
+++ b/internal/sidecar/configuration.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/pkg/snapshot"
 )
 
-// configuration holds the version in force. The next document is built completely beside
-// it and then swapped in; the version number never falls.
+// configuration holds the version in force. The next one is built completely while the
+// old one stays in use, and then replaces it; the version number never decreases.
 type configuration struct {
 	translate func(content []byte) (Translation, error)
 	onInForce func(version uint64, routes int)
--- a/internal/sidecar/dial.go
+++ b/internal/sidecar/dial.go
@@ -27,7 +27,7 @@
 // setUnacknowledgedTimeout sets the time-out on a new socket, as net.Dialer.Control.
 func setUnacknowledgedTimeout(_, _ string, connection syscall.RawConn) error {
 	return connection.Control(func(descriptor uintptr) {
-		// On a system without this option, the keep-alive probes still find dead connections.
+		// On a system without this option, the keep-alive probes still detect lost connections.
 		_ = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds()))
 	})
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -41,8 +41,8 @@
 	// of these than its part.
 	retryBudgetShare = 0.75
 	// settleTime is how long a node that has started takes at most to learn of the others, with
-	// which it shares the fixed part of the retry budget: before that, it would use the part of
-	// all of them.
+	// which it shares the fixed part of the retry budget: before that, it would use the parts of
+	// all nodes.
 	settleTime = 2 * time.Second
 	// supervisorTimeout bounds how long the supervisor waits for its services to end.
 	supervisorTimeout = 200 * time.Millisecond
