--- a/internal/crashwatch/watch.go
+++ b/internal/crashwatch/watch.go
@@ -32,8 +32,8 @@
 
 	mu       sync.Mutex
 	inFlight int
-	// idle is closed when the worker has nothing in flight any more; nil while it has
-	// nothing.
+	// idle is closed when the last request in flight at the worker ends; nil while none is in
+	// flight.
 	idle chan struct{}
 	// probes shares one probe among all requests that are lost together.
 	probes singleflight.Group
@@ -116,10 +116,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// Isolate waits until no other suspect is in flight at the worker, so that when the worker
-// ends, only one request that was in flight at another worker that ended can be the cause.
-// Without it, innocent requests that are offered again together with the crashing one would
-// be quarantined with it. It reports false when the given time is reached or the context ends
+// Isolate waits until no other suspect is in flight at the worker. A suspect is a request that
+// was in flight at another worker when that one ended. When this worker ends, at most one
+// suspect can then be the cause. Without the isolation, innocent requests that are offered
+// again together with the crashing one would be quarantined with it. It reports false when the given time is reached or the context ends
 // before.
 func (w *Watch) Isolate(ctx context.Context, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
