--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -17,8 +17,8 @@
 }
 
 // suspendedBetween returns for how long the machine was suspended while the wall clock and the
-// monotonic clock advanced by the given durations. The wall clock may also have been set:
-// then the machine was not suspended since the process started, or not for that long.
+// monotonic clock advanced by the given durations. The wall clock may also be ahead because
+// it was set; the time suspended since the process started therefore bounds the result.
 func suspendedBetween(wall, monotonic time.Duration, sinceStart func() time.Duration) time.Duration {
 	ahead := wall - monotonic
 	if ahead < minimumDifference {
