--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -14,8 +14,8 @@
 // stop carries out a planned stop. The node is unready at once and asks callers to
 // close their connections, but still accepts calls until the platform has noticed;
 // the worker is served meanwhile. Then other nodes route their calls elsewhere,
-// nothing more is accepted from callers, even from those that would send calls for
-// ever, and the process ends when nothing is in flight, or when drain-bound is
+// nothing more is accepted from callers, even from those that never stop sending
+// calls, and the process ends when nothing is in flight, or when drain-bound is
 // reached.
 func (n *Node) stop() {
 	began := time.Now()
