--- a/internal/dataplane/drain.go
+++ b/internal/dataplane/drain.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// wait returns nil once no call is in flight, or the context's error. One
+// wait returns nil once nothing is in flight, or the context's error. One
 // goroutine may wait at a time.
 func (f *inFlight) wait(ctx context.Context) error {
 	for f.count() > 0 {
