--- a/internal/forwarding/exchange.go
+++ b/internal/forwarding/exchange.go
@@ -38,7 +38,8 @@
 }
 
 // do sends the request and returns the head of the answer. Errors are those of package outcome:
-// not-run when nothing was written on any connection.
+// not-run when nothing was written on any connection, or when expectContinue is set and the other
+// side lacks so much of the body that it begins nothing.
 func (e *httpExchange) do(ctx context.Context) (*http.Response, error) {
 	response, err := e.attempt(ctx)
 	stale := err != nil && e.reused && ctx.Err() == nil && outcome.Of(err) == outcome.NotRun && e.body.repeatable()
--- a/internal/forwarding/waitlimit.go
+++ b/internal/forwarding/waitlimit.go
@@ -24,9 +24,10 @@
 }
 
 // waitLimit returns how long the call may wait for a slot: never so long that no time would be
-// left for the work. A retried call with too little time for a further attempt waits for as long
-// as this attempt can still be answered in time. With more time left it is refused sooner: a call
-// that waits long holds up others, and a later attempt may find a slot at once.
+// left for the work. A retried call, or one that has waited for its node to start, may wait for as
+// long as this attempt can still be answered in time if too little time is left for a further one.
+// With more time left it is refused sooner: a call that waits long holds up others, and a later
+// attempt may find a slot at once.
 func (c *call) waitLimit() time.Duration {
 	work, _ := c.state.expected()
 	left := c.end.Sub(c.offeredFrom())
