--- a/pkg/slotqueue/holdback.go
+++ b/pkg/slotqueue/holdback.go
@@ -14,8 +14,8 @@
 const recheckInterval = 25 * time.Millisecond
 
 const (
-	// arrivalDeviations is how many standard deviations of the expected arrivals slots are
-	// withheld for, beyond their mean.
+	// arrivalDeviations is the number of standard deviations above the expected number of
+	// arrivals for which slots are withheld.
 	arrivalDeviations = 2.0
 	// maxReservedShare is the largest share of the slots that may be left free.
 	maxReservedShare = 0.5
--- a/pkg/slotqueue/queue.go
+++ b/pkg/slotqueue/queue.go
@@ -47,8 +47,9 @@
 	// starts is the moving share of each rank in the requests that have started.
 	starts       map[int]float64
 	lastSequence uint64
-	// hold is the moving average of how long requests hold their slots, pace that of the
-	// same time relative to their expected time at a worker of usual speed.
+	// hold is the moving average of the time for which requests hold their slots. pace is
+	// the moving average of the ratio of that time to the time expected at a worker of
+	// usual speed.
 	hold   time.Duration
 	pace   float64
 	closed bool
@@ -283,9 +284,9 @@
 	}
 }
 
-// refuseOverdue refuses requests that have become late and now have so many before them
-// that they cannot be expected to start any more, so that their callers learn it while
-// there is time left to retry. The mutex is held.
+// refuseOverdue refuses requests that have become late and now have so many others ahead
+// of them that they are not expected to start by their LatestStart, so that their callers
+// are notified while there is time left to retry. The mutex is held.
 func (q *Queue) refuseOverdue(now time.Time) {
 	for _, w := range q.waiting.overdue {
 		if !w.startedAt.IsZero() || w.refusal != nil {
@@ -338,7 +339,8 @@
 	q.releaseSlot(p.entry)
 }
 
-// observe counts for how long a request has held its slot. The mutex is held.
+// observe updates hold and pace with the time for which a request has held its slot. The
+// mutex is held.
 func (q *Queue) observe(r *entry, held time.Duration) {
 	q.hold += time.Duration(holdWeight * float64(held-q.hold))
 	if r.Work == 0 {
--- a/pkg/slotqueue/replay_test.go
+++ b/pkg/slotqueue/replay_test.go
@@ -117,7 +117,7 @@
 
 // bestShare returns the largest share of the requests of the last stream that any order
 // could serve when all requests of the other streams are served: the slot time that those
-// leave against the slot time needed.
+// leave, divided by the slot time that the last stream needs.
 func bestShare(got map[string]*tally, streams ...stream) float64 {
 	slotSeconds := replaySlots * replayTime.Seconds()
 	var share float64
@@ -129,8 +129,8 @@
 	return share
 }
 
-// A worker of a service that takes payments, short lookups of other workers and long
-// reads of an archive.
+// The requests at one worker of the replayed service: payments, short lookups by other
+// workers, and long reads of an archive.
 var (
 	payments = stream{name: "payments", rank: 1, perSecond: 8.5, work: 130 * time.Millisecond, spread: 0.3, target: 400 * time.Millisecond, waitLimit: 140 * time.Millisecond}
 	lookups  = stream{name: "lookups", rank: 3, perSecond: 46, work: 45 * time.Millisecond, spread: 0.5, target: 200 * time.Millisecond, waitLimit: 110 * time.Millisecond}
@@ -191,8 +191,9 @@
 	}
 }
 
-// TestOverloadOfOneRank replays half as much again of one rank as the slots can serve: what
-// is served must be in time, and nearly as much as there are slots for.
+// TestOverloadOfOneRank replays one and a half times the load that the slots can serve, all
+// of one rank: at least 0.95 of the requests that the slots can serve must be answered in
+// time.
 func TestOverloadOfOneRank(t *testing.T) {
 	s := stream{name: "fetch", rank: 4, perSecond: 90, work: 200 * time.Millisecond, spread: 0.3, target: 500 * time.Millisecond, waitLimit: 100 * time.Millisecond}
 	for _, seed := range []uint64{1, 2, 3} {
--- a/pkg/slotqueue/waitqueue.go
+++ b/pkg/slotqueue/waitqueue.go
@@ -35,8 +35,8 @@
 	refusal   error
 	flow      *flow
 	late      bool
-	// index is its place in the heap of its flow, in the heap of late requests, or among the
-	// running requests.
+	// index is the position of the request in the heap of its flow, in the heap of late
+	// requests, or among the running requests.
 	index int
 
 	// startedAt is when the request got its slot.
@@ -77,7 +77,8 @@
 	// orders flows of equal virtual start.
 	virtualStart time.Duration
 	sequence     uint64
-	// index is its place in the heap of active flows; notInHeap when none of its requests waits.
+	// index is the position of the flow in the heap of active flows; notInHeap when none of
+	// its requests waits.
 	index int
 }
 
@@ -133,7 +134,7 @@
 	r.lateSlotTime += w.hold
 }
 
-// remove takes out a request that leaves before its turn.
+// remove removes a request that stops waiting before its turn.
 func (l *waitQueue) remove(w *entry) {
 	_, r := l.find(w.Rank)
 	if w.late {
@@ -156,8 +157,8 @@
 	}
 }
 
-// countRemoval counts one request of a rank less, and deletes the rank when that was its
-// last one.
+// countRemoval decrements the number of waiting requests of a rank, and deletes the rank
+// when none is left.
 func (l *waitQueue) countRemoval(r *rankQueue) {
 	l.count--
 	r.count--
