--- a/pkg/admission/gate.go
+++ b/pkg/admission/gate.go
@@ -88,7 +88,9 @@
 	return g.enqueue(ctx, priority)
 }
 
-// enqueue is called with the mutex held and returns with it released.
+// enqueue queues a request and waits for its verdict, or refuses it when waiting is
+// useless or the queue is full. It is called with the mutex held and returns with it
+// released.
 func (g *Gate) enqueue(ctx context.Context, priority Priority) (Permit, error) {
 	g.adaptive.markReached()
 	wait, reason := g.waitBound(ctx, priority)
@@ -164,7 +166,9 @@
 	return g.settle(w)
 }
 
-// settle is called with the mutex held and returns with it released.
+// settle returns the permit or the refusal that the waiter's verdict stands for, and puts
+// the waiter back into the pool. It is called with the mutex held and returns with it
+// released.
 func (g *Gate) settle(w *waiter) (Permit, error) {
 	permit, displaced := w.permit, w.verdict == verdictDisplaced
 	g.waiters.put(w)
@@ -175,7 +179,8 @@
 	return permit, nil
 }
 
-// take is called with the mutex held and a slot free.
+// take occupies a slot and returns its permit. It is called with the mutex held and a
+// slot free.
 func (g *Gate) take() Permit {
 	g.inFlight++
 	g.counts.Admitted++
--- a/pkg/admission/lifecycle.go
+++ b/pkg/admission/lifecycle.go
@@ -35,7 +35,8 @@
 	g.adopt(options)
 }
 
-// adopt is called with the mutex held.
+// adopt puts new options in force: it recomputes the limit and gives slots that have become
+// free to waiters. It is called with the mutex held.
 func (g *Gate) adopt(next Options) {
 	slotsChanged := next.Slots != g.options.Slots
 	g.options = next
