--- a/pkg/retry/attempts.go
+++ b/pkg/retry/attempts.go
@@ -69,7 +69,8 @@
 	}
 	reason := outcome.ReasonOf(failure)
 	if reason == outcome.Draining {
-		// Nothing was done, and the node gets no more requests for a while.
+		// The draining node did not run the request and gets no more requests for a
+		// while, so the next attempt costs neither allowance nor budget.
 		return true
 	}
 	left, allowed := a.allowanceAfter(failure)
