--- a/pkg/balance/endpoint.go
+++ b/pkg/balance/endpoint.go
@@ -99,8 +99,9 @@
 	s.learnLoadPerRequest(load / float64(max(outstanding, 1)))
 }
 
-// learnLoadPerRequest follows the smallest load per request of our own, which is
-// seen when no other node has requests there. Concurrent updates may be lost.
+// learnLoadPerRequest updates the estimated load per request. A smaller sample replaces
+// the estimate at once, since samples are smallest when no other node has requests at the
+// endpoint; a larger one raises it by loadPerRequestDrift. Concurrent updates may be lost.
 func (s *endpointState) learnLoadPerRequest(sample float64) {
 	share := math.Float64frombits(s.loadPerRequestBits.Load())
 	if share == 0 || sample < share {
