--- a/pkg/quota/bucket.go
+++ b/pkg/quota/bucket.go
@@ -27,9 +27,9 @@
 	drawnAt        time.Duration
 	// usedAt is when the bucket was last used, requestedAt when tokens were last requested.
 	usedAt, requestedAt time.Duration
-	// missing are tokens that were requested and not available, for other hubs to be asked
-	// for. lastAsk is how many these were last asked for, lastAskAt when that was, and
-	// nextAsk when they may be asked again.
+	// missing is the number of tokens that were requested but not available; other hubs are
+	// asked for them. lastAsk is how many tokens the other hubs were last asked for,
+	// lastAskAt is when they were asked, and nextAsk is when they may be asked again.
 	missing, lastAsk   float64
 	lastAskAt, nextAsk time.Duration
 	// granted measures the rate at which tokens are taken.
--- a/pkg/quota/pool.go
+++ b/pkg/quota/pool.go
@@ -136,8 +136,8 @@
 	p.shareChanged(now)
 }
 
-// shareChanged mints for the former shares up to the given time, and for the shares held now
-// from then on.
+// shareChanged mints for the previous shares up to the given time, and for the shares held
+// now from then on.
 func (p *pool) shareChanged(at time.Duration) {
 	former := p.part
 	p.part = part{share: p.ownShare}
