--- a/pkg/quarantine/suspect.go
+++ b/pkg/quarantine/suspect.go
@@ -10,8 +10,9 @@
 	// unrelated reasons. maximumExits bounds how many exits are remembered.
 	exitMemory   = 10 * time.Second
 	maximumExits = 64
-	// fewExits and manyExits are the numbers of recent exits of workers that did not run a
-	// request from which on one and two additional crashes are required to quarantine it.
+	// fewExits and manyExits are thresholds on the number of recent exits of workers that
+	// did not run a request: from fewExits on, one additional crash is required to
+	// quarantine it, and from manyExits on, two.
 	// While one worker in four seconds ends for an unrelated reason, 0.66 of 10,000 innocent
 	// attempts lose three workers in a row, and none of 160,000 loses five
 	// (TestWaysToTellGuiltyFromInnocent).
