--- a/pkg/canary/canary_test.go
+++ b/pkg/canary/canary_test.go
@@ -33,7 +33,7 @@
 	return t
 }
 
-// simulate passes a judge rounds of 60 requests of the former version and 5 of the next.
+// simulate passes a judge rounds of 60 requests of the previous version and 5 of the next.
 // It returns how many failed or slow answers the next version had given when it was found
 // to be bad; -1 if it was not.
 func simulate(v version, seed uint64, rounds int) int {
--- a/pkg/canary/judge.go
+++ b/pkg/canary/judge.go
@@ -10,7 +10,7 @@
 	// alarm is the sum at which a version counts as bad: one of exp(alarm) good versions,
 	// about 3,000, reaches it within as many requests as it takes to detect a bad one.
 	alarm = 8.0
-	// leastFailing is the failure rate that counts as usual even if the former version has
+	// leastFailing is the failure rate that counts as usual even if the previous version has
 	// none. moreFailing is by how much more a bad version fails.
 	leastFailing = 0.01
 	moreFailing  = 0.05
@@ -19,11 +19,11 @@
 	// is the standard deviation of the logarithms of the run times of one route.
 	slowerBy  = 0.92
 	logSpread = 0.8
-	// formerRuns is how many of the latest runs of the former version define what is usual:
+	// formerRuns is how many of the latest runs of the previous version define what is usual:
 	// trouble that affects both versions alike soon counts as usual, however often Observe
 	// is called.
 	formerRuns = 300
-	// leastFormerRuns is the least number of successful runs of the former version that a
+	// leastFormerRuns is the least number of successful runs of the previous version that a
 	// comparison of run times needs.
 	leastFormerRuns = 20
 )
@@ -42,7 +42,7 @@
 	return Tally{Runs: t.Runs + other.Runs, Failed: t.Failed + other.Failed, LogTime: t.LogTime + other.LogTime}
 }
 
-// Minus returns what was added since a former tally.
+// Minus returns what was added since an earlier tally.
 func (t Tally) Minus(former Tally) Tally {
 	return Tally{Runs: t.Runs - former.Runs, Failed: t.Failed - former.Failed, LogTime: t.LogTime - former.LogTime}
 }
@@ -66,7 +66,7 @@
 // meanLogTime is the mean of the logarithms of the run times.
 func (t Tally) meanLogTime() float64 { return t.LogTime / max(t.succeeded(), 1) }
 
-// Judge compares a new version with the former one, route by route. Create one with
+// Judge compares a new version with the previous one, route by route. Create one with
 // NewJudge.
 type Judge struct {
 	routes map[string]*comparison
@@ -74,13 +74,13 @@
 
 // comparison holds the results of both versions on one route.
 type comparison struct {
-	// former is the tally of the latest runs of the former version; it defines what is usual.
+	// former is the tally of the latest runs of the previous version; it defines what is usual.
 	former Tally
 	// failures and slowness are the cumulative sums of the evidence against the new version.
 	failures, slowness float64
 }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a judge without observations.
 func NewJudge() *Judge { return &Judge{routes: map[string]*comparison{}} }
 
 // Observe adds the results of both versions on a route since the last call.
--- a/pkg/canary/rollout.go
+++ b/pkg/canary/rollout.go
@@ -8,7 +8,7 @@
 // The states. Completed and RolledBack are final.
 const (
 	Running State = iota
-	// Completed: the new version gets all requests, and none is left at the former one.
+	// Completed: the new version gets all requests, and none is left at the previous one.
 	Completed
 	// RolledBack: the new version gets no more requests.
 	RolledBack
@@ -57,8 +57,8 @@
 	Runs float64
 	// Applied reports that every node routes requests by the last decision.
 	Applied bool
-	// Drain is how long a request may still run that was given to a worker of the former
-	// version before the last decision was applied.
+	// Drain is how long a request that was given to a worker of the previous version before
+	// the last decision was applied may still run.
 	Drain time.Duration
 }
 
@@ -135,7 +135,7 @@
 	return r.current
 }
 
-// drain completes the roll-out once no request can be left at the former version, or the
+// drain completes the roll-out once no request can be left at the previous version, or the
 // deadline is close.
 func (r *Rollout) drain(seen Progress, now time.Time) {
 	if r.appliedAt.IsZero() {
