--- a/pkg/outcome/doc.go
+++ b/pkg/outcome/doc.go
@@ -3,7 +3,7 @@
 // and the errors that represent them.
 //
 // An outcome says whether the request may have run. NotRun is claimed only when
-// nothing of the request reached a worker, or when the worker itself said that
-// it refused the request before running it. When there is any doubt the
+// nothing of the request reached a worker, or when the worker itself reported
+// that it refused the request before running it. When there is any doubt the
 // outcome is Unknown.
 package outcome
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -18,7 +18,7 @@
 	// Answered: the worker's own answer follows. The header is left out then.
 	Answered Outcome = "answered"
 	// NotRun: nothing of the request reached the worker, or the worker itself
-	// said that it did not run it. The caller may send any request again.
+	// reported that it did not run it. The caller may send any request again.
 	NotRun Outcome = "not-run"
 	// Unknown: the request may have run. Only a repeatable request may be sent again.
 	Unknown Outcome = "unknown"
--- a/pkg/outcome/reason.go
+++ b/pkg/outcome/reason.go
@@ -15,9 +15,9 @@
 	Unsupported Reason = "unsupported"
 	// NoRoute: no route matches host and path.
 	NoRoute Reason = "no-route"
-	// MethodNotAllowed: routes match host and path, but none takes the method.
+	// MethodNotAllowed: routes match host and path, but none accepts the method.
 	MethodNotAllowed Reason = "method-not-allowed"
-	// OutOfScope: the route that takes the request leads to a service which the
+	// OutOfScope: the route that matches the request leads to a service which the
 	// worker beside the node is not declared to call, so the node does not hold it.
 	OutOfScope Reason = "out-of-scope"
 	// NotReady: the node has no configuration in force yet.
@@ -35,7 +35,8 @@
 	Draining Reason = "draining"
 	// RefusedByOwnWorker: the worker answered that it did not run the request.
 	RefusedByOwnWorker Reason = "refused-by-worker"
-	// Misdirected: the node asked does not serve the route.
+	// Misdirected: the node that the call was sent to does not serve the route, or cannot
+	// read the header with which nodes forward calls.
 	Misdirected Reason = "misdirected"
 	// DeadlineBeforeStart: the deadline passed before a worker was reached.
 	DeadlineBeforeStart Reason = "deadline-before-start"
