--- a/pkg/rollout/coordinator.go
+++ b/pkg/rollout/coordinator.go
@@ -27,7 +27,7 @@
 	head      Head
 	headKnown bool
 	highest   watermark
-	// regressed is set while the store returns an older state than it once did.
+	// regressed is set while the store returns an older state than it returned before.
 	regressed bool
 	// since is when the current proposal was first seen.
 	since time.Time
@@ -50,7 +50,7 @@
 }
 
 // ObserveHead records the head as read from the store. While the store returns an
-// older state than it once did, nothing is decided.
+// older state than it returned before, nothing is decided.
 func (c *Coordinator) ObserveHead(head Head, now time.Time) {
 	if _, lower := c.highest.regression(head); c.headKnown && lower {
 		c.regressed = true
--- a/pkg/rollout/readiness.go
+++ b/pkg/rollout/readiness.go
@@ -59,7 +59,8 @@
 	// Committed is the version that InForce is about.
 	Committed Version
 	InForce   MemberSum
-	// Lagging lists some of the nodes counted in neither sum they should be in.
+	// Lagging lists some of the nodes that do not run the committed version yet, at most
+	// MaxListedNodes of them.
 	Lagging []NodeReason
 }
 
