--- a/pkg/fleet/node.go
+++ b/pkg/fleet/node.go
@@ -44,8 +44,8 @@
 	// Quarantined are the requests that the node has seen crash workers and that no node
 	// runs any more.
 	Quarantined []quarantine.Verdict
-	// StoreEra is the highest era of the store whose begin the node has seen; zero when it
-	// saw none.
+	// StoreEra is the highest era of the store whose beginning the node has observed; zero
+	// when it has observed none.
 	StoreEra uint64
 }
 
