--- a/pkg/routing/scope_test.go
+++ b/pkg/routing/scope_test.go
@@ -38,8 +38,8 @@
 	return table
 }
 
-// A request whose route is out of scope is not sent to the service of a less
-// specific route that is in scope.
+// TestRequestOfARouteOutOfScopeIsNotMisrouted checks that a request whose route is out
+// of scope is not sent to the service of a less specific route that is in scope.
 func TestRequestOfARouteOutOfScopeIsNotMisrouted(t *testing.T) {
 	table := compileScope(t, snapshot.Scope{Service: "worker"},
 		serviceCalling("worker", "site"), serviceCalling("site"), serviceCalling("filings"),
@@ -118,8 +118,9 @@
 	}
 }
 
-// A route out of scope that does not accept the method does not prove that no
-// route does: another one may exist that this node does not know of.
+// TestRouteOutOfScopeDoesNotRuleOutMethods checks that a route out of scope that does
+// not accept the method is no proof that no route does: another one may exist that this
+// node does not know of.
 func TestRouteOutOfScopeDoesNotRuleOutMethods(t *testing.T) {
 	table := compileScope(t, snapshot.Scope{Service: "worker"},
 		serviceCalling("worker"), serviceCalling("filings"),
--- a/pkg/routing/tenant.go
+++ b/pkg/routing/tenant.go
@@ -60,7 +60,7 @@
 // Authenticate reports whether a request for a route may proceed, and returns the tenant
 // that sent it. The tenant is nil if the snapshot has no tenants, and for a request without
 // a key on a public route. A key that no tenant holds is refused on a public route, too: its
-// sender expects to be authenticated. keyPresent tells whether the request carries a key.
+// sender expects to be authenticated. keyPresent states whether the request carries a key.
 func (t *Table) Authenticate(route *Route, key string, keyPresent bool) (*Tenant, bool) {
 	switch {
 	case !t.HasTenants():
