--- a/pkg/topology/fanout.go
+++ b/pkg/topology/fanout.go
@@ -9,7 +9,7 @@
 )
 
 // Budget states what a relay may send and receive, and what its children cost.
-// Zero fields of cost mean the defaults.
+// A cost of zero adds nothing; there are no defaults.
 type Budget struct {
 	// BytesPerSecond bounds the control bytes that a node sends and receives
 	// together, averaged over a window of minutes.
