--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -18,7 +18,7 @@
 
 // ReadOptions control how Get answers.
 type ReadOptions struct {
-	// Consistent asks for an answer that reflects every write completed before the read.
+	// Consistent requests an answer that reflects every write completed before the read.
 	Consistent bool
 	// WaitIndex, when not zero, delays the answer until the key's index exceeds it
 	// or Wait has elapsed.
