--- a/pkg/versionstore/settle_test.go
+++ b/pkg/versionstore/settle_test.go
@@ -47,9 +47,9 @@
 	return memory.FaultNone
 }
 
-// Guards against a fault in reading back a lost write: a conflict on the second
-// write, followed by an outage, made it loop without a pause and beyond its time
-// limit.
+// TestReadBackEndsInAnOutageAfterAConflict guards against a fault in reading back a
+// lost write: a conflict on the second write, followed by an outage, made it loop
+// without a pause and beyond its time limit.
 func TestReadBackEndsInAnOutageAfterAConflict(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
