--- a/pkg/model/doc.go
+++ b/pkg/model/doc.go
@@ -1,5 +1,5 @@
-// Package model holds the three kinds of resource that operators declare
-// (Service, Route and Secret), the canonical encoding of each, and the content
+// Package model holds the kinds of resource that operators declare (Service,
+// Route, Secret and Tenant), the canonical encoding of each, and the content
 // address derived from that encoding.
 //
 // Values of this package are plain data. Once a resource has been placed in a
--- a/pkg/model/resource.go
+++ b/pkg/model/resource.go
@@ -92,11 +92,11 @@
 
 // The values of Repeatable.
 const (
-	// RepeatSafeMethods allows it for GET, HEAD, OPTIONS and TRACE. It is the default.
+	// RepeatSafeMethods allows repetition for GET, HEAD, OPTIONS and TRACE. It is the default.
 	RepeatSafeMethods Repeatable = "safe-methods"
-	// RepeatAlways allows it for every method.
+	// RepeatAlways allows repetition for every method.
 	RepeatAlways Repeatable = "always"
-	// RepeatNever allows it for no method.
+	// RepeatNever allows repetition for no method.
 	RepeatNever Repeatable = "never"
 )
 
