--- a/pkg/rollout/coordinator.go
+++ b/pkg/rollout/coordinator.go
@@ -14,8 +14,9 @@
 	// UnresponsiveBound is how long unresponsive nodes delay a proposal that at
 	// least half of the live members have staged. Zero means DefaultUnresponsiveBound.
 	UnresponsiveBound time.Duration
-	// MaximumAge is how long a proposal waits for half of the members. Zero
-	// means five times UnresponsiveBound.
+	// MaximumAge is how long a proposal waits for half of the live members to
+	// stage it. After that it is committed however few have staged it. Zero means
+	// five times UnresponsiveBound.
 	MaximumAge time.Duration
 }
 
@@ -109,7 +110,9 @@
 func (CommitVersion) isDecision() {}
 func (AbortVersion) isDecision()  {}
 
-// Decide returns what to do about the proposed version.
+// Decide returns what to do about the proposed version. One refusal aborts it. It is
+// committed once all live members have staged it; while some have not, it is committed
+// after UnresponsiveBound if at least half have, otherwise after MaximumAge.
 func (c *Coordinator) Decide(now time.Time) Decision {
 	if !c.headKnown || c.regressed || c.head.Proposed == 0 {
 		return Wait{}
--- a/pkg/rollout/floor.go
+++ b/pkg/rollout/floor.go
@@ -64,8 +64,10 @@
 // answer confirmed by the store is enough. Without one it needs a majority of
 // the zone and answers from more than half of all zones, both counted by the
 // largest view among the answers, and none of them may know of a version that could
-// have been committed without their knowledge. A coordinator commits only what
-// half of the members have staged, so at least one of the answering nodes knows of it.
+// have been committed without their knowledge. Before CoordinatorOptions.MaximumAge has
+// passed, a coordinator commits only what half of the members have staged, so at least
+// one of the answering nodes knows of it. A commit after MaximumAge, which fewer members
+// may have staged, is not covered by this argument.
 func DecideFloor(quorum FloorQuorum, answers []FloorAnswer) FloorDecision {
 	tally := floorTally{
 		zoneMembers:   quorum.ZoneMembers,
--- a/pkg/rollout/participant.go
+++ b/pkg/rollout/participant.go
@@ -86,7 +86,8 @@
 	return p.takeActions()
 }
 
-// accepts reports whether a head follows, or repeats, the one adopted last.
+// accepts reports whether a head follows, or repeats, the one adopted last. It raises an
+// alarm for a head that reverts or overwrites what was read before.
 func (p *Participant) accepts(head Head) bool {
 	if !p.headKnown {
 		return true
