--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -116,9 +116,10 @@
 	return level, false
 }
 
-// Crashed records that a worker ended while it was running a request. Level is the level
-// that was known when the run began, here or at the node that the request came from.
-// Crashed returns the report for other nodes, and whether it quarantines the request.
+// Crashed records that a worker ended while it was running a request. The parameter level
+// is the result of Table.Level when the run began, here or at the node that the request
+// came from. Crashed returns the report for other nodes, and whether it quarantines the
+// request.
 func (t *Table) Crashed(f Fingerprint, instance string, level int, now time.Time) (Report, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
