--- a/pkg/fleet/subset.go
+++ b/pkg/fleet/subset.go
@@ -9,8 +9,8 @@
 
 // Subset returns those of the given nodes to which one node sends its calls: at
 // most total of them, and of these at most near from its own zone unless the other
-// zones have too few. Each node gets its own subset, so that the load
-// spreads evenly; a node that joins or leaves changes few subsets.
+// zones have too few nodes to fill the rest. Each node gets its own subset, so that
+// the load spreads evenly; a node that joins or leaves changes few subsets.
 func Subset(nodes []*Node, self, zone string, near, total int) []*Node {
 	if len(nodes) <= total {
 		return nodes
