--- a/pkg/rollout/coordinator.go
+++ b/pkg/rollout/coordinator.go
@@ -14,8 +14,9 @@
 	// UnresponsiveBound is how long unresponsive nodes delay a proposal that at
 	// least half of the live members have staged. Zero means DefaultUnresponsiveBound.
 	UnresponsiveBound time.Duration
-	// MaximumAge is how long a proposal waits for half of the members. Zero
-	// means five times UnresponsiveBound.
+	// MaximumAge is how long a proposal waits for half of the live members to
+	// stage it. After that it is committed however few have staged it. Zero means
+	// five times UnresponsiveBound.
 	MaximumAge time.Duration
 }
 
@@ -27,7 +28,7 @@
 	head      Head
 	headKnown bool
 	highest   watermark
-	// regressed is set while the store returns an older state than it once did.
+	// regressed is set while the store returns an older state than it returned before.
 	regressed bool
 	// since is when the current proposal was first seen.
 	since time.Time
@@ -50,7 +51,7 @@
 }
 
 // ObserveHead records the head as read from the store. While the store returns an
-// older state than it once did, nothing is decided.
+// older state than it returned before, nothing is decided.
 func (c *Coordinator) ObserveHead(head Head, now time.Time) {
 	if _, lower := c.highest.regression(head); c.headKnown && lower {
 		c.regressed = true
@@ -109,7 +110,9 @@
 func (CommitVersion) isDecision() {}
 func (AbortVersion) isDecision()  {}
 
-// Decide returns what to do about the proposed version.
+// Decide returns what to do about the proposed version. One refusal aborts it. It is
+// committed once all live members have staged it; while some have not, it is committed
+// after UnresponsiveBound if at least half have, otherwise after MaximumAge.
 func (c *Coordinator) Decide(now time.Time) Decision {
 	if !c.headKnown || c.regressed || c.head.Proposed == 0 {
 		return Wait{}
