--- a/internal/hosted/agent.go
+++ b/internal/hosted/agent.go
@@ -39,7 +39,7 @@
 	Table      *fleet.Table
 	Contacts   *fleet.Contacts
 	Workers    *workers.Registry
-	// KnowsService reports whether there is a service of the name; nil takes any.
+	// KnowsService reports whether there is a service of the name; nil accepts every name.
 	KnowsService func(name string) bool
 	Source       Source
 	Directory    Directory
--- a/internal/hosted/announcer.go
+++ b/internal/hosted/announcer.go
@@ -62,7 +62,7 @@
 
 // Announcer finds the first other nodes in the store, and maintains this node's entry there if too
 // few others have one, or if the node has made drain commitments for its workers: when all nodes
-// die at once, only the store still holds them. It is a suture service.
+// crash at once, only the store still holds the commitments. It is a suture service.
 type Announcer struct {
 	directory Directory
 	table     *fleet.Table
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -6,9 +6,9 @@
 	"github.com/levertide/levertide/pkg/fleet"
 )
 
-// join finds other nodes. It reads a list that may be slightly stale, which costs a tenth: the
-// entries that matter are mostly old enough to be in it. When the list has no other node, or too
-// few while the whole mesh starts, it reads the current list.
+// join finds other nodes. It reads a list that may be slightly stale, which costs a tenth of a
+// current one; the entries that matter are mostly old enough to be in it. When the list has no other
+// node, or too few while the whole mesh starts, it reads the current list.
 func (a *Announcer) join(ctx context.Context) error {
 	before := a.newestEra()
 	listed, err := a.list(ctx, true)
--- a/internal/hosted/documents.go
+++ b/internal/hosted/documents.go
@@ -38,9 +38,9 @@
 func (d *Documents) String() string { return "documents" }
 
 // pauseFactor is the pause after a document was put in force, as a multiple of the time that this
-// took: many changes in a short time then take at most a tenth of the machine. longestPause keeps
-// every document in force within half a second; the tightest bound that operators have asked for is
-// two.
+// took: while many changes arrive in a short time, putting them in force takes at most a tenth of
+// the time. longestPause bounds the pause, so that a document is in force within half a second; the
+// tightest bound that operators have asked for is two seconds.
 const (
 	pauseFactor  = 9
 	longestPause = 500 * time.Millisecond
--- a/internal/hosted/drain_commitments.go
+++ b/internal/hosted/drain_commitments.go
@@ -7,12 +7,12 @@
 	"github.com/levertide/levertide/pkg/workers"
 )
 
-// What workers report of themselves: an acknowledged leave is a drain commitment, to give the
-// worker nothing new, whichever nodes die.
+// This file processes what workers report about themselves. An acknowledged leave is a drain
+// commitment: the worker is given nothing new, whichever nodes fail.
 
 const (
 	// commitmentHolders is how many other nodes must hold a drain commitment before it is
-	// acknowledged, and commitmentBound how long that is waited for.
+	// acknowledged, and commitmentBound the longest wait for them.
 	commitmentHolders = 2
 	commitmentBound   = 400 * time.Millisecond
 	// rejectionLogRate and rejectionLogBurst bound the log lines a second on invalid calls for
@@ -23,7 +23,7 @@
 )
 
 // Heartbeat processes a worker's heartbeat. When it returns nil the heartbeat may be acknowledged:
-// a drain commitment in it is kept from now on, whichever nodes die.
+// a drain commitment in it is kept from now on, whichever nodes fail.
 func (a *Agent) Heartbeat(ctx context.Context, heartbeat workers.Heartbeat) error {
 	if a.config.KnowsService != nil && !a.config.KnowsService(heartbeat.Service) {
 		// A worker of an unknown service would take the address of the worker beside this node.
@@ -84,8 +84,8 @@
 }
 
 // replicateCommitment sends this node's record to other nodes and to the store. It returns once
-// enough nodes hold it and the store has answered, or the time for that is over: the nodes outlast
-// this one, the store outlasts all nodes.
+// enough nodes hold it and the store has answered, or commitmentBound has passed. The copies at
+// other nodes survive a failure of this one, and the copy in the store a failure of all nodes.
 func (a *Agent) replicateCommitment(ctx context.Context) (holders int, stored bool) {
 	replication := commitmentReplication{wanted: min(commitmentHolders, len(a.peers.reachablePeers()))}
 	replication.holder = make(chan struct{}, commitmentHolders)
--- a/internal/hosted/hub.go
+++ b/internal/hosted/hub.go
@@ -13,8 +13,8 @@
 // The records of nodes are sent through one node of each zone, its hub: a node sends its record to
 // the hub, and the hub sends what it received within a short time to the hubs of the other zones
 // and to the nodes of its own. A node then gets a bounded number of messages a second, from few
-// others, however many records change. What a hub has not sent when it dies is found by the next
-// anti-entropy exchanges.
+// others, however many records change. Records that a hub has not sent when it fails are delivered
+// by the next anti-entropy exchanges.
 
 const (
 	// batchPerNode, times the nodes of the mesh, is the interval between two batches of a hub, up
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -189,8 +189,8 @@
 func (p *Peers) merge(nodes []fleet.Node, drainCommitted []*exchangepb.Worker) []fleet.Node {
 	merged := p.table.Merge(nodes)
 	for _, id := range merged.NewIncarnations {
-		// The node was lost, and others have heard from its new incarnation: it need not be probed
-		// first.
+		// The node was lost, and others have had contact with its new incarnation: it need not be
+		// probed first.
 		p.noteContact(id)
 	}
 	if p.onRolloutRecord != nil && slices.ContainsFunc(merged.Updates, func(n fleet.Node) bool { return len(n.Rollouts) > 0 }) {
--- a/internal/hosted/previous.go
+++ b/internal/hosted/previous.go
@@ -97,8 +97,9 @@
 }
 
 // queryPeers asks nodes what they know of this one, and waits for all of them: a single one may
-// have been restarted just now and lack a drain commitment that others hold. With the first of them
-// it exchanges records, too. Those that do not answer in time are lost, or have just started, too.
+// have been restarted just now and lack a drain commitment that others hold. With the first
+// firstExchanges of them it also exchanges records. Nodes that do not answer in time are lost or
+// have just started themselves.
 func (a *Agent) queryPeers(ctx context.Context, nodes []*fleet.Node) {
 	bounded, cancel := context.WithTimeout(ctx, previousBound)
 	defer cancel()
--- a/internal/hosted/quota.go
+++ b/internal/hosted/quota.go
@@ -89,15 +89,15 @@
 	return q
 }
 
-// now is the time since the process started, including the time for which the machine was
+// now returns the time since the process started, including the time for which the machine was
 // suspended.
 func (q *Quotas) now() time.Duration {
 	return time.Since(q.started) + q.suspended.add(q.config.Suspended(q.started))
 }
 
 // longestDuration is the longest of the durations that were added. How long a machine was suspended
-// is derived from the time of day as well, and decreases when that is set back; a clock that went
-// back with it would have two nodes use one share.
+// is derived from the time of day as well, and decreases when that is set back. If the clock of the
+// limits went back with it, two nodes could use the same share.
 type longestDuration struct{ nanoseconds atomic.Int64 }
 
 // add adds a duration and returns the longest one.
@@ -212,9 +212,10 @@
 }
 
 // recentHubs returns which of the other nodes of a zone that are reached may have been its hub just
-// now: all nodes choose the hub in the same order. A previous hub that is cut off from here hands
-// out the shares of ended incarnations for as long as their leases last; a new incarnation that
-// waited for its answer would refuse the requests of whole zones after each loss of power.
+// now: all nodes choose the hub in the same order. A previous hub that is cut off from here is not
+// among them, although it hands out the shares of ended incarnations for as long as their leases
+// last: a new incarnation that waited for its answer would refuse the requests of entire zones after
+// each loss of power.
 func recentHubs(reached []*fleet.Node) []string {
 	var ids []string
 	for _, n := range fleet.Hubs(reached) {
--- a/internal/hosted/reader.go
+++ b/internal/hosted/reader.go
@@ -15,9 +15,9 @@
 	// readerCount is how many nodes watch the store.
 	readerCount = 3
 	// watchWait is how long one watch is held. It bounds how long it goes unnoticed that a store
-	// became unresponsive and recovered: when all readers are cut off at once, a document is
-	// everywhere 2.25 s later at most (simulated time, 60 nodes, 120 cuts), and not within 2.5 s
-	// when watches are held for as long as that.
+	// became unresponsive and recovered. When all readers are cut off at once, a document reaches
+	// all nodes at most 2.25 s later (simulated time, 60 nodes, 120 cuts); when watches are held for
+	// 2.5 s, it does not reach them within that time.
 	watchWait = 800 * time.Millisecond
 	// secondaryWatchWait is how long the readers other than the first hold their watches. Updates
 	// arrive through a watch at once, however long it is held. That all readers are cut off has to
@@ -28,13 +28,14 @@
 	answerBound = time.Second
 	// roleInterval is how often a node checks whether it is one of the readers.
 	roleInterval = 250 * time.Millisecond
-	// retryPause is the mean pause before a store that failed is tried again, in a mesh of up to
-	// pauseNodes; in larger ones it grows with the nodes, so that all together try no more often.
+	// retryPause is the mean pause before a call to a store that failed is retried, in a mesh of up
+	// to pauseNodes; in larger ones it grows with the nodes, so that all together retry no more
+	// often.
 	retryPause = 400 * time.Millisecond
 	pauseNodes = 12
 	// peersBound is how long a node that starts waits at most for the nodes that it asks before it
-	// reads the store itself: they answer within some milliseconds, and those that are starting,
-	// too, answer at once that they have no document.
+	// reads the store itself: they answer within some milliseconds, and those that have just
+	// started themselves answer at once that they have no document.
 	peersBound = 300 * time.Millisecond
 	// firstReadPerNode, times the nodes known, is the time over which the nodes of a mesh that
 	// starts for the first time read the store, up to longestFirstRead: one of them reads every few
--- a/internal/hosted/rollout_lead.go
+++ b/internal/hosted/rollout_lead.go
@@ -44,9 +44,9 @@
 	return c
 }
 
-// decide returns the decision from now on. A final state is written to the store first: when the
-// store has a version as completed, its previous workers are stopped at once. A roll-back is
-// applied before it is written, since leaving a bad version harms nobody.
+// decide returns the decision from now on. A final state is written to the store first: once the
+// store lists a version as completed, the workers of the previous version are stopped at once. A
+// roll-back is applied before it is written, since leaving a bad version harms nobody.
 func (c *coordinator) decide(ctx context.Context, view *fleet.View, held fleet.Rollout, drain time.Duration, now time.Time) fleet.Rollout {
 	if !c.known && !c.readStatus(ctx, held) {
 		return held
@@ -96,7 +96,7 @@
 	defer cancel()
 	status, err := c.store.Status(bounded, held.Service)
 	if err != nil {
-		// The store is tried again with the next look; until then nothing is decided.
+		// The store is read again at the next check; until then nothing is decided.
 		return false
 	}
 	c.status, c.known = status, true
@@ -104,8 +104,8 @@
 }
 
 // writeStatus has the store hold the state, unless it does already. It reports whether the store
-// holds it afterwards. A write whose answer was lost is detected by its condition with the next
-// look.
+// holds it afterwards. If the answer to a write was lost, the condition of the next write, at the
+// next check, does not hold, and the answer returns the status that the lost write has left.
 func (c *coordinator) writeStatus(ctx context.Context, held fleet.Rollout, state canary.State) bool {
 	if c.status.State == state && c.status.Target == held.Target && c.status.Revision > held.Revision {
 		return true
@@ -121,7 +121,8 @@
 	return written
 }
 
-// observe passes what workers did since the last look to the judge.
+// observe passes what workers did since the last check to the judge, and returns the progress of the
+// roll-out.
 func (c *coordinator) observe(view *fleet.View, held fleet.Rollout) canary.Progress {
 	previous, next := map[string]canary.Tally{}, map[string]canary.Tally{}
 	progress := canary.Progress{Applied: true}
@@ -158,7 +159,7 @@
 	return progress
 }
 
-// since returns what a node's worker did on a route since the last look.
+// since returns what a node's worker did on a route since the last check.
 func (c *coordinator) since(n *fleet.Node, runs fleet.RouteRuns) canary.Tally {
 	key := runsKey{node: n.ID, incarnation: n.Incarnation, route: runs.Route}
 	did := runs.Tally.Minus(c.counted[key])
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -44,7 +44,7 @@
 	events   Events
 	// announce sends this node's record to the other nodes.
 	announce func(ctx context.Context)
-	// wake is signalled when there is something to look at.
+	// wake is signalled when there are new orders or records to process.
 	wake chan struct{}
 
 	mu     sync.Mutex
@@ -87,7 +87,7 @@
 	}
 }
 
-// Signal has the node look at once.
+// Signal has the node process new orders and records at once.
 func (r *Rollouts) Signal() {
 	select {
 	case r.wake <- struct{}{}:
@@ -144,10 +144,11 @@
 	return changed
 }
 
-// adoptAcross adopts an order that the store returns after it was restored from a copy. The held
-// order goes on when the store still has it or operators have written it again: what was decided on
-// it stays. An order with another target that may come from the copy is the older of the two;
-// following it would move the service back. It reports whether something changed.
+// adoptAcross adopts an order that the store returns after it was restored from a copy. When its
+// target is that of the held order, the store still has that order or operators have written it
+// again: the roll-out continues, and decisions on it remain. An order with another target that may
+// come from the copy is the older of the two; following it would move the service back. adoptAcross
+// reports whether something changed.
 func (r *Rollouts) adoptAcross(held fleet.Rollout, o Order, now time.Time) bool {
 	switch {
 	case o.Target == held.Target:
--- a/internal/hosted/standby.go
+++ b/internal/hosted/standby.go
@@ -14,7 +14,8 @@
 const (
 	// standbyCount is how many nodes monitor those before them in the order of readers, and
 	// nearStandbys how many of these, the first ones, probe all readers each time. The others probe
-	// one node: they are needed when a loss of power takes all of the former.
+	// one of the readers and first standbys each time: they are needed when a loss of power takes
+	// all of those.
 	standbyCount = 12
 	nearStandbys = 5
 	// standbyInterval is the mean time between two checks of one node. With the timeout of a
@@ -63,7 +64,9 @@
 	return order[:max(slices.Index(order, view.Self().ID), 0)]
 }
 
-// pickProbed returns which of the nodes before it a node probes; these are the readers at least.
+// pickProbed returns which of the nodes before it a standby probes. The first nearStandbys standbys
+// probe all readers, the others one random node of the readers and these standbys. At least the
+// readers must be among the nodes before it.
 func pickProbed(before []string) []string {
 	const near = readerCount + nearStandbys
 	if len(before) < near {
