--- a/internal/control/alarm_test.go
+++ b/internal/control/alarm_test.go
@@ -10,8 +10,8 @@
 
 func (a *alarmCounter) Alarm(string) { a.count++ }
 
-// Guards against repeated alarms: a node whose name was used by two processes
-// wrote the same alarm many times a second.
+// TestAlarmIsRaisedOnce guards against repeated alarms: a node whose name was used
+// by two processes wrote the same alarm many times a second.
 func TestAlarmIsRaisedOnce(t *testing.T) {
 	t.Parallel()
 	counter := &alarmCounter{}
--- a/internal/control/authoritative_test.go
+++ b/internal/control/authoritative_test.go
@@ -9,8 +9,9 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// A node is authoritative only in the larger part of the system, and only once
-// its tree has had the same root for Config.TreeSettle.
+// TestNodeIsAuthoritativeInTheLargerPartOnly checks that a node is authoritative
+// only in the larger part of the system, and only once its tree has had the same
+// root for Config.TreeSettle.
 func TestNodeIsAuthoritativeInTheLargerPartOnly(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
--- a/internal/control/below_test.go
+++ b/internal/control/below_test.go
@@ -55,8 +55,9 @@
 	}
 }
 
-// TestReportNamesNodesBelowNow checks the next report after one node came below
-// and left again before the parent was informed, and another left and came back.
+// TestReportNamesNodesBelowNow checks the next report after one node attached below
+// and detached again before the parent was informed, and another detached and
+// attached again.
 func TestReportNamesNodesBelowNow(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -40,7 +40,7 @@
 	Self membership.Record
 	// Mesh names the system that the node belongs to: at most 64 lower-case
 	// letters, digits and dashes. Messages of nodes of another mesh, which may
-	// have taken over the address of a former node, are rejected.
+	// now use an address that a node of this mesh had before, are rejected.
 	Mesh string
 	// Gateway makes the node hold every resource. It is implied by an empty Self.Service.
 	Gateway bool
--- a/internal/control/events.go
+++ b/internal/control/events.go
@@ -64,7 +64,7 @@
 // VersionInForce does nothing.
 func (NoEvents) VersionInForce(uint64, model.Digest) {}
 
-// unresponsive does nothing.
+// VersionCommitted does nothing.
 func (NoEvents) VersionCommitted(uint64, uint32) {}
 
 // VersionAborted does nothing.
--- a/internal/control/floor_zones.go
+++ b/internal/control/floor_zones.go
@@ -25,8 +25,8 @@
 	return zoneKey{region: peer.Region, zone: peer.Zone}
 }
 
-// rememberZones keeps the zones of all records before some are dropped: a zone
-// not heard of for a long time still counts among those that must answer.
+// rememberZones records the zones of all records before some are dropped: a zone
+// without known members still counts among those that must answer.
 func (t *tableState) rememberZones() {
 	for record := range t.View().All() {
 		t.pastZones[zoneOfRecord(record)] = struct{}{}
--- a/internal/control/peer_test.go
+++ b/internal/control/peer_test.go
@@ -66,7 +66,8 @@
 	return len(buffer), nil
 }
 
-// A peer that does not finish its request header must not keep a connection open.
+// TestSlowPeerIsCutOff checks that a peer that does not finish its request header
+// cannot keep a connection open.
 func TestSlowPeerIsCutOff(t *testing.T) {
 	t.Parallel()
 	m := newMesh(t)
@@ -164,8 +165,8 @@
 	}
 }
 
-// The address of a node that is gone may be reused by a node of another mesh,
-// whose messages must be rejected.
+// TestOtherMeshIsNotListenedTo checks that messages of another mesh are rejected: one
+// of its nodes may reuse the address of a node that is gone.
 func TestOtherMeshIsNotListenedTo(t *testing.T) {
 	t.Parallel()
 	other := newMesh(t).start("other", "a", "ledger")
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -15,13 +15,14 @@
 	planPause = 150 * time.Millisecond
 	// switchPause spreads over time the moves of nodes to a better parent.
 	switchPause = time.Second
-	// standInPause is how long no other node must have read the store before zone
-	// relays that are not candidates try to.
+	// standInPause is how long the store must have had no other reader before zone
+	// relays that are not candidates try to get a reader's lease.
 	standInPause = 8 * time.Second
 	// maximumSuspectDoublings bounds how much longer a peer that failed repeatedly
 	// stays out of the plan.
 	maximumSuspectDoublings = 4
-	// scopeRetention is how long a former relay keeps the full configuration.
+	// scopeRetention is how long a node that is no longer a relay keeps the full
+	// configuration.
 	scopeRetention = 30 * time.Second
 	// suspectMemory is how long after its last suspicion a peer's failures are
 	// still counted.
@@ -215,8 +216,8 @@
 	}
 }
 
-// updateScope widens the feed's scope of a relay at once, and narrows that of a
-// former relay after scopeRetention.
+// updateScope widens the feed's scope as soon as the node becomes a relay, and
+// narrows it scopeRetention after the node has ceased to be one.
 func (n *Node) updateScope(at time.Time) {
 	if n.needsFullScope() {
 		n.plan.fullScopeUntil = at.Add(scopeRetention)
--- a/internal/control/report_client.go
+++ b/internal/control/report_client.go
@@ -13,7 +13,7 @@
 
 // Pauses before a report, during which changes are collected.
 const (
-	// reportCompletePause applies when the whole subtree has reported.
+	// reportCompletePause applies when all nodes of the subtree have reported.
 	reportCompletePause = 3 * time.Millisecond
 	// reportPartialPause applies while further reports of the subtree are expected.
 	reportPartialPause = 50 * time.Millisecond
@@ -77,8 +77,8 @@
 	r.dueAt = sooner(r.dueAt, at.Add(pause))
 }
 
-// newParent schedules a report of the whole subtree, of which a new parent knows
-// nothing.
+// newParent schedules a report of the complete subtree, because a new parent knows
+// nothing of it.
 func (r *reportState) newParent(subtree []membership.Record, at time.Time) {
 	r.members = make(map[string]reportedMember, len(subtree))
 	for _, record := range subtree {
@@ -160,7 +160,7 @@
 	return record.State == membership.StateLost || record.ID == n.self.ID || n.children.below(record.ID)
 }
 
-// notBelow returns the nodes that have not come below this one again.
+// notBelow returns those of the nodes that are not below this one now.
 func (n *Node) notBelow(ids []string) []string {
 	var gone []string
 	for _, id := range ids {
