--- a/internal/telemetry/control.go
+++ b/internal/telemetry/control.go
@@ -48,7 +48,8 @@
 	end(l.begin(eventRoleChanged).Str("role", role.String()))
 }
 
-// MemberLost records that a child was not heard from within the bound.
+// MemberLost records that this node has marked another one as lost: a child, or, at the
+// root, a member outside the tree.
 func (l *Log) MemberLost(member string) { end(l.begin(eventMemberLost).Str("member", member)) }
 
 // ReaderLeaseAcquired records that this node may read the store.
@@ -65,12 +66,12 @@
 // StoreReachable records that the store answers again.
 func (l *Log) StoreReachable() { end(l.begin(eventStoreReachable)) }
 
-// StoreRegressed records that the store offers an older head than one seen before.
+// StoreRegressed records that the store returned an older head than one seen before.
 func (l *Log) StoreRegressed(err error) {
 	end(l.begin(eventStoreRegressed).Str(fieldError, err.Error()))
 }
 
-// PeerRefused records that a request of another node was turned away.
+// PeerRefused records that a message of another node was rejected.
 func (l *Log) PeerRefused(peer, reason string) {
 	end(l.begin(eventPeerRefused).Str("peer", peer).Str(fieldReason, reason))
 }
--- a/internal/telemetry/hosted_metrics.go
+++ b/internal/telemetry/hosted_metrics.go
@@ -19,8 +19,8 @@
 	// Running, Waiting and Slots are the calls that run and wait at the workers beside the
 	// node, and the slots of these workers.
 	Running, Waiting, Slots int
-	// Slowness is how long work takes at the worker beside the node, relative to the usual,
-	// as it reports itself; zero when it does not.
+	// Slowness is how long work takes at the worker beside the node, relative to the usual
+	// time, as reported by the worker; zero when it does not report it.
 	Slowness float64
 	// Transfers and WaitingTransfers are the long bodies that other nodes are sending
 	// to this one, and those that wait for their turn.
@@ -30,7 +30,7 @@
 	// Quarantined are the requests that are known to crash workers and are run nowhere,
 	// Suspected those that were in flight at a worker when it ended.
 	Quarantined, Suspected int
-	// StoreRestores counts what the node has had to do with a store that was restored from copies.
+	// StoreRestores counts the effects on the node of restores of the store from a copy.
 	StoreRestores hosted.StoreRestores
 	// Messages counts what the node has sent to others.
 	Messages hosted.Messages
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -42,10 +42,10 @@
 		Str("control_address", control).Str("admin_address", admin))
 }
 
-// Ready records that calls are taken.
+// Ready records that the node accepts calls.
 func (l *Log) Ready() { end(l.begin(eventReady)) }
 
-// Unready records that calls are not taken and why.
+// Unready records that the node does not accept calls, and why.
 func (l *Log) Unready(reason string) { end(l.begin(eventUnready).Str(fieldReason, reason)) }
 
 // StopRequested records the signal that began a planned stop.
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -18,7 +18,7 @@
 	labelState     = "state"
 )
 
-// MemberCounts counts the nodes that one node knows by their state.
+// MemberCounts counts, by state, the nodes that one node knows.
 type MemberCounts struct {
 	Live    int
 	Leaving int
