--- a/internal/hosted/broadcast.go
+++ b/internal/hosted/broadcast.go
@@ -12,10 +12,10 @@
 const (
 	// fanOut is how many nodes of its zone a node forwards an update to.
 	fanOut = 4
-	// hedgeDelay is how long a node that is sent a document may not answer before the next one of
-	// its part is sent the document, too. Nodes answer within some milliseconds. After a loss of
-	// power of many machines most nodes of a part may be unresponsive, on each level of a
-	// broadcast, and waiting for each in turn would take seconds.
+	// hedgeDelay is how long a node waits for the answer of a node to which it has sent a document
+	// before it also sends the document to the next node of the same part. Nodes answer within some
+	// milliseconds. After a loss of power of many machines most nodes of a part may be
+	// unresponsive, on each level of a broadcast, and waiting for each in turn would take seconds.
 	hedgeDelay = 100 * time.Millisecond
 )
 
@@ -78,8 +78,8 @@
 	return reachable
 }
 
-// forward sends a part of a broadcast to the first node of it that accepts it. When one does not
-// answer, the next one gets the rest.
+// forward sends an update to the first node of a part that accepts it, which forwards it to the
+// others of the part. When a node does not answer, the next one is tried.
 func (p *Peers) forward(ctx context.Context, u update, part fleet.Part) {
 	message := p.message(u, exchangepb.Reach_REACH_RANGE)
 	if len(part.Candidates) > 1 {
--- a/internal/hosted/previous.go
+++ b/internal/hosted/previous.go
@@ -31,8 +31,8 @@
 	firstExchanges = 1
 )
 
-// contactListed adds the nodes that the store lists and asks some of them. Named is set when the
-// store lists this node, too.
+// contactListed adds the nodes that the store lists and asks some of them. The parameter named is
+// set when the store lists this node, too.
 func (a *Agent) contactListed(ctx context.Context, nodes []fleet.Node, named bool) {
 	a.listed.Store(true)
 	a.config.Table.Merge(nodes)
--- a/internal/hosted/quota.go
+++ b/internal/hosted/quota.go
@@ -44,8 +44,8 @@
 // QuotaEvents receives when requests of a tenant begin and stop being refused at this node.
 type QuotaEvents interface {
 	TenantLimited(tenant string, limit quota.Limit)
-	// TenantLimitEnded reports how many requests were admitted and refused meanwhile, and over what
-	// time.
+	// TenantLimitEnded reports that requests are no longer refused, how many were admitted and
+	// refused from the first refusal to the last, and how long that took.
 	TenantLimitEnded(tenant string, admitted, refused uint64, took time.Duration)
 }
 
--- a/internal/hosted/quota_usage.go
+++ b/internal/hosted/quota_usage.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// limitEndDelay is how long no request of a tenant must have been refused until the tenant
-	// counts as no longer limited.
+	// limitEndDelay is how long after the last refusal of a request a tenant counts as no longer
+	// limited.
 	limitEndDelay = 5 * time.Second
 	// namedTenants bounds the tenants that metrics list by name; OtherTenants stands for the rest.
 	namedTenants = 100
--- a/internal/hosted/reader.go
+++ b/internal/hosted/reader.go
@@ -46,10 +46,10 @@
 	// store: running nodes answer within some milliseconds, and when all start, the zone waits for
 	// its hub.
 	hubWaitLimit = 50 * time.Millisecond
-	// hubHeadStart is how long nodes that start leave it to the hub of their zone to read the
-	// document: it takes a read of the store and one or two hops until they have it. When all nodes
-	// start at once, those that do not know each other yet would all read the store: 91 of 985
-	// nodes did with a random spread alone (simulated time).
+	// hubHeadStart is how long nodes that start wait for the hub of their zone to read and send the
+	// document, which takes one read of the store and one or two hops. When all nodes start at
+	// once, those that do not know each other yet would all read the store: 91 of 985 nodes did
+	// with a random spread alone (simulated time).
 	hubHeadStart = 150 * time.Millisecond
 	// restartReadPerNode, times the nodes known, is the time over which nodes that start
 	// simultaneously read the store, up to longestRestartRead: a few milliseconds after the first
@@ -105,8 +105,8 @@
 			r.after = Position{}
 			sleep(ctx, roleInterval)
 		case r.after != Position{} && !r.waited:
-			// A node that has just started knows nobody, and would watch although others read on
-			// behalf of all.
+			// A node that has just started knows no others, and would watch the store although
+			// others read it on behalf of all.
 			r.waited = true
 			sleep(ctx, roleInterval)
 		default:
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -106,7 +106,8 @@
 	r.Signal()
 }
 
-// look updates this node's decisions from orders and records, and makes those that are its to make.
+// look updates this node's decisions from orders and records, and makes the decisions of the
+// coordinator if this node is the coordinator.
 func (r *Rollouts) look(ctx context.Context, now time.Time) {
 	changed := r.adoptOrders(now)
 	view := r.table.View()
--- a/internal/hosted/standby.go
+++ b/internal/hosted/standby.go
@@ -26,8 +26,8 @@
 
 // Standby has the nodes that are next in line to read the store probe those before them. A node
 // takes a reader's place only when it has itself found the reader to be lost, and most nodes have
-// no other reason to contact these nodes: when all readers are lost at once, nobody would read the
-// store. It is a suture service.
+// no other reason to contact these nodes: without the probes, no node would read the store after
+// all readers are lost at once. It is a suture service.
 type Standby struct {
 	peers    *Peers
 	table    *fleet.Table
--- a/internal/hosted/syncer.go
+++ b/internal/hosted/syncer.go
@@ -12,7 +12,7 @@
 	// syncInterval is the mean time between two anti-entropy exchanges.
 	syncInterval = time.Second
 	// firstSyncInterval is the mean time between two exchanges during firstSyncTime after the start
-	// of a node: when a whole mesh starts, nobody knows all nodes.
+	// of a node: when the whole mesh starts, no node knows all others.
 	firstSyncInterval = 250 * time.Millisecond
 	firstSyncTime     = 3 * time.Second
 	// nearShare is the share of exchanges within the own zone.
