--- a/internal/hosted/restored_test.go
+++ b/internal/hosted/restored_test.go
@@ -1,19 +1,20 @@
 //go:build !race
 
-// With the race detector, Go 1.26.8 crashes in a bubble when a timer is already due
-// as its channel is selected; scripts/go-test.sh plays these tests without it.
+// With the race detector, Go 1.26.8 crashes in a synctest bubble when a timer is already due
+// as its channel is selected; scripts/go-test.sh runs these tests without it.
 
 package hosted_test
 
-// The platform's store was unavailable for two seconds and was restored from a copy. Its revisions
+// These tests guard against documents that are ignored after the platform's store was restored from
+// a copy. In one run the store was unavailable for two seconds and was then restored. Its revisions
 // began again below those that it had given out before, and two documents that operators wrote then
 // were acknowledged under such revisions. All nodes held a document with a higher revision, took
 // the new documents to be older than theirs, and passed them over without logging it, until a third
 // document exceeded the revision that they held. For 2.8 s calls were handled by a version that
 // operators had replaced twice.
 //
-// The readers were running all the time: they lost the store while they watched from revision 20,
-// and each ended a watch at the moment of each write.
+// The readers were running all the time: they lost contact with the store while they watched from
+// revision 20, and a watch of each reader ended at the moment of each write.
 //
 //	16.0129 "store unreachable","error":"hosted.unanswered: /api/kv-watch?after=20&..."
 //	18.5512 "store reachable"
--- a/internal/hosted/simulated_test.go
+++ b/internal/hosted/simulated_test.go
@@ -1,7 +1,7 @@
 //go:build !race
 
-// With the race detector, Go 1.26.8 crashes in a bubble when a timer is already due
-// as its channel is selected; scripts/go-test.sh plays these tests without it.
+// With the race detector, Go 1.26.8 crashes in a synctest bubble when a timer is already due
+// as its channel is selected; scripts/go-test.sh runs these tests without it.
 
 package hosted_test
 
