--- a/internal/command/applied/describe.go
+++ b/internal/command/applied/describe.go
@@ -40,5 +40,5 @@
 	return text
 }
 
-// FindOut returns the command that tells later what became of an apply.
-func FindOut(applyID string) string { return "levertide history --apply-id " + applyID }
+// HistoryCommand returns the command that tells later what became of an apply.
+func HistoryCommand(applyID string) string { return "levertide history --apply-id " + applyID }
--- a/internal/command/apply/propose.go
+++ b/internal/command/apply/propose.go
@@ -30,7 +30,7 @@
 }
 
 func (a *attempt) notProposed(ctx context.Context, err error) Report {
-	switch code := exit.OfWrite(err); code {
+	switch code := exit.CodeOfWrite(err); code {
 	case exit.Conflict:
 		return a.refused(ctx, err)
 	case exit.Unknown:
--- a/internal/command/apply/report.go
+++ b/internal/command/apply/report.go
@@ -42,7 +42,7 @@
 func (r Report) with(code exit.Code, message string) Report {
 	r.Outcome = console.Done(code, message)
 	if code == exit.Unknown && r.ApplyID != "" {
-		r.FindOut = applied.FindOut(r.ApplyID)
+		r.FindOut = applied.HistoryCommand(r.ApplyID)
 		r.Message += "; find out with: " + r.FindOut
 	}
 	return r
--- a/internal/command/apply/run.go
+++ b/internal/command/apply/run.go
@@ -53,7 +53,7 @@
 // apply may have written nevertheless.
 func notOpened(chosen options, err error) Report {
 	if chosen.applyID == "" {
-		return Report{}.with(exit.OfRead(err), "nothing was written: "+err.Error())
+		return Report{}.with(exit.CodeOfRead(err), "nothing was written: "+err.Error())
 	}
 	return Report{ApplyID: chosen.applyID}.with(exit.Unknown, earlierAttempt+err.Error())
 }
@@ -142,7 +142,7 @@
 	}
 	base, err := a.versions.Version(ctx, a.report.Base, nil)
 	if err != nil {
-		return a.stop(exit.OfRead(err), "nothing was written: "+err.Error())
+		return a.stop(exit.CodeOfRead(err), "nothing was written: "+err.Error())
 	}
 	a.report.Changes = changes.Between(base, target)
 	if len(a.report.Changes) == 0 {
@@ -168,7 +168,7 @@
 	a.versions.ObserveHead(controlpb.HeadOf(answer.GetHead()))
 	head, _, err := a.versions.ReadHead(ctx, true)
 	if err != nil {
-		return a.stop(exit.OfRead(err), "nothing was written: "+err.Error()+restoreHint(err))
+		return a.stop(exit.CodeOfRead(err), "nothing was written: "+err.Error()+restoreHint(err))
 	}
 	a.versions.Head = head
 	return nil
--- a/internal/command/connect/node.go
+++ b/internal/command/connect/node.go
@@ -99,7 +99,7 @@
 
 // clientTLS reads the files once: a command ends before they would change.
 func clientTLS(files identity.Files) (*tls.Config, error) {
-	keeper, err := identity.NewKeeper(files, silentEvents{}, identity.DefaultPollInterval)
+	keeper, err := identity.NewReloader(files, silentEvents{}, identity.DefaultPollInterval)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/command/diff/diff.go
+++ b/internal/command/diff/diff.go
@@ -107,5 +107,5 @@
 }
 
 func failed(err error) Report {
-	return Report{Outcome: console.Done(exit.OfRead(err), err.Error()), Changes: []changes.Change{}}
+	return Report{Outcome: console.Done(exit.CodeOfRead(err), err.Error()), Changes: []changes.Change{}}
 }
--- a/internal/command/exit/exit.go
+++ b/internal/command/exit/exit.go
@@ -63,9 +63,9 @@
 // UsageError tells that the command line is wrong.
 func UsageError(message string) error { return &Failure{Code: Usage, Message: message} }
 
-// OfWrite returns the code for an error of a request that may have written.
+// CodeOfWrite returns the code for an error of a request that may have written.
 // What is not known to have had no effect is Unknown.
-func OfWrite(err error) Code {
+func CodeOfWrite(err error) Code {
 	switch {
 	case err == nil:
 		return Accepted
@@ -80,8 +80,8 @@
 	}
 }
 
-// OfRead returns the code for an error of a request that writes nothing.
-func OfRead(err error) Code {
+// CodeOfRead returns the code for an error of a request that writes nothing.
+func CodeOfRead(err error) Code {
 	switch {
 	case err == nil:
 		return Accepted
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -27,7 +27,7 @@
 type Report struct {
 	console.Outcome
 	Request string `json:"request"`
-	Story
+	Explanation
 }
 
 // WriteText implements console.Report.
@@ -35,7 +35,7 @@
 	for _, part := range []struct {
 		title string
 		lines []Line
-	}{{"the request", r.Calls}, {"what the nodes on its way believed", r.Beliefs}} {
+	}{{"the request", r.Calls}, {"what the nodes on its way believed", r.StateChanges}} {
 		if len(part.lines) == 0 {
 			continue
 		}
@@ -49,8 +49,8 @@
 // fieldsOf writes the fields of a line that say something.
 func fieldsOf(line Line) string {
 	var text strings.Builder
-	for _, field := range slices.Sorted(maps.Keys(line.Field)) {
-		value := fmt.Sprint(line.Field[field])
+	for _, field := range slices.Sorted(maps.Keys(line.Fields)) {
+		value := fmt.Sprint(line.Fields[field])
 		if value != "" && value != "false" && field != "request" {
 			_, _ = fmt.Fprintf(&text, " %s=%s", field, value)
 		}
@@ -87,7 +87,7 @@
 
 func report(lines []Line, request string) Report {
 	story, found := tell(sorted(lines), request)
-	answer := Report{Request: request, Story: story}
+	answer := Report{Request: request, Explanation: story}
 	if !found {
 		answer.Outcome = console.Done(exit.Rejected, "no line names request "+request+": it was served at the first attempt, or its lines were dropped")
 		return answer
--- a/internal/command/explain/story.go
+++ b/internal/command/explain/explanation.go
@@ -57,18 +57,18 @@
 	outcome.InvalidAnswer:       "the worker answered with what belongs to another request; the call may have run",
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Explanation is what the logs tell of one request.
+type Explanation struct {
 	// Calls are the lines of the request itself, Beliefs what the nodes on its
 	// way came to believe shortly before.
-	Calls   []Line `json:"calls"`
-	Beliefs []Line `json:"beliefs"`
-	Cause   string `json:"cause"`
+	Calls        []Line `json:"calls"`
+	StateChanges []Line `json:"beliefs"`
+	Cause        string `json:"cause"`
 }
 
 // tell puts the story of a request together; false when no line names it.
-func tell(lines []Line, request string) (Story, bool) {
-	var story Story
+func tell(lines []Line, request string) (Explanation, bool) {
+	var story Explanation
 	involved, fingerprints := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
 		if line.text("request") != request {
@@ -84,7 +84,7 @@
 		}
 	}
 	if len(story.Calls) == 0 {
-		return Story{}, false
+		return Explanation{}, false
 	}
 	first := story.Calls[0].Time.Add(-beliefWindow)
 	last := story.Calls[len(story.Calls)-1].Time
@@ -93,7 +93,7 @@
 		bears := beliefs[line.Event] && near && (involved[line.Node] || involved[line.text("peer")])
 		returned := storeReturns[line.Event] && involved[line.Node] && line.Time.After(first.Add(beliefWindow-storeWindow))
 		if bears || (returned || tellsOf(line, fingerprints)) && !line.Time.After(last) {
-			story.Beliefs = append(story.Beliefs, line)
+			story.StateChanges = append(story.StateChanges, line)
 		}
 	}
 	story.Cause = causeOf(story.Calls)
--- a/internal/command/explain/lines.go
+++ b/internal/command/explain/lines.go
@@ -15,17 +15,17 @@
 
 // Line is one event of a log.
 type Line struct {
-	Time  time.Time      `json:"time"`
-	Node  string         `json:"node"`
-	Event int            `json:"event"`
-	Name  string         `json:"name"`
-	Level string         `json:"level"`
-	Field map[string]any `json:"fields"`
+	Time   time.Time      `json:"time"`
+	Node   string         `json:"node"`
+	Event  int            `json:"event"`
+	Name   string         `json:"name"`
+	Level  string         `json:"level"`
+	Fields map[string]any `json:"fields"`
 }
 
 // text returns a field that is a text; empty when there is none.
 func (l Line) text(name string) string {
-	value, _ := l.Field[name].(string)
+	value, _ := l.Fields[name].(string)
 	return value
 }
 
@@ -52,11 +52,11 @@
 	if json.Unmarshal(encoded, &line) != nil || line.Event == 0 {
 		return Line{}, false
 	}
-	if json.Unmarshal(encoded, &line.Field) != nil {
+	if json.Unmarshal(encoded, &line.Fields) != nil {
 		return Line{}, false
 	}
 	for _, name := range []string{"time", "node", "event", "name", "level", "message"} {
-		delete(line.Field, name)
+		delete(line.Fields, name)
 	}
 	return line, true
 }
--- a/internal/command/history/history.go
+++ b/internal/command/history/history.go
@@ -78,7 +78,7 @@
 }
 
 func failed(err error) console.Report {
-	return console.Failed{Outcome: console.Done(exit.OfRead(err), err.Error())}
+	return console.Failed{Outcome: console.Done(exit.CodeOfRead(err), err.Error())}
 }
 
 // Report lists versions, the newest first.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,7 +28,7 @@
 type Daemon struct {
 	settings    settings.Settings
 	log         *telemetry.Log
-	keeper      *identity.Keeper
+	keeper      *identity.Reloader
 	store       *consul.Client
 	node        *control.Node
 	plane       *dataplane.Plane
@@ -124,7 +124,7 @@
 		Seeds:       d.settings.Seeds,
 		FanOut:      d.settings.FanOut,
 		Hold:        d.settings.Hold,
-		SilentBound: d.settings.SilentBound,
+		SilentBound: d.settings.UnresponsiveBound,
 		Listener:    d.listeners.control,
 		Dial:        dialer(d.settings.Source()),
 		Store:       d.store,
--- a/internal/daemon/network.go
+++ b/internal/daemon/network.go
@@ -128,7 +128,7 @@
 		return nil
 	}
 	files := identity.Files{Authorities: d.settings.TLSCA, Certificate: d.settings.TLSCert, Key: d.settings.TLSKey}
-	keeper, err := identity.NewKeeper(files, d.log, identity.DefaultPollInterval)
+	keeper, err := identity.NewReloader(files, d.log, identity.DefaultPollInterval)
 	if err != nil {
 		return err
 	}
--- a/internal/dataplane/peer.go
+++ b/internal/dataplane/peer.go
@@ -27,7 +27,7 @@
 	c.relay.close()
 	c.setStatusHeaders()
 	if err != nil {
-		if known := evidencewire.Header(c.plane.config.Quarantine, time.Now()); known != "" {
+		if known := evidencewire.EncodeHeader(c.plane.config.Quarantine, time.Now()); known != "" {
 			c.writer.Header()[evidenceHeader] = []string{known}
 		}
 		c.fail(err)
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -118,11 +118,11 @@
 	if p.config.Quarantine.Empty() || !p.evidenceSent.due(address, now) {
 		return
 	}
-	header[evidenceHeader] = []string{evidencewire.Header(p.config.Quarantine, now)}
+	header[evidenceHeader] = []string{evidencewire.EncodeHeader(p.config.Quarantine, now)}
 }
 
 // receiveEvidence adopts the evidence that another node sent in the header of a call or of an
 // answer.
 func (p *Plane) receiveEvidence(header http.Header) {
-	evidencewire.TakeHeader(p.config.Quarantine, header.Get(evidenceHeader), time.Now())
+	evidencewire.MergeHeader(p.config.Quarantine, header.Get(evidenceHeader), time.Now())
 }
--- a/internal/evidencewire/evidence.go
+++ b/internal/evidencewire/evidence.go
@@ -12,8 +12,8 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// Reports returns the messages of reports.
-func Reports(reports []quarantine.Report) []*exchangepb.Evidence {
+// EncodeReports returns the messages of reports.
+func EncodeReports(reports []quarantine.Report) []*exchangepb.Evidence {
 	messages := make([]*exchangepb.Evidence, 0, len(reports))
 	for _, r := range reports {
 		messages = append(messages, &exchangepb.Evidence{
@@ -24,8 +24,8 @@
 	return messages
 }
 
-// ReportsOf reads messages; those of newer programs that cannot be read are left out.
-func ReportsOf(messages []*exchangepb.Evidence) []quarantine.Report {
+// DecodeReports reads messages; those of newer programs that cannot be read are left out.
+func DecodeReports(messages []*exchangepb.Evidence) []quarantine.Report {
 	reports := make([]quarantine.Report, 0, len(messages))
 	for _, message := range messages {
 		f, ok := quarantine.ParseFingerprint(message.GetFingerprint())
@@ -40,8 +40,8 @@
 	return reports
 }
 
-// Verdicts returns the messages of verdicts.
-func Verdicts(list []quarantine.Verdict) []*exchangepb.Quarantine {
+// EncodeVerdicts returns the messages of verdicts.
+func EncodeVerdicts(list []quarantine.Verdict) []*exchangepb.Quarantine {
 	var messages []*exchangepb.Quarantine
 	for _, v := range list {
 		messages = append(messages, &exchangepb.Quarantine{
@@ -51,8 +51,8 @@
 	return messages
 }
 
-// VerdictsOf reads messages; those of newer programs that cannot be read are left out.
-func VerdictsOf(messages []*exchangepb.Quarantine) []quarantine.Verdict {
+// DecodeVerdicts reads messages; those of newer programs that cannot be read are left out.
+func DecodeVerdicts(messages []*exchangepb.Quarantine) []quarantine.Verdict {
 	var list []quarantine.Verdict
 	for _, message := range messages {
 		f, ok := quarantine.ParseFingerprint(message.GetFingerprint())
@@ -70,15 +70,15 @@
 // headerEvidence bounds the pieces of evidence in a header, some 80 bytes each.
 const headerEvidence = 8
 
-// Header returns what a table knows as the value of a header; empty when it knows nothing.
-func Header(table *quarantine.Table, now time.Time) string {
+// EncodeHeader returns what a table knows as the value of a header; empty when it knows nothing.
+func EncodeHeader(table *quarantine.Table, now time.Time) string {
 	if table.Empty() {
 		return ""
 	}
 	verdicts := table.Verdicts(now)
 	known := &exchangepb.Known{
-		Evidence:    Reports(table.Reports(headerEvidence, now)),
-		Quarantined: Verdicts(verdicts[max(len(verdicts)-headerEvidence, 0):]),
+		Evidence:    EncodeReports(table.Reports(headerEvidence, now)),
+		Quarantined: EncodeVerdicts(verdicts[max(len(verdicts)-headerEvidence, 0):]),
 	}
 	encoded, err := proto.Marshal(known)
 	if err != nil {
@@ -87,9 +87,9 @@
 	return base64.StdEncoding.EncodeToString(encoded)
 }
 
-// TakeHeader has a table take what a header of another node tells. A header that cannot be
+// MergeHeader has a table take what a header of another node tells. A header that cannot be
 // read, as one of a newer program, tells nothing.
-func TakeHeader(table *quarantine.Table, value string, now time.Time) {
+func MergeHeader(table *quarantine.Table, value string, now time.Time) {
 	if value == "" {
 		return
 	}
@@ -101,6 +101,6 @@
 	if proto.Unmarshal(encoded, &known) != nil {
 		return
 	}
-	table.Merge(ReportsOf(known.GetEvidence()), now)
-	table.Restore(VerdictsOf(known.GetQuarantined()), false, now)
+	table.Merge(DecodeReports(known.GetEvidence()), now)
+	table.Restore(DecodeVerdicts(known.GetQuarantined()), false, now)
 }
--- a/internal/hosted/convert.go
+++ b/internal/hosted/convert.go
@@ -29,7 +29,7 @@
 		Workers:        workerMessages(node.Workers),
 		Capacity:       uint32(node.Capacity),
 		Rollouts:       rolloutMessages(node.Rollouts),
-		Quarantined:    evidencewire.Verdicts(node.Quarantined),
+		Quarantined:    evidencewire.EncodeVerdicts(node.Quarantined),
 		StoreEra:       node.StoreEra,
 	}
 }
@@ -48,7 +48,7 @@
 		Workers:        workersOf(message.GetWorkers()),
 		Capacity:       int(message.GetCapacity()),
 		Rollouts:       rolloutsOf(message.GetRollouts()),
-		Quarantined:    evidencewire.VerdictsOf(message.GetQuarantined()),
+		Quarantined:    evidencewire.DecodeVerdicts(message.GetQuarantined()),
 		StoreEra:       message.GetStoreEra(),
 	}
 }
--- a/internal/hosted/evidence.go
+++ b/internal/hosted/evidence.go
@@ -81,7 +81,7 @@
 	e.waiting = nil
 	e.mu.Unlock()
 	e.review(sourceOwnWorker)
-	e.agent.peers.announce(ctx, news{evidence: evidencewire.Reports(reports)})
+	e.agent.peers.announce(ctx, news{evidence: evidencewire.EncodeReports(reports)})
 }
 
 // take takes what another node tells.
@@ -89,7 +89,7 @@
 	if len(messages) == 0 {
 		return
 	}
-	e.table.Merge(evidencewire.ReportsOf(messages), time.Now())
+	e.table.Merge(evidencewire.DecodeReports(messages), time.Now())
 	e.review(sourceEvidence)
 }
 
@@ -99,12 +99,12 @@
 // held returns evidence and all decisions, for another node.
 func (e *evidence) held() ([]*exchangepb.Evidence, []*exchangepb.Quarantine) {
 	now := time.Now()
-	return evidencewire.Reports(e.table.Reports(comparedEvidence, now)), evidencewire.Verdicts(e.table.Verdicts(now))
+	return evidencewire.EncodeReports(e.table.Reports(comparedEvidence, now)), evidencewire.EncodeVerdicts(e.table.Verdicts(now))
 }
 
 // takeDecisions takes what another node holds to be decided.
 func (e *evidence) takeDecisions(messages []*exchangepb.Quarantine) {
-	if len(e.table.Restore(evidencewire.VerdictsOf(messages), false, time.Now())) > 0 {
+	if len(e.table.Restore(evidencewire.DecodeVerdicts(messages), false, time.Now())) > 0 {
 		e.review(sourceComparison)
 	}
 }
--- a/internal/identity/files.go
+++ b/internal/identity/files.go
@@ -25,9 +25,9 @@
 	CertificatesFailed(err error)
 }
 
-// Keeper holds the certificates of one node and reads them again when the
+// Reloader holds the certificates of one node and reads them again when the
 // files change. It is a suture service.
-type Keeper struct {
+type Reloader struct {
 	files   Files
 	events  Events
 	poll    time.Duration
@@ -48,9 +48,9 @@
 	size     int64
 }
 
-// NewKeeper reads the files for the first time. ErrFiles tells that they cannot be used.
-func NewKeeper(files Files, events Events, poll time.Duration) (*Keeper, error) {
-	keeper := &Keeper{files: files, events: events, poll: poll, stamp: files.stamp()}
+// NewReloader reads the files for the first time. ErrFiles tells that they cannot be used.
+func NewReloader(files Files, events Events, poll time.Duration) (*Reloader, error) {
+	keeper := &Reloader{files: files, events: events, poll: poll, stamp: files.stamp()}
 	loaded, err := files.load()
 	if err != nil {
 		return nil, err
@@ -60,10 +60,10 @@
 }
 
 // Identity returns what the node's own certificate says.
-func (k *Keeper) Identity() Identity { return k.current.Load().identity }
+func (k *Reloader) Identity() Identity { return k.current.Load().identity }
 
 // Serve looks at the files until the context ends.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (k *Reloader) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(k.poll)
 	defer ticker.Stop()
 	for {
@@ -77,11 +77,11 @@
 }
 
 // String names the part in events.
-func (k *Keeper) String() string { return "certificates" }
+func (k *Reloader) String() string { return "certificates" }
 
 // refresh keeps the former certificates when the new ones cannot be used, as
 // while one of two files has been replaced.
-func (k *Keeper) refresh() {
+func (k *Reloader) refresh() {
 	latest := k.files.stamp()
 	if latest == k.stamp {
 		return
@@ -105,7 +105,7 @@
 	return ErrMismatch.New("the new certificate is for %s, not for %s", offered, held)
 }
 
-func (k *Keeper) use(loaded *material) {
+func (k *Reloader) use(loaded *material) {
 	k.current.Store(loaded)
 	k.events.CertificatesLoaded(loaded.identity.String(), loaded.certificate.Leaf.NotAfter)
 }
--- a/internal/identity/tls.go
+++ b/internal/identity/tls.go
@@ -8,7 +8,7 @@
 // Mutual returns a server configuration that demands a certificate of one of
 // the roles from each client. Certificates and authorities are those of the
 // moment of each handshake.
-func (k *Keeper) Mutual(roles ...Role) *tls.Config {
+func (k *Reloader) Mutual(roles ...Role) *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS13,
 		ClientAuth:     tls.RequireAnyClientCert,
@@ -21,14 +21,14 @@
 
 // Server returns a server configuration that asks clients for no certificate,
 // for callers outside the mesh.
-func (k *Keeper) Server() *tls.Config {
+func (k *Reloader) Server() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: k.serverCertificate}
 }
 
 // Client returns a client configuration that shows the node's certificate and
 // accepts servers with the role of a node. Servers are known by the identity in
 // their certificate, not by a host name.
-func (k *Keeper) Client() *tls.Config {
+func (k *Reloader) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		// The chain is verified in VerifyConnection, against authorities that may change.
@@ -42,11 +42,11 @@
 	}
 }
 
-func (k *Keeper) serverCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+func (k *Reloader) serverCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	return &k.current.Load().certificate, nil
 }
 
-func (k *Keeper) verify(state tls.ConnectionState, usage x509.ExtKeyUsage, roles []Role) error {
+func (k *Reloader) verify(state tls.ConnectionState, usage x509.ExtKeyUsage, roles []Role) error {
 	if _, err := RequireRole(&state, roles...); err != nil {
 		return err
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -63,7 +63,7 @@
 		{"store-address", "servers of the platform's key-value service", "comma-separated list or YAML list of at least one; each IP:port or http(s)://IP:port", "", func(s *Settings) flag.Value { return (*listValue)(&s.StoreAddresses) }},
 		{"fan-out", "children of one relay; 0 works it out from the byte budget", "whole number from 0 to 256", "0", func(s *Settings) flag.Value { return (*numberValue)(&s.FanOut) }},
 		{"hold", "how long a watch may be held before it is answered", allowedBound, "3s", func(s *Settings) flag.Value { return (*durationValue)(&s.Hold) }},
-		{"silent-bound", "how long silent nodes may hold up a rollout", allowedBound, "2s", func(s *Settings) flag.Value { return (*durationValue)(&s.SilentBound) }},
+		{"silent-bound", "how long silent nodes may hold up a rollout", allowedBound, "2s", func(s *Settings) flag.Value { return (*durationValue)(&s.UnresponsiveBound) }},
 		{"drain-bound", "how long a planned stop waits for calls in flight", "duration from 0s to 1h", "10m", func(s *Settings) flag.Value { return (*durationValue)(&s.DrainBound) }},
 		{"heartbeat-interval", "how often a worker tells of itself; hosted mode", allowedBound, "1500ms", func(s *Settings) flag.Value { return (*durationValue)(&s.HeartbeatInterval) }},
 		{"stop-notice", "how long a node that stops still takes calls; hosted mode", "duration from 0s to 10m", "2300ms", func(s *Settings) flag.Value { return (*durationValue)(&s.StopNotice) }},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,8 +62,8 @@
 	FanOut int `key:"fan-out" validate:"min=0,max=256"`
 	// Hold is how long a relay holds back the answer to a watch.
 	Hold time.Duration `key:"hold" validate:"min=100ms,max=60s"`
-	// SilentBound is how long silent nodes may hold up a rollout.
-	SilentBound time.Duration `key:"silent-bound" validate:"min=100ms,max=60s"`
+	// UnresponsiveBound is how long silent nodes may hold up a rollout.
+	UnresponsiveBound time.Duration `key:"silent-bound" validate:"min=100ms,max=60s"`
 	// DrainBound is how long a planned stop waits for calls in flight.
 	DrainBound time.Duration `key:"drain-bound" validate:"min=0s,max=1h"`
 	// MaxResources is the largest version that the node accepts.
