--- a/cmd/levertided/main.go
+++ b/cmd/levertided/main.go
@@ -101,8 +101,8 @@
 }
 
 func runUntilSignal(events *telemetry.Log, run func(context.Context, func() string) error) int {
-	stopping, signals := notify()
-	if err := run(stopping, signals); err != nil {
+	stopping, signalName := notify()
+	if err := run(stopping, signalName); err != nil {
 		events.PartFailed("node", err.Error())
 		return exitFailed
 	}
--- a/internal/command/apply/propose.go
+++ b/internal/command/apply/propose.go
@@ -71,7 +71,7 @@
 	a.report.Current = head.Committed
 	message := fmt.Sprintf("nothing was applied: the set is based on version %d, but version %d is committed",
 		a.report.Base, head.Committed)
-	moved, err := a.movedSince(ctx, head)
+	moved, err := a.changesSince(ctx, head)
 	if err != nil {
 		return a.report.with(exit.Conflict, message+"; what changed in between cannot be shown: "+err.Error())
 	}
@@ -80,7 +80,7 @@
 		message, changes.Summary(moved), head.Committed))
 }
 
-func (a *attempt) movedSince(ctx context.Context, head rollout.Head) ([]changes.Change, error) {
+func (a *attempt) changesSince(ctx context.Context, head rollout.Head) ([]changes.Change, error) {
 	base, err := a.versions.Version(ctx, a.report.Base, nil)
 	if err != nil {
 		return nil, err
--- a/internal/command/apply/run.go
+++ b/internal/command/apply/run.go
@@ -55,10 +55,10 @@
 	if chosen.applyID == "" {
 		return Report{}.with(exit.CodeOfRead(err), "nothing was written: "+err.Error())
 	}
-	return Report{ApplyID: chosen.applyID}.with(exit.Unknown, earlierAttempt+err.Error())
+	return Report{ApplyID: chosen.applyID}.with(exit.Unknown, earlierAttemptText+err.Error())
 }
 
-const earlierAttempt = "this attempt has written nothing, but the earlier one may have: "
+const earlierAttemptText = "this attempt has written nothing, but the earlier one may have: "
 
 func (a *attempt) run(ctx context.Context) Report {
 	if a.options.applyID != "" {
@@ -73,7 +73,7 @@
 	state, err := a.versions.Resolve(ctx, a.options.applyID)
 	if err != nil {
 		a.report.ApplyID = a.options.applyID
-		return a.report.with(exit.Unknown, earlierAttempt+err.Error())
+		return a.report.with(exit.Unknown, earlierAttemptText+err.Error())
 	}
 	if state.Phase == versionstore.ApplyNotWritten {
 		return a.start(ctx)
--- a/internal/command/connect/head.go
+++ b/internal/command/connect/head.go
@@ -13,7 +13,7 @@
 func (n *Nodes) NewestHead(ctx context.Context) (rollout.Head, error) {
 	var newest rollout.Head
 	for _, address := range n.addresses {
-		answer, err := n.ask(ctx, address)
+		answer, err := n.requestStatus(ctx, address)
 		if err != nil {
 			return rollout.Head{}, fmt.Errorf("%s: %w", address, err)
 		}
--- a/internal/command/connect/node.go
+++ b/internal/command/connect/node.go
@@ -99,24 +99,24 @@
 
 // clientTLS reads the files once: a command ends before they would change.
 func clientTLS(files identity.Files) (*tls.Config, error) {
-	keeper, err := identity.NewReloader(files, silentEvents{}, identity.DefaultPollInterval)
+	reloader, err := identity.NewReloader(files, discardEvents{}, identity.DefaultPollInterval)
 	if err != nil {
 		return nil, err
 	}
-	return keeper.Client(), nil
+	return reloader.Client(), nil
 }
 
-// silentEvents leaves out events: errors of the first reading are returned.
-type silentEvents struct{}
+// discardEvents leaves out events: errors of the first reading are returned.
+type discardEvents struct{}
 
-func (silentEvents) CertificatesLoaded(string, time.Time) {}
-func (silentEvents) CertificatesFailed(error)             {}
+func (discardEvents) CertificatesLoaded(string, time.Time) {}
+func (discardEvents) CertificatesFailed(error)             {}
 
 // Status asks one node after the other and returns the first answer.
 func (n *Nodes) Status(ctx context.Context) (*controlpb.StatusResponse, error) {
 	last := errNoNode
 	for _, address := range n.addresses {
-		answer, err := n.ask(ctx, address)
+		answer, err := n.requestStatus(ctx, address)
 		if err == nil {
 			return answer, nil
 		}
@@ -125,7 +125,7 @@
 	return nil, last
 }
 
-func (n *Nodes) ask(ctx context.Context, address string) (*controlpb.StatusResponse, error) {
+func (n *Nodes) requestStatus(ctx context.Context, address string) (*controlpb.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, nodeTimeout)
 	defer cancel()
 	prefix := twirp.WithClientPathPrefix(controlpb.PathPrefix(n.mesh))
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -86,13 +86,13 @@
 }
 
 func report(lines []Line, request string) Report {
-	story, found := tell(sorted(lines), request)
-	answer := Report{Request: request, Explanation: story}
+	explanation, found := explain(sorted(lines), request)
+	answer := Report{Request: request, Explanation: explanation}
 	if !found {
 		answer.Outcome = console.Done(exit.Rejected, "no line names request "+request+": it was served at the first attempt, or its lines were dropped")
 		return answer
 	}
-	answer.Outcome = console.Done(exit.Accepted, "cause: "+story.Cause)
+	answer.Outcome = console.Done(exit.Accepted, "cause: "+explanation.Cause)
 	return answer
 }
 
--- a/internal/command/explain/explanation.go
+++ b/internal/command/explain/explanation.go
@@ -14,22 +14,22 @@
 	// eventQuarantined and eventQuarantineEnded tell of a request by its fingerprint.
 	eventQuarantined     = 613
 	eventQuarantineEnded = 614
-	// beliefWindow is how long before a call's event a change of belief is taken
+	// stateChangeWindow is how long before a call's event a change of belief is taken
 	// to bear on it.
-	beliefWindow = 3 * time.Second
-	// storeWindow is the same for a return of the store from a copy: operators and nodes
+	stateChangeWindow = 3 * time.Second
+	// storeRestoreWindow is the same for a return of the store from a copy: operators and nodes
 	// write again what it lacks within seconds, and until then it shows what is older.
-	storeWindow = 30 * time.Second
+	storeRestoreWindow = 30 * time.Second
 )
 
-// beliefs are the events that change what a node believes.
-var beliefs = map[int]bool{
+// stateChangeEvents are the events that change what a node believes.
+var stateChangeEvents = map[int]bool{
 	104: true, 105: true, 401: true, 402: true, 601: true, 602: true, 603: true, 604: true, 605: true, 606: true, 607: true, 610: true,
 }
 
-// storeReturns are the events that tell of a store that came back from a copy: that it did,
+// storeRestoreEvents are the events that tell of a store that came back from a copy: that it did,
 // which documents of it were passed over, and that a node wrote its entry again.
-var storeReturns = map[int]bool{616: true, 617: true, 620: true}
+var storeRestoreEvents = map[int]bool{616: true, 617: true, 620: true}
 
 // causes say what lies behind a reason, and where to look.
 var causes = map[outcome.Reason]string{
@@ -66,8 +66,8 @@
 	Cause        string `json:"cause"`
 }
 
-// tell puts the story of a request together; false when no line names it.
-func tell(lines []Line, request string) (Explanation, bool) {
+// explain puts the story of a request together; false when no line names it.
+func explain(lines []Line, request string) (Explanation, bool) {
 	var story Explanation
 	involved, fingerprints := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
@@ -86,13 +86,13 @@
 	if len(story.Calls) == 0 {
 		return Explanation{}, false
 	}
-	first := story.Calls[0].Time.Add(-beliefWindow)
+	first := story.Calls[0].Time.Add(-stateChangeWindow)
 	last := story.Calls[len(story.Calls)-1].Time
 	for _, line := range lines {
 		near := !line.Time.Before(first) && !line.Time.After(last)
-		bears := beliefs[line.Event] && near && (involved[line.Node] || involved[line.text("peer")])
-		returned := storeReturns[line.Event] && involved[line.Node] && line.Time.After(first.Add(beliefWindow-storeWindow))
-		if bears || (returned || tellsOf(line, fingerprints)) && !line.Time.After(last) {
+		bears := stateChangeEvents[line.Event] && near && (involved[line.Node] || involved[line.text("peer")])
+		returned := storeRestoreEvents[line.Event] && involved[line.Node] && line.Time.After(first.Add(stateChangeWindow-storeRestoreWindow))
+		if bears || (returned || isQuarantineOf(line, fingerprints)) && !line.Time.After(last) {
 			story.StateChanges = append(story.StateChanges, line)
 		}
 	}
@@ -100,9 +100,9 @@
 	return story, true
 }
 
-// tellsOf reports whether a line tells that one of the requests is quarantined, or is no
+// isQuarantineOf reports whether a line tells that one of the requests is quarantined, or is no
 // more. That may be long before the call, and at any node.
-func tellsOf(line Line, fingerprints map[string]bool) bool {
+func isQuarantineOf(line Line, fingerprints map[string]bool) bool {
 	return (line.Event == eventQuarantined || line.Event == eventQuarantineEnded) && fingerprints[line.text("fingerprint")]
 }
 
--- a/internal/command/explain/lines.go
+++ b/internal/command/explain/lines.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// maximumLine bounds one line of a log, in bytes.
-const maximumLine = 1 << 20
+// maximumLineBytes bounds one line of a log, in bytes.
+const maximumLineBytes = 1 << 20
 
 // Line is one event of a log.
 type Line struct {
@@ -34,7 +34,7 @@
 func readLines(source io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(source)
-	scanner.Buffer(make([]byte, 0, 64<<10), maximumLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maximumLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
 		if start < 0 {
--- a/internal/command/root/root.go
+++ b/internal/command/root/root.go
@@ -37,7 +37,7 @@
 	if err := command.Parse(arguments); err != nil {
 		return parseFailed(terminal, err, &help)
 	}
-	return ended(terminal, command.Run(ctx), &help)
+	return exitCode(terminal, command.Run(ctx), &help)
 }
 
 func newCommand(terminal *console.Console, version string, help io.Writer) *ffcli.Command {
@@ -57,7 +57,7 @@
 			explain.Command(terminal),
 		},
 		Exec: func(_ context.Context, rest []string) error {
-			return withoutVerb(terminal, *showVersion, version, rest)
+			return runWithoutCommand(terminal, *showVersion, version, rest)
 		},
 	}
 	flags.SetOutput(help)
@@ -67,7 +67,7 @@
 	return command
 }
 
-func withoutVerb(terminal *console.Console, showVersion bool, version string, rest []string) error {
+func runWithoutCommand(terminal *console.Console, showVersion bool, version string, rest []string) error {
 	if showVersion {
 		_, err := fmt.Fprintln(terminal.Out, name, version)
 		return err
@@ -84,10 +84,10 @@
 		_, _ = help.WriteTo(terminal.Out)
 		return exit.Accepted
 	}
-	return ended(terminal, exit.UsageError(err.Error()), help)
+	return exitCode(terminal, exit.UsageError(err.Error()), help)
 }
 
-func ended(terminal *console.Console, err error, help *bytes.Buffer) exit.Code {
+func exitCode(terminal *console.Console, err error, help *bytes.Buffer) exit.Code {
 	if errors.Is(err, flag.ErrHelp) {
 		_, _ = help.WriteTo(terminal.Out)
 		return exit.Accepted
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -12,19 +12,19 @@
 
 // Bounds of requests for administration.
 const (
-	adminReadTimeout   = 5 * time.Second
-	adminWriteTimeout  = 30 * time.Second
-	adminIdleTimeout   = time.Minute
-	adminHeaderBytes   = 16 << 10
-	systemStatusBound  = 5 * time.Second
-	contentTypeJSON    = "application/json"
-	contentTypeText    = "text/plain; charset=utf-8"
-	headerContentType  = "Content-Type"
-	statusIndentation  = "  "
-	answerHealthy      = "ok"
-	answerReady        = "ready"
-	unreadyStatusCode  = http.StatusServiceUnavailable
-	unreadyRetrySecond = "1"
+	adminReadTimeout    = 5 * time.Second
+	adminWriteTimeout   = 30 * time.Second
+	adminIdleTimeout    = time.Minute
+	adminHeaderBytes    = 16 << 10
+	systemStatusTimeout = 5 * time.Second
+	contentTypeJSON     = "application/json"
+	contentTypeText     = "text/plain; charset=utf-8"
+	headerContentType   = "Content-Type"
+	statusIndentation   = "  "
+	answerHealthy       = "ok"
+	answerReady         = "ready"
+	unreadyStatusCode   = http.StatusServiceUnavailable
+	unreadyRetrySeconds = "1"
 )
 
 // Status is the answer of /v1/status: what this node does, and what it knows of
@@ -81,7 +81,7 @@
 
 func (d *Daemon) serveReady(writer http.ResponseWriter, _ *http.Request) {
 	if ready, reason := d.node.Readiness(); !ready {
-		writer.Header().Set("Retry-After", unreadyRetrySecond)
+		writer.Header().Set("Retry-After", unreadyRetrySeconds)
 		writeText(writer, unreadyStatusCode, reason)
 		return
 	}
@@ -95,7 +95,7 @@
 }
 
 func (d *Daemon) serveStatus(writer http.ResponseWriter, request *http.Request) {
-	bounded, cancel := context.WithTimeout(request.Context(), systemStatusBound)
+	bounded, cancel := context.WithTimeout(request.Context(), systemStatusTimeout)
 	defer cancel()
 	status := d.ownStatus()
 	system, err := protojson.Marshal(d.node.Status(bounded))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,16 +26,16 @@
 
 // Daemon is one node of the mesh.
 type Daemon struct {
-	settings    settings.Settings
-	log         *telemetry.Log
-	keeper      *identity.Reloader
-	store       *consul.Client
-	node        *control.Node
-	plane       *dataplane.Plane
-	listeners   listeners
-	gate        *gate
-	registry    *telemetry.Registry
-	incarnation uint64
+	settings     settings.Settings
+	log          *telemetry.Log
+	certificates *identity.Reloader
+	store        *consul.Client
+	node         *control.Node
+	plane        *dataplane.Plane
+	listeners    listeners
+	gate         *gate
+	registry     *telemetry.Registry
+	incarnation  uint64
 }
 
 // New opens the listeners and puts the parts together. Nothing runs before Run.
@@ -88,7 +88,7 @@
 // invariant is broken; it ends the process, since the part's state cannot be trusted.
 func (d *Daemon) supervisor() *suture.Supervisor {
 	supervisor := suture.New("levertided", suture.Spec{
-		EventHook:         d.partEvent,
+		EventHook:         d.logPartEvent,
 		PassThroughPanics: true,
 		Timeout:           supervisorTimeout,
 	})
@@ -97,8 +97,8 @@
 	supervisor.Add(d.listeners.call)
 	supervisor.Add(d.listeners.admin)
 	supervisor.Add(&readiness{daemon: d})
-	if d.keeper != nil {
-		supervisor.Add(d.keeper)
+	if d.certificates != nil {
+		supervisor.Add(d.certificates)
 	}
 	if d.settings.WorkerAddress != "" {
 		supervisor.Add(newWorkerProbe(d.settings.WorkerAddress, d.plane.WorkerStarted, d.log))
@@ -106,7 +106,7 @@
 	return supervisor
 }
 
-func (d *Daemon) partEvent(event suture.Event) {
+func (d *Daemon) logPartEvent(event suture.Event) {
 	switch failed := event.(type) {
 	case suture.EventServiceTerminate:
 		d.log.PartFailed(failed.ServiceName, failed.Map()["error"].(string))
@@ -132,9 +132,9 @@
 		Validate:    d.validate,
 		Events:      d.log,
 	}
-	if d.keeper != nil {
-		config.TLS = d.keeper.Mutual(identity.RoleNode, identity.RoleOperator)
-		config.ClientTLS = d.keeper.Client()
+	if d.certificates != nil {
+		config.TLS = d.certificates.Mutual(identity.RoleNode, identity.RoleOperator)
+		config.ClientTLS = d.certificates.Client()
 		config.VerifySender = verifySender
 	}
 	node, err := control.New(config)
@@ -154,8 +154,8 @@
 		Dial:          dialer(d.settings.Source()),
 		Observer:      telemetry.NewCallObserver(d.registry.Registerer(), d.log),
 	}
-	if d.keeper != nil {
-		config.PeerTLS = d.keeper.Client()
+	if d.certificates != nil {
+		config.PeerTLS = d.certificates.Client()
 	}
 	plane, err := dataplane.New(config)
 	d.plane = plane
@@ -169,12 +169,12 @@
 		Region:         d.settings.Region,
 		Zone:           d.settings.Zone,
 		Service:        d.settings.Service,
-		ControlAddress: firstGiven(d.settings.AdvertiseControlAddress, d.listeners.control.Addr().String()),
-		CallAddress:    firstGiven(d.settings.AdvertiseCallAddress, d.listeners.call.address),
+		ControlAddress: firstNonEmpty(d.settings.AdvertiseControlAddress, d.listeners.control.Addr().String()),
+		CallAddress:    firstNonEmpty(d.settings.AdvertiseCallAddress, d.listeners.call.address),
 	}
 }
 
-func firstGiven(candidates ...string) string {
+func firstNonEmpty(candidates ...string) string {
 	for _, candidate := range candidates {
 		if candidate != "" {
 			return candidate
@@ -205,9 +205,9 @@
 }
 
 func (d *Daemon) setHandlers() {
-	d.listeners.caller.make = func() *http.Server { return d.gated(d.plane.CallerServer()) }
-	d.listeners.call.make = func() *http.Server { return d.gated(d.plane.PeerServer()) }
-	d.listeners.admin.make = d.adminServer
+	d.listeners.caller.newHTTPServer = func() *http.Server { return d.gated(d.plane.CallerServer()) }
+	d.listeners.call.newHTTPServer = func() *http.Server { return d.gated(d.plane.PeerServer()) }
+	d.listeners.admin.newHTTPServer = d.adminServer
 }
 
 func (d *Daemon) gated(web *http.Server) *http.Server {
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
-const retryUnready = time.Second
+const unreadyRetryAfter = time.Second
 
 // gate stands before the handlers of calls and answers not-run while the node
 // is not ready. The data plane itself refuses calls while it drains.
@@ -23,9 +23,9 @@
 }
 
 func newGate(reason string) *gate {
-	shut := &gate{}
-	shut.set(false, reason)
-	return shut
+	closed := &gate{}
+	closed.set(false, reason)
+	return closed
 }
 
 // set opens or shuts the gate. Calls that have passed are not touched.
@@ -38,7 +38,7 @@
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		state := g.state.Load()
 		if !state.ready {
-			status := outcome.SetHeaders(writer.Header(), outcome.WithRetryAfter(outcome.NotReady, retryUnready))
+			status := outcome.SetHeaders(writer.Header(), outcome.WithRetryAfter(outcome.NotReady, unreadyRetryAfter))
 			http.Error(writer, state.reason, status)
 			return
 		}
--- a/internal/daemon/network.go
+++ b/internal/daemon/network.go
@@ -98,7 +98,7 @@
 func (l *listeners) close() {
 	for _, opened := range []*server{l.caller, l.call, l.admin} {
 		if opened != nil {
-			opened.abandon()
+			opened.closeUnserved()
 		}
 	}
 	if l.control != nil {
@@ -108,7 +108,7 @@
 
 func (d *Daemon) openListeners() error {
 	var err error
-	if d.listeners.caller, err = newServer("caller", d.settings.CallerAddress, d.outsideTLS(d.settings.CallerAddress)); err != nil {
+	if d.listeners.caller, err = newServer("caller", d.settings.CallerAddress, d.callerTLS(d.settings.CallerAddress)); err != nil {
 		return err
 	}
 	if d.listeners.call, err = newServer("call", d.settings.CallAddress, d.nodeTLS()); err != nil {
@@ -128,44 +128,44 @@
 		return nil
 	}
 	files := identity.Files{Authorities: d.settings.TLSCA, Certificate: d.settings.TLSCert, Key: d.settings.TLSKey}
-	keeper, err := identity.NewReloader(files, d.log, identity.DefaultPollInterval)
+	reloader, err := identity.NewReloader(files, d.log, identity.DefaultPollInterval)
 	if err != nil {
 		return err
 	}
-	d.keeper = keeper
-	if _, err := requireNode(keeper.Identity()); err != nil {
+	d.certificates = reloader
+	if _, err := requireNodeRole(reloader.Identity()); err != nil {
 		return err
 	}
-	return keeper.Identity().CheckClaim(d.settings.Region, d.settings.Zone, d.settings.NodeID)
+	return reloader.Identity().CheckClaim(d.settings.Region, d.settings.Zone, d.settings.NodeID)
 }
 
-func requireNode(holder identity.Identity) (identity.Identity, error) {
+func requireNodeRole(holder identity.Identity) (identity.Identity, error) {
 	if holder.Role != identity.RoleNode {
 		return holder, identity.ErrWrongRole.New("%s is no certificate of a node", holder)
 	}
 	return holder, nil
 }
 
-// outsideTLS is for callers: none on a loopback address.
-func (d *Daemon) outsideTLS(address string) *tls.Config {
-	if d.keeper == nil || isLoopback(address) {
+// callerTLS is for callers: none on a loopback address.
+func (d *Daemon) callerTLS(address string) *tls.Config {
+	if d.certificates == nil || isLoopback(address) {
 		return nil
 	}
-	return d.keeper.Server()
+	return d.certificates.Server()
 }
 
 func (d *Daemon) nodeTLS() *tls.Config {
-	if d.keeper == nil {
+	if d.certificates == nil {
 		return nil
 	}
-	return d.keeper.Mutual(identity.RoleNode)
+	return d.certificates.Mutual(identity.RoleNode)
 }
 
 func (d *Daemon) adminTLS() *tls.Config {
-	if d.keeper == nil || isLoopback(d.settings.AdminAddress) {
+	if d.certificates == nil || isLoopback(d.settings.AdminAddress) {
 		return nil
 	}
-	return d.keeper.Mutual(identity.RoleOperator, identity.RoleNode)
+	return d.certificates.Mutual(identity.RoleOperator, identity.RoleNode)
 }
 
 func isLoopback(address string) bool {
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -21,8 +21,8 @@
 	name    string
 	address string
 	tls     *tls.Config
-	// make returns the HTTP server of one run; the bounds of requests are its own.
-	make func() *http.Server
+	// newHTTPServer returns the HTTP server of one run; the bounds of requests are its own.
+	newHTTPServer func() *http.Server
 
 	mutex sync.Mutex
 	// first is the listener opened at start; it serves the first run.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	web := s.make()
+	web := s.newHTTPServer()
 	// Faults of single connections are no events of the node.
 	web.ErrorLog = log.New(io.Discard, "", 0)
 	ended := make(chan error, 1)
@@ -76,8 +76,8 @@
 	return net.Listen("tcp", s.address)
 }
 
-// abandon closes the address of a server that never ran.
-func (s *server) abandon() {
+// closeUnserved closes the address of a server that never ran.
+func (s *server) closeUnserved() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.first != nil {
--- a/internal/daemon/worker.go
+++ b/internal/daemon/worker.go
@@ -21,20 +21,20 @@
 // a hint only: it is written to the event log, and a worker that comes back
 // begins its slow start. It is a suture service.
 type workerProbe struct {
-	target  string
-	started func()
-	log     *telemetry.Log
-	client  *http.Client
-	known   bool
-	healthy bool
+	url       string
+	onRestart func()
+	log       *telemetry.Log
+	client    *http.Client
+	known     bool
+	healthy   bool
 }
 
 func newWorkerProbe(address string, started func(), log *telemetry.Log) *workerProbe {
 	return &workerProbe{
-		target:  "http://" + address + probePath,
-		started: started,
-		log:     log,
-		client:  &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		url:       "http://" + address + probePath,
+		onRestart: started,
+		log:       log,
+		client:    &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
@@ -43,7 +43,7 @@
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		p.update(p.ask(ctx))
+		p.update(p.probe(ctx))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -52,8 +52,8 @@
 	}
 }
 
-func (p *workerProbe) ask(ctx context.Context) (healthy bool, reason string) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.target, nil)
+func (p *workerProbe) probe(ctx context.Context) (healthy bool, reason string) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
 		return false, err.Error()
 	}
@@ -70,11 +70,11 @@
 	if p.known && p.healthy == healthy {
 		return
 	}
-	cameBack := p.known && healthy
+	recovered := p.known && healthy
 	p.known, p.healthy = true, healthy
 	p.log.WorkerHealth(healthy, reason)
-	if cameBack {
-		p.started()
+	if recovered {
+		p.onRestart()
 	}
 }
 
--- a/internal/evidencewire/evidence.go
+++ b/internal/evidencewire/evidence.go
@@ -67,8 +67,8 @@
 	return list
 }
 
-// headerEvidence bounds the pieces of evidence in a header, some 80 bytes each.
-const headerEvidence = 8
+// maxHeaderEvidence bounds the pieces of evidence in a header, some 80 bytes each.
+const maxHeaderEvidence = 8
 
 // EncodeHeader returns what a table knows as the value of a header; empty when it knows nothing.
 func EncodeHeader(table *quarantine.Table, now time.Time) string {
@@ -77,8 +77,8 @@
 	}
 	verdicts := table.Verdicts(now)
 	known := &exchangepb.Known{
-		Evidence:    EncodeReports(table.Reports(headerEvidence, now)),
-		Quarantined: EncodeVerdicts(verdicts[max(len(verdicts)-headerEvidence, 0):]),
+		Evidence:    EncodeReports(table.Reports(maxHeaderEvidence, now)),
+		Quarantined: EncodeVerdicts(verdicts[max(len(verdicts)-maxHeaderEvidence, 0):]),
 	}
 	encoded, err := proto.Marshal(known)
 	if err != nil {
--- a/internal/identity/files.go
+++ b/internal/identity/files.go
@@ -28,11 +28,11 @@
 // Reloader holds the certificates of one node and reads them again when the
 // files change. It is a suture service.
 type Reloader struct {
-	files   Files
-	events  Events
-	poll    time.Duration
-	current atomic.Pointer[material]
-	stamp   stamp
+	files        Files
+	events       Events
+	pollInterval time.Duration
+	current      atomic.Pointer[material]
+	stamp        fileStamps
 }
 
 // material is what one reading of the files gave.
@@ -42,21 +42,21 @@
 	identity    Identity
 }
 
-// stamp tells whether any of the files has changed.
-type stamp [3]struct {
+// fileStamps tells whether any of the files has changed.
+type fileStamps [3]struct {
 	modified time.Time
 	size     int64
 }
 
 // NewReloader reads the files for the first time. ErrFiles tells that they cannot be used.
 func NewReloader(files Files, events Events, poll time.Duration) (*Reloader, error) {
-	keeper := &Reloader{files: files, events: events, poll: poll, stamp: files.stamp()}
+	reloader := &Reloader{files: files, events: events, pollInterval: poll, stamp: files.stamp()}
 	loaded, err := files.load()
 	if err != nil {
 		return nil, err
 	}
-	keeper.use(loaded)
-	return keeper, nil
+	reloader.activate(loaded)
+	return reloader, nil
 }
 
 // Identity returns what the node's own certificate says.
@@ -64,7 +64,7 @@
 
 // Serve looks at the files until the context ends.
 func (k *Reloader) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(k.poll)
+	ticker := time.NewTicker(k.pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -89,29 +89,29 @@
 	k.stamp = latest
 	loaded, err := k.files.load()
 	if err == nil {
-		err = sameHolder(loaded.identity, k.Identity())
+		err = checkSameHolder(loaded.identity, k.Identity())
 	}
 	if err != nil {
 		k.events.CertificatesFailed(err)
 		return
 	}
-	k.use(loaded)
+	k.activate(loaded)
 }
 
-func sameHolder(offered, held Identity) error {
+func checkSameHolder(offered, held Identity) error {
 	if offered == held {
 		return nil
 	}
 	return ErrMismatch.New("the new certificate is for %s, not for %s", offered, held)
 }
 
-func (k *Reloader) use(loaded *material) {
+func (k *Reloader) activate(loaded *material) {
 	k.current.Store(loaded)
 	k.events.CertificatesLoaded(loaded.identity.String(), loaded.certificate.Leaf.NotAfter)
 }
 
-func (f Files) stamp() stamp {
-	var result stamp
+func (f Files) stamp() fileStamps {
+	var result fileStamps
 	for index, path := range []string{f.Authorities, f.Certificate, f.Key} {
 		information, err := os.Stat(path)
 		if err != nil {
--- a/internal/platform/consul/keyvalue.go
+++ b/internal/platform/consul/keyvalue.go
@@ -58,7 +58,7 @@
 
 // List implements store.Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]store.Record, error) {
-	received, call, err := c.listing(ctx, prefix, wire.QueryRecurse)
+	received, call, err := c.sendList(ctx, prefix, wire.QueryRecurse)
 	if err != nil || received.status != http.StatusOK {
 		return nil, err
 	}
@@ -67,7 +67,7 @@
 
 // ListKeys implements store.Store.
 func (c *Client) ListKeys(ctx context.Context, prefix string) ([]string, error) {
-	received, call, err := c.listing(ctx, prefix, wire.QueryKeys)
+	received, call, err := c.sendList(ctx, prefix, wire.QueryKeys)
 	if err != nil || received.status != http.StatusOK {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	return keys, nil
 }
 
-func (c *Client) listing(ctx context.Context, prefix, parameter string) (answer, request, error) {
+func (c *Client) sendList(ctx context.Context, prefix, parameter string) (answer, request, error) {
 	query := url.Values{}
 	query.Set(parameter, "")
 	query.Set(wire.QueryConsistent, "")
--- a/internal/platform/consul/request.go
+++ b/internal/platform/consul/request.go
@@ -53,13 +53,13 @@
 // decode reads the JSON body. An answer that cannot be read is as good as lost.
 func (a answer) decode(into any, call request) error {
 	if err := json.Unmarshal(a.body, into); err != nil {
-		return call.lost(err)
+		return call.lostAnswer(err)
 	}
 	return nil
 }
 
-// lost is the error for an answer that was not received whole.
-func (r request) lost(cause error) error {
+// lostAnswer is the error for an answer that was not received whole.
+func (r request) lostAnswer(cause error) error {
 	if r.write {
 		return store.ErrUnknownOutcome.Wrap(cause, "the answer to %s %s was lost", r.method, r.path)
 	}
@@ -76,7 +76,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	message, err := c.build(ctx, call)
+	message, err := c.newHTTPRequest(ctx, call)
 	if err != nil {
 		return answer{}, store.ErrRefused.Wrap(err, "%s %s cannot be sent", call.method, call.path)
 	}
@@ -85,18 +85,18 @@
 		return answer{}, store.ErrUnreachable.Wrap(err, "%s %s was not sent", call.method, call.path)
 	}
 	if err != nil {
-		return answer{}, call.lost(err)
+		return answer{}, call.lostAnswer(err)
 	}
 	defer func() { _ = response.Body.Close() }() // the body has been read by then
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return answer{}, call.lost(err)
+		return answer{}, call.lostAnswer(err)
 	}
 	received := answer{status: response.StatusCode, header: response.Header, body: body}
-	return received, received.failure(call)
+	return received, received.statusError(call)
 }
 
-func (c *Client) build(ctx context.Context, call request) (*http.Request, error) {
+func (c *Client) newHTTPRequest(ctx context.Context, call request) (*http.Request, error) {
 	address := c.config.Address + (&url.URL{Path: call.path}).EscapedPath()
 	if len(call.query) > 0 {
 		address += "?" + call.query.Encode()
@@ -116,8 +116,8 @@
 	return message, nil
 }
 
-// failure turns a status that is no answer into an error.
-func (a answer) failure(call request) error {
+// statusError turns a status that is no answer into an error.
+func (a answer) statusError(call request) error {
 	text := string(a.body[:min(len(a.body), maxErrorBytes)])
 	switch {
 	case a.status == http.StatusOK, a.status == http.StatusNotFound, a.status == http.StatusConflict:
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -50,19 +50,19 @@
 	}
 	problems := append(reader.problems, validate(reader.invocation.Settings, reader.origins)...)
 	if len(problems) > 0 {
-		return Invocation{}, newInvalid(problems...)
+		return Invocation{}, newInvalidError(problems...)
 	}
 	return reader.invocation, nil
 }
 
 // reader gathers values and remembers where each came from.
 type reader struct {
-	flags      *flag.FlagSet
-	invocation Invocation
-	file       string
-	source     func(Key) string
-	origins    map[string]string
-	problems   []Problem
+	flags          *flag.FlagSet
+	invocation     Invocation
+	file           string
+	describeSource func(Key) string
+	origins        map[string]string
+	problems       []Problem
 }
 
 func newReader(output io.Writer) *reader {
@@ -84,24 +84,24 @@
 }
 
 func (r *reader) read(arguments []string) error {
-	r.source = func(key Key) string { return "flag -" + key.Name }
+	r.describeSource = func(key Key) string { return "flag -" + key.Name }
 	if err := r.flags.Parse(arguments); err != nil {
 		return r.flagError(err)
 	}
 	if r.flags.NArg() > 0 {
-		return newInvalid(Problem{Key: r.flags.Arg(0), Source: "command line", Message: "is not a flag", Allowed: "flags only; see -help"})
+		return newInvalidError(Problem{Key: r.flags.Arg(0), Source: "command line", Message: "is not a flag", Allowed: "flags only; see -help"})
 	}
 	if !r.invocation.ForeignVariables {
 		r.refuseUnknownVariables(os.Environ())
 	}
 	r.invocation.Settings.StoreToken = Token(os.Getenv(storeTokenVariable))
-	r.source = func(key Key) string { return "environment variable " + key.EnvironmentVariable() }
+	r.describeSource = func(key Key) string { return "environment variable " + key.EnvironmentVariable() }
 	err := ff.Parse(r.flags, nil,
 		ff.WithEnvVarPrefix(environmentPrefix),
 		ff.WithConfigFileFlag(settingsFileFlag),
 		ff.WithConfigFileParser(r.parseFile))
 	if err != nil {
-		return newInvalid(Problem{Key: settingsFileFlag, Value: r.file, Source: "flag or environment", Message: err.Error(), Allowed: "readable YAML file with the keys of docs/SETTINGS.md"})
+		return newInvalidError(Problem{Key: settingsFileFlag, Value: r.file, Source: "flag or environment", Message: err.Error(), Allowed: "readable YAML file with the keys of docs/SETTINGS.md"})
 	}
 	return nil
 }
@@ -110,11 +110,11 @@
 	if errors.Is(err, flag.ErrHelp) {
 		return err
 	}
-	return newInvalid(Problem{Key: "command line", Source: "flags", Message: err.Error(), Allowed: "the flags that -help lists"})
+	return newInvalidError(Problem{Key: "command line", Source: "flags", Message: err.Error(), Allowed: "the flags that -help lists"})
 }
 
 func (r *reader) parseFile(file io.Reader, set func(name, value string) error) error {
-	r.source = func(Key) string { return "settings file " + r.file }
+	r.describeSource = func(Key) string { return "settings file " + r.file }
 	known := Keys()
 	return ffyaml.Parser(file, func(name, value string) error {
 		if !slices.ContainsFunc(known, func(key Key) bool { return key.Name == name }) {
@@ -157,7 +157,7 @@
 
 // Set records the source and hands the text on.
 func (v *tracedValue) Set(text string) error {
-	v.reader.origins[v.key.Name] = v.reader.source(v.key)
+	v.reader.origins[v.key.Name] = v.reader.describeSource(v.key)
 	if err := v.Value.Set(text); err != nil {
 		v.reader.problems = append(v.reader.problems, Problem{
 			Key: v.key.Name, Value: text, Source: v.reader.origins[v.key.Name],
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -48,7 +48,7 @@
 	return problems
 }
 
-func newInvalid(problems ...Problem) error {
+func newInvalidError(problems ...Problem) error {
 	lines := make([]string, 0, len(problems))
 	for _, problem := range problems {
 		lines = append(lines, problem.String())
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -119,10 +119,10 @@
 	if !found {
 		source = defaultSource
 	}
-	return Problem{Key: name, Value: value, Source: source, Message: text, Allowed: allowed(name)}
+	return Problem{Key: name, Value: value, Source: source, Message: text, Allowed: allowedValues(name)}
 }
 
-func allowed(name string) string {
+func allowedValues(name string) string {
 	for _, key := range Keys() {
 		if key.Name == name {
 			return key.Allowed
