--- a/cmd/levertide-lab/main.go
+++ b/cmd/levertide-lab/main.go
@@ -1,4 +1,4 @@
-// Program levertide-lab runs experiments on levertide: the demo, load, soak
+// Levertide-lab runs experiments on levertide: the demo, load, soak
 // and fuzz runs, and the stand-ins for the platform and the workers.
 package main
 
--- a/cmd/levertide/main.go
+++ b/cmd/levertide/main.go
@@ -1,5 +1,5 @@
 // Levertide is the operators' command line: it checks file sets, applies them
-// and shows what the mesh does.
+// and shows the state of the mesh.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/internal/command/root"
 )
 
-// version is the program's version, if the linker sets it.
+// version is the program's version; the linker may set it.
 var version string
 
 func main() {
@@ -22,7 +22,8 @@
 	os.Exit(int(code))
 }
 
-// programVersion falls back to what the compiler recorded.
+// programVersion returns the version that the linker set, or else the module version
+// in the build information.
 func programVersion() string {
 	if version != "" {
 		return version
--- a/cmd/levertided/main.go
+++ b/cmd/levertided/main.go
@@ -1,5 +1,5 @@
-// Levertided is the node of the mesh: it carries calls and runs the
-// configuration agent beside each worker.
+// Levertided is the node of the mesh, usually beside a worker: it forwards calls and
+// runs the configuration agent.
 package main
 
 import (
@@ -71,10 +71,10 @@
 	return runUntilSignal(events, node.Run)
 }
 
-// serveHosted runs a node whose configuration a platform decides.
+// serveHosted runs a node whose configuration comes from a platform.
 func serveHosted(chosen settings.Settings) int {
-	// The HTTP library tells faults of single connections this way; they are no
-	// events of the node, and nothing may write past the bounded log.
+	// net/http writes errors of single connections to the standard logger. They are not
+	// events of the node, and nothing may bypass the bounded queue of log lines.
 	log.SetOutput(io.Discard)
 	lines := telemetry.NewQueue(os.Stdout)
 	defer lines.Flush()
@@ -88,7 +88,7 @@
 	return runUntilSignal(events, node.Run)
 }
 
-// reloadOnSignal reads the settings again at each SIGHUP.
+// reloadOnSignal reloads the settings at each SIGHUP.
 func reloadOnSignal(node *sidecar.Node) {
 	received := make(chan os.Signal, 1)
 	signal.Notify(received, syscall.SIGHUP)
@@ -109,9 +109,9 @@
 	return exitStopped
 }
 
-// notify returns a context that ends at the first signal to stop, and a
-// function that names the signal. Later signals are ignored: the stop is
-// bounded by drain-bound.
+// notify returns a context that ends at the first SIGTERM or SIGINT, and a function
+// that returns the name of that signal. Later signals are ignored: the setting
+// drain-bound limits how long the shutdown takes.
 func notify() (context.Context, func() string) {
 	received := make(chan os.Signal, 1)
 	signal.Notify(received, syscall.SIGTERM, syscall.SIGINT)
--- a/internal/command/applied/describe.go
+++ b/internal/command/applied/describe.go
@@ -1,4 +1,4 @@
-// Package applied words for operators what became of an apply.
+// Package applied describes the outcome of an apply to operators.
 package applied
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// Describe returns the outcome of an apply in the state that was found.
+// Describe returns the outcome of an apply that is in the given state.
 func Describe(applyID string, state versionstore.ApplyState) console.Outcome {
 	switch state.Phase {
 	case versionstore.ApplyCommitted:
@@ -40,5 +40,5 @@
 	return text
 }
 
-// HistoryCommand returns the command that tells later what became of an apply.
+// HistoryCommand returns the command line that shows the outcome of an apply later.
 func HistoryCommand(applyID string) string { return "levertide history --apply-id " + applyID }
--- a/internal/command/apply/await.go
+++ b/internal/command/apply/await.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// watchHold is how long one blocked read of the head may take.
+	// watchHold is how long one blocking read of the head may take.
 	watchHold = 10 * time.Second
 	// minimumPause and maximumPause bound the pauses, with full jitter, after a
-	// failed question.
+	// failed request to the store.
 	minimumPause = 100 * time.Millisecond
 	maximumPause = 2 * time.Second
-	// statusPause is the pause between two questions to a node.
+	// statusPause is the pause between two status requests to the nodes.
 	statusPause = 300 * time.Millisecond
 )
 
-// await waits until the apply is decided, and further if that was asked for.
+// await waits until the apply is decided, and with --wait in-force until it is in
+// force on every live node.
 func (a *attempt) await(ctx context.Context) Report {
 	var index uint64
 	var lastErr error
@@ -53,7 +54,8 @@
 	}
 }
 
-// applyState returns the state of the apply, as soon as the head has moved past index.
+// applyState returns the state of the apply once the head has changed since index, or
+// watchHold has passed.
 func (a *attempt) applyState(ctx context.Context, index uint64) (versionstore.ApplyState, uint64, error) {
 	head, next, err := a.versions.WatchHead(ctx, index, watchHold)
 	if err != nil {
@@ -83,8 +85,9 @@
 	}
 }
 
-// decidedByNodes asks the nodes, if any are named, while the store does not
-// answer. Only a head that speaks of this very apply decides.
+// decidedByNodes requests the head from the nodes, if any are named, while the store
+// does not answer. The head decides only if it names this apply's version as committed
+// or this apply as rejected.
 func (a *attempt) decidedByNodes(ctx context.Context) *Report {
 	if !a.options.nodes.Given() || a.report.Version == 0 {
 		return nil
@@ -106,7 +109,8 @@
 	return a.decided(ctx, state)
 }
 
-// undecided reports that the time is over, or the command was interrupted.
+// undecided reports that the command timed out, was interrupted or found a regressed
+// store before the apply was decided.
 func (a *attempt) undecided(lastErr error) Report {
 	message := "it is not known whether the set was written"
 	if a.report.Version != 0 {
@@ -141,7 +145,8 @@
 	}
 }
 
-// pause waits after failures; false tells that the context has ended.
+// pause waits for a time that grows with the number of failures. It returns false
+// when the context has ended.
 func pause(ctx context.Context, failures int) bool {
 	if failures == 0 {
 		return ctx.Err() == nil
--- a/internal/command/apply/command.go
+++ b/internal/command/apply/command.go
@@ -1,6 +1,6 @@
 // Package apply implements "levertide apply": it proposes a file set as the
-// next version and tells truly whether it was applied, was not, or cannot be
-// known yet.
+// next version and reports whether it was applied, was not applied, or whether the
+// outcome is not known yet.
 package apply
 
 import (
@@ -21,11 +21,11 @@
 const (
 	name           = "apply"
 	defaultTimeout = time.Minute
-	// latestBase stands for a base that is not given.
+	// latestBase is the value of --base when it is not given.
 	latestBase = -1
 )
 
-// waitFor says how far a version must have come before the command ends.
+// waitFor is the state that a version must have reached before the command ends.
 type waitFor string
 
 // The values of --wait.
--- a/internal/command/apply/propose.go
+++ b/internal/command/apply/propose.go
@@ -49,7 +49,7 @@
 	return "; the nodes hold a newer head than the store: put a newer copy of the store back, or see --after-restore"
 }
 
-// refused words a conflict that the store itself found.
+// refused reports a conflict that Propose found.
 func (a *attempt) refused(ctx context.Context, err error) Report {
 	head, found := versionstore.CurrentHead(err)
 	if !found {
@@ -65,7 +65,8 @@
 	return a.conflict(ctx, head)
 }
 
-// conflict reports a base that has moved, with what was changed since.
+// conflict reports that the base is no longer the committed version, with the changes
+// since.
 func (a *attempt) conflict(ctx context.Context, head rollout.Head) Report {
 	a.report.ApplyID = ""
 	a.report.Current = head.Committed
--- a/internal/command/apply/report.go
+++ b/internal/command/apply/report.go
@@ -18,21 +18,22 @@
 	ApplyID string `json:"applyId,omitempty"`
 	// Base is the version that the set was to replace.
 	Base uint64 `json:"base"`
-	// Version is the number that the set was given; zero when none.
+	// Version is the number that the set was given; zero when it was not proposed.
 	Version uint64 `json:"version,omitempty"`
-	// Current is the committed version, as far as it was seen.
+	// Current is the committed version that was read last.
 	Current uint64 `json:"current"`
-	// FindOut is a command that tells later what became of the apply; it is set
-	// when that is not known.
+	// FindOut is a command line that shows the outcome of the apply later; it is set
+	// when the outcome is not known.
 	FindOut string           `json:"findOut,omitempty"`
 	Faults  []manifest.Fault `json:"faults,omitempty"`
-	// Changes lists what the set changes of the base.
+	// Changes lists the differences between the base and the set.
 	Changes []changes.Change `json:"changes,omitempty"`
-	// Moved lists, after a conflict, what was changed between base and current.
+	// Moved lists, after a conflict, the changes between base and current.
 	Moved []changes.Change `json:"moved,omitempty"`
 }
 
-// WriteText implements console.Report. Changes were written as progress.
+// WriteText implements console.Report. It leaves out Changes, which have been written
+// as progress already.
 func (r Report) WriteText(out io.Writer) {
 	fileset.WriteFaults(out, r.Faults)
 	changes.Write(out, r.Moved)
--- a/internal/command/apply/run.go
+++ b/internal/command/apply/run.go
@@ -25,11 +25,11 @@
 	versions  *connect.Store
 	nodes     *connect.Nodes
 	report    Report
-	// knownHead is the newest head of the nodes; it is set after a restore.
+	// knownHead is the newest head that the nodes hold; it is set with --after-restore.
 	knownHead *rollout.Head
 }
 
-// run reads the set, opens the connections and applies.
+// run reads the set, opens the connections and applies the set.
 func run(ctx context.Context, chosen options, terminal *console.Console) Report {
 	resources, faults := chosen.files.Read()
 	if len(faults) > 0 {
@@ -49,8 +49,8 @@
 	return current.run(ctx)
 }
 
-// notOpened reports a store that does not answer. An earlier attempt at the same
-// apply may have written nevertheless.
+// notOpened reports a store that does not answer. If the identifier of an earlier
+// attempt is given, that attempt may have written the set nevertheless.
 func notOpened(chosen options, err error) Report {
 	if chosen.applyID == "" {
 		return Report{}.with(exit.CodeOfRead(err), "nothing was written: "+err.Error())
@@ -68,7 +68,8 @@
 	return a.start(ctx)
 }
 
-// resume looks for an earlier attempt before it starts one.
+// resume waits for the outcome of an earlier attempt, or starts the apply if the
+// earlier one has not written the set.
 func (a *attempt) resume(ctx context.Context) Report {
 	state, err := a.versions.Resolve(ctx, a.options.applyID)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return a.await(ctx)
 }
 
-// start chooses the base, shows what will change, and proposes.
+// start chooses the base, shows the changes, and proposes the set.
 func (a *attempt) start(ctx context.Context) Report {
 	if stop := a.compareWithNodes(ctx); stop != nil {
 		return *stop
@@ -99,7 +100,7 @@
 	return a.propose(ctx)
 }
 
-// chooseBase returns a report if the apply ends here.
+// chooseBase sets the base. It returns a report if the apply ends because of it.
 func (a *attempt) chooseBase(ctx context.Context) *Report {
 	head := a.versions.Head
 	if a.options.afterRestore {
@@ -130,8 +131,8 @@
 	return &report
 }
 
-// showChanges returns a report if there is nothing to change. After a restore
-// the base is not in the store, so that nothing can be compared.
+// showChanges writes the changes, and returns a report if there are none. With
+// --after-restore the base is not in the store, so that nothing can be compared.
 func (a *attempt) showChanges(ctx context.Context) *Report {
 	if a.knownHead != nil {
 		return nil
@@ -153,9 +154,9 @@
 	return nil
 }
 
-// compareWithNodes returns a report if the store is behind the nodes. They are
-// asked before the store is read again, so that a store in order never seems to
-// be behind. Nodes that do not answer change nothing.
+// compareWithNodes returns a report if the store is behind the nodes. The nodes are
+// queried before the store is read again, so that an up-to-date store never appears to
+// be behind. If no node answers, the apply goes on without the comparison.
 func (a *attempt) compareWithNodes(ctx context.Context) *Report {
 	if !a.options.nodes.Given() || a.options.afterRestore {
 		return nil
--- a/internal/command/changes/changes.go
+++ b/internal/command/changes/changes.go
@@ -20,7 +20,7 @@
 	Removed Action = "removed"
 )
 
-// mark returns the sign in front of a line of text.
+// mark returns the sign that precedes the change in text output.
 func (a Action) mark() string {
 	switch a {
 	case Added:
@@ -42,8 +42,8 @@
 	Fields []FieldChange `json:"fields,omitempty"`
 }
 
-// FieldChange is one field that differs. An empty text stands for a field that
-// is not set.
+// FieldChange is one field that differs. From and To are empty where the field is
+// not set.
 type FieldChange struct {
 	Field string `json:"field"`
 	From  string `json:"from"`
--- a/internal/command/changes/fields.go
+++ b/internal/command/changes/fields.go
@@ -11,9 +11,9 @@
 // field is one field of a resource as text, under its name in the files.
 type field struct{ name, text string }
 
-// fieldsOf returns the fields of a service, a route or a tenant; those of a kind are
-// always the same ones in the same order. Secrets have none to show, and keys of tenants
-// are only counted.
+// fieldsOf returns the fields of a service, a route or a tenant. Resources of one kind
+// always have the same fields in the same order. Secrets have no fields, and of the keys
+// of tenants only the number is shown.
 func fieldsOf(resource model.Resource) []field {
 	switch {
 	case resource.Service != nil:
--- a/internal/command/connect/head.go
+++ b/internal/command/connect/head.go
@@ -8,8 +8,8 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// NewestHead asks every node that is named and returns the newest head among
-// their answers. It fails unless all of them answer.
+// NewestHead queries every named node and returns the newest head among their
+// answers. It fails unless all of them answer.
 func (n *Nodes) NewestHead(ctx context.Context) (rollout.Head, error) {
 	var newest rollout.Head
 	for _, address := range n.addresses {
--- a/internal/command/connect/node.go
+++ b/internal/command/connect/node.go
@@ -57,12 +57,12 @@
 	return nil
 }
 
-// maximumHops is how often nodes may pass a question on towards the
-// coordinator; without hops the node that is asked answers for itself.
+// maximumHops is how often nodes may forward a status request towards the
+// coordinator; without hops the node that receives it answers for itself.
 const maximumHops = 16
 
-// nodeTimeout bounds the question to one node before the next is asked. A node
-// may have to forward it, level by level, to the coordinator.
+// nodeTimeout bounds the request to one node before the next one is tried. A node
+// may have to forward the request, level by level, to the coordinator.
 const (
 	dialTimeout = 2 * time.Second
 	nodeTimeout = 8 * time.Second
@@ -70,7 +70,7 @@
 
 var errNoNode = errors.New("no node is named")
 
-// Nodes asks nodes for the state of the system.
+// Nodes requests the state of the system from nodes.
 type Nodes struct {
 	addresses []string
 	mesh      string
@@ -78,7 +78,7 @@
 	transport *http.Transport
 }
 
-// Open reads the certificate files; it makes no connection yet.
+// Open reads the certificate files; it opens no connection yet.
 func (n *NodeFlags) Open() (*Nodes, error) {
 	nodes := &Nodes{addresses: split(n.addresses), mesh: n.mesh, scheme: "http", transport: newTransport()}
 	if n.files.Authorities == "" {
@@ -97,7 +97,7 @@
 	return &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}
 }
 
-// clientTLS reads the files once: a command ends before they would change.
+// clientTLS reads the files once: a command ends too soon for them to be reloaded.
 func clientTLS(files identity.Files) (*tls.Config, error) {
 	reloader, err := identity.NewReloader(files, discardEvents{}, identity.DefaultPollInterval)
 	if err != nil {
@@ -106,13 +106,14 @@
 	return reloader.Client(), nil
 }
 
-// discardEvents leaves out events: errors of the first reading are returned.
+// discardEvents discards the events of a Reloader, since NewReloader returns the
+// errors of the first loading.
 type discardEvents struct{}
 
 func (discardEvents) CertificatesLoaded(string, time.Time) {}
 func (discardEvents) CertificatesFailed(error)             {}
 
-// Status asks one node after the other and returns the first answer.
+// Status queries one node after the other and returns the first answer.
 func (n *Nodes) Status(ctx context.Context) (*controlpb.StatusResponse, error) {
 	last := errNoNode
 	for _, address := range n.addresses {
@@ -133,5 +134,5 @@
 	return client.Status(ctx, &controlpb.StatusRequest{Hops: maximumHops})
 }
 
-// Close drops the connections.
+// Close closes the idle connections.
 func (n *Nodes) Close() { n.transport.CloseIdleConnections() }
--- a/internal/command/connect/progress.go
+++ b/internal/command/connect/progress.go
@@ -13,8 +13,8 @@
 	Everywhere bool
 }
 
-// ProgressOf reads the progress of a version, or of a later one that replaced
-// it, out of a node's answer.
+// ProgressOf returns the progress of a version, or of a later one that replaced it,
+// from a node's answer.
 func ProgressOf(answer *controlpb.StatusResponse, version uint64) Progress {
 	inForce, live := answer.GetReadiness().GetInForce(), answer.GetLive()
 	progress := Progress{Live: live.GetCount()}
@@ -26,5 +26,5 @@
 	return progress
 }
 
-// String returns the progress for people.
+// String returns the progress for messages to operators.
 func (p Progress) String() string { return fmt.Sprintf("%d of %d live nodes", p.InForce, p.Live) }
--- a/internal/command/connect/store.go
+++ b/internal/command/connect/store.go
@@ -1,5 +1,4 @@
-// Package connect reaches the platform's store and the nodes on behalf of
-// levertide's commands.
+// Package connect connects levertide's commands to the platform's store and to nodes.
 package connect
 
 import (
@@ -17,7 +16,7 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// Environment variables that stand in for flags.
+// Environment variables that give the defaults of flags, and the store's token.
 const (
 	variableStore = "LEVERTIDE_STORE_ADDRESS"
 	variableToken = "LEVERTIDE_STORE_TOKEN"
@@ -28,7 +27,7 @@
 	variableKey   = "LEVERTIDE_TLS_KEY"
 )
 
-// clientName names levertide to the platform.
+// clientName identifies levertide to the platform.
 const clientName = "levertide"
 
 // StoreFlags holds the addresses of the store.
@@ -55,16 +54,16 @@
 	return nil
 }
 
-// Store is a version store that has answered.
+// Store is the version store at the first address that has answered.
 type Store struct {
 	*versionstore.VersionStore
-	// Head is the head that it answered with, read consistently.
+	// Head is the head that was read, consistently, when the store was opened.
 	Head rollout.Head
 
 	client *consul.Client
 }
 
-// Open asks one address after the other and returns the first that answers.
+// Open tries one address after the other and returns the first store that answers.
 func (s *StoreFlags) Open(ctx context.Context) (*Store, error) {
 	var last error
 	for _, address := range split(s.addresses) {
@@ -80,7 +79,7 @@
 	return nil, last
 }
 
-// Close drops the connections.
+// Close closes the idle connections.
 func (s *Store) Close() { s.client.Close() }
 
 func split(list string) []string {
@@ -100,13 +99,13 @@
 	return "http://" + address
 }
 
-// Committed returns the whole committed version; of an empty store it is empty.
+// Committed returns the complete committed version, or the empty one if the store holds none.
 func (s *Store) Committed(ctx context.Context) (*snapshot.Snapshot, error) {
 	return s.Version(ctx, s.Head.Committed, nil)
 }
 
-// Version returns one whole version, and takes from base what it holds already.
-// Version zero is the empty one.
+// Version returns one complete version; resources that base already holds are taken
+// from it. Version zero is empty.
 func (s *Store) Version(ctx context.Context, version rollout.Version, base *snapshot.Snapshot) (*snapshot.Snapshot, error) {
 	if version == 0 {
 		return snapshot.Empty(), nil
--- a/internal/command/console/console.go
+++ b/internal/command/console/console.go
@@ -20,8 +20,8 @@
 
 const jsonIndentation = "  "
 
-// Console is where a command writes. Reports go to Out; progress and the last
-// word on a failure go to Err.
+// Console is where a command writes its output. Reports go to Out; progress and the
+// final message of a failure go to Err.
 type Console struct {
 	Out io.Writer
 	Err io.Writer
@@ -37,12 +37,13 @@
 	Message string `json:"message"`
 }
 
-// Done returns an outcome.
+// Done returns the outcome of a command that ends with a code.
 func Done(code exit.Code, message string) Outcome {
 	return Outcome{Outcome: code.String(), ExitCode: int(code), Message: message}
 }
 
-// Result returns the outcome; it lets a report that embeds one be emitted.
+// Result returns the outcome. Reports that embed an Outcome implement Report's Result
+// with it.
 func (o Outcome) Result() Outcome { return o }
 
 // Report is the answer of a command.
@@ -65,13 +66,13 @@
 	})
 }
 
-// Progress writes a line for people who wait; it is no part of the report.
+// Progress writes a line on the progress of the command; it is not part of the report.
 func (c *Console) Progress(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(c.Err, format+"\n", arguments...)
 }
 
-// EmitWithin runs a command for the given time at most and emits its report. Arguments that
-// do not pass the check end it before it runs.
+// EmitWithin runs a command within a time bound and emits its report. If check fails, the
+// command is not run and the error is returned.
 func (c *Console) EmitWithin(ctx context.Context, bound time.Duration, check func() error, run func(ctx context.Context) Report) error {
 	if err := check(); err != nil {
 		return err
@@ -117,7 +118,7 @@
 	c.Progress("levertide: %s: %s", outcome.Outcome, outcome.Message)
 }
 
-// Failed is a report that has nothing besides its outcome.
+// Failed is a report that consists of its outcome only.
 type Failed struct{ Outcome }
 
 // WriteText implements Report.
--- a/internal/command/diff/diff.go
+++ b/internal/command/diff/diff.go
@@ -1,5 +1,5 @@
-// Package diff implements "levertide diff": it shows what applying a file set
-// would change of the committed version.
+// Package diff implements "levertide diff": it shows how applying a file set would
+// change the committed version.
 package diff
 
 import (
--- a/internal/command/exit/exit.go
+++ b/internal/command/exit/exit.go
@@ -15,14 +15,14 @@
 
 // The exit codes. Scripts rely on them: docs/COMMANDS.md lists them.
 const (
-	// Accepted: what was asked for is done.
+	// Accepted: the command succeeded.
 	Accepted Code = 0
-	// Rejected: the set is at fault and was not put in force, not in part either.
+	// Rejected: the set has faults, and no part of it was put in force.
 	Rejected Code = 1
-	// Conflict: the base has moved, or another version is being rolled out.
-	// Nothing was written.
+	// Conflict: the base is no longer the committed version, or another version is
+	// being rolled out. Nothing was written.
 	Conflict Code = 2
-	// Unknown: it cannot be known yet whether the set will be in force.
+	// Unknown: it is not known yet whether the set will be in force.
 	Unknown Code = 3
 	// Unreachable: the store or the nodes cannot be reached. Nothing was written.
 	Unreachable Code = 4
@@ -30,7 +30,7 @@
 	Usage Code = 64
 )
 
-// String returns the outcome as it stands in JSON output.
+// String returns the name of the outcome in JSON output.
 func (c Code) String() string {
 	switch c {
 	case Accepted:
@@ -50,8 +50,8 @@
 	}
 }
 
-// Failure ends a command with a code. Its message is empty when all that is to
-// be said has been written already.
+// Failure is the error that ends a command with a code. Its message is empty when
+// the command has written its report already.
 type Failure struct {
 	Code    Code
 	Message string
@@ -60,11 +60,11 @@
 // Error returns the message.
 func (f *Failure) Error() string { return f.Message }
 
-// UsageError tells that the command line is wrong.
+// UsageError returns the error for a wrong command line.
 func UsageError(message string) error { return &Failure{Code: Usage, Message: message} }
 
-// CodeOfWrite returns the code for an error of a request that may have written.
-// What is not known to have had no effect is Unknown.
+// CodeOfWrite returns the code for an error of a request that may have written. It is
+// Unknown unless the request is known to have had no effect.
 func CodeOfWrite(err error) Code {
 	switch {
 	case err == nil:
@@ -92,7 +92,7 @@
 	}
 }
 
-// isFault reports errors that do not go away by asking again.
+// isFault reports whether an error is permanent: a retry fails again.
 func isFault(err error) bool {
 	return isOneOf(err, versionstore.ErrTooLarge, versionstore.ErrInvalidRequest, versionstore.ErrCorrupt,
 		versionstore.ErrStoreRegressed, store.ErrTooLarge, store.ErrRefused)
@@ -107,7 +107,7 @@
 	return false
 }
 
-// CodeOf returns the code that an error of a command ends the program with.
+// CodeOf returns the exit code of the program for the error of a command.
 func CodeOf(err error) Code {
 	var failure *Failure
 	switch {
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -1,5 +1,5 @@
 // Package explain implements "levertide explain": it reads logs of nodes in
-// hosted mode and tells the story of one request.
+// hosted mode and shows what happened to one request.
 package explain
 
 import (
@@ -46,7 +46,7 @@
 	}
 }
 
-// fieldsOf writes the fields of a line that say something.
+// fieldsOf returns the fields of a line as text, without those that are empty or false.
 func fieldsOf(line Line) string {
 	var text strings.Builder
 	for _, field := range slices.Sorted(maps.Keys(line.Fields)) {
--- a/internal/command/explain/explanation.go
+++ b/internal/command/explain/explanation.go
@@ -11,27 +11,27 @@
 	// eventCall and eventHop are the events of single calls.
 	eventCall = 701
 	eventHop  = 702
-	// eventQuarantined and eventQuarantineEnded tell of a request by its fingerprint.
+	// eventQuarantined and eventQuarantineEnded name a request by its fingerprint.
 	eventQuarantined     = 613
 	eventQuarantineEnded = 614
-	// stateChangeWindow is how long before a call's event a change of belief is taken
-	// to bear on it.
+	// stateChangeWindow is how long before a call's event a change in what a node
+	// assumes about the system is considered relevant to the call.
 	stateChangeWindow = 3 * time.Second
-	// storeRestoreWindow is the same for a return of the store from a copy: operators and nodes
-	// write again what it lacks within seconds, and until then it shows what is older.
+	// storeRestoreWindow is the same for a restore of the store from a copy: operators and nodes
+	// write again what it lacks within seconds, and until then it holds older data.
 	storeRestoreWindow = 30 * time.Second
 )
 
-// stateChangeEvents are the events that change what a node believes.
+// stateChangeEvents are the events that change what a node assumes about the system.
 var stateChangeEvents = map[int]bool{
 	104: true, 105: true, 401: true, 402: true, 601: true, 602: true, 603: true, 604: true, 605: true, 606: true, 607: true, 610: true,
 }
 
-// storeRestoreEvents are the events that tell of a store that came back from a copy: that it did,
-// which documents of it were passed over, and that a node wrote its entry again.
+// storeRestoreEvents are the events of a restore of the store from a copy: the restore itself,
+// the documents of the copy that were skipped, and a node writing its entry again.
 var storeRestoreEvents = map[int]bool{616: true, 617: true, 620: true}
 
-// causes say what lies behind a reason, and where to look.
+// causes explains each reason and says where to look further.
 var causes = map[outcome.Reason]string{
 	outcome.NotReady:            "the node had no configuration yet: see when it started, and whether it reaches the store or another node (402, 604)",
 	outcome.NoRoute:             "no route of the version in force takes the host and path: compare the version with the operators' document (602)",
@@ -57,24 +57,24 @@
 	outcome.InvalidAnswer:       "the worker answered with what belongs to another request; the call may have run",
 }
 
-// Explanation is what the logs tell of one request.
+// Explanation is what the logs show about one request.
 type Explanation struct {
-	// Calls are the lines of the request itself, Beliefs what the nodes on its
-	// way came to believe shortly before.
+	// Calls are the lines of the request itself. StateChanges are the changes, shortly
+	// before, in what the nodes that handled it assumed about the system.
 	Calls        []Line `json:"calls"`
 	StateChanges []Line `json:"beliefs"`
 	Cause        string `json:"cause"`
 }
 
-// explain puts the story of a request together; false when no line names it.
+// explain collects the lines about a request; false when no line names it.
 func explain(lines []Line, request string) (Explanation, bool) {
-	var story Explanation
+	var explanation Explanation
 	involved, fingerprints := map[string]bool{}, map[string]bool{}
 	for _, line := range lines {
 		if line.text("request") != request {
 			continue
 		}
-		story.Calls = append(story.Calls, line)
+		explanation.Calls = append(explanation.Calls, line)
 		involved[line.Node] = true
 		if fingerprint := line.text("fingerprint"); fingerprint != "" {
 			fingerprints[fingerprint] = true
@@ -83,31 +83,31 @@
 			involved[peer] = true
 		}
 	}
-	if len(story.Calls) == 0 {
+	if len(explanation.Calls) == 0 {
 		return Explanation{}, false
 	}
-	first := story.Calls[0].Time.Add(-stateChangeWindow)
-	last := story.Calls[len(story.Calls)-1].Time
+	first := explanation.Calls[0].Time.Add(-stateChangeWindow)
+	last := explanation.Calls[len(explanation.Calls)-1].Time
 	for _, line := range lines {
 		near := !line.Time.Before(first) && !line.Time.After(last)
-		bears := stateChangeEvents[line.Event] && near && (involved[line.Node] || involved[line.text("peer")])
-		returned := storeRestoreEvents[line.Event] && involved[line.Node] && line.Time.After(first.Add(stateChangeWindow-storeRestoreWindow))
-		if bears || (returned || isQuarantineOf(line, fingerprints)) && !line.Time.After(last) {
-			story.StateChanges = append(story.StateChanges, line)
+		relevant := stateChangeEvents[line.Event] && near && (involved[line.Node] || involved[line.text("peer")])
+		restored := storeRestoreEvents[line.Event] && involved[line.Node] && line.Time.After(first.Add(stateChangeWindow-storeRestoreWindow))
+		if relevant || (restored || isQuarantineOf(line, fingerprints)) && !line.Time.After(last) {
+			explanation.StateChanges = append(explanation.StateChanges, line)
 		}
 	}
-	story.Cause = causeOf(story.Calls)
-	return story, true
+	explanation.Cause = causeOf(explanation.Calls)
+	return explanation, true
 }
 
-// isQuarantineOf reports whether a line tells that one of the requests is quarantined, or is no
-// more. That may be long before the call, and at any node.
+// isQuarantineOf reports whether a line is the start or the end of the quarantine of one of
+// the requests. It may have been written long before the call, and by any node.
 func isQuarantineOf(line Line, fingerprints map[string]bool) bool {
 	return (line.Event == eventQuarantined || line.Event == eventQuarantineEnded) && fingerprints[line.text("fingerprint")]
 }
 
-// causeOf says why a request ended as it did. The node beside the worker knows
-// more than the one where the call began.
+// causeOf returns why a request ended as it did. The node beside the worker knows
+// more than the one where the call began, so its reason is used when the latter gives none.
 func causeOf(calls []Line) string {
 	var begun, deepest *Line
 	for index := range calls {
--- a/internal/command/explain/lines.go
+++ b/internal/command/explain/lines.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// maximumLineBytes bounds one line of a log, in bytes.
+// maximumLineBytes bounds the length of one line of a log.
 const maximumLineBytes = 1 << 20
 
 // Line is one event of a log.
@@ -23,14 +23,14 @@
 	Fields map[string]any `json:"fields"`
 }
 
-// text returns a field that is a text; empty when there is none.
+// text returns the value of a string field; empty when there is none.
 func (l Line) text(name string) string {
 	value, _ := l.Fields[name].(string)
 	return value
 }
 
-// readLines reads the events of a log. What stands before an event in its line,
-// as some collectors write it, is passed over, and so is what is no event.
+// readLines reads the events of a log. Text before the event in its line, such as the
+// prefix that some log collectors add, is ignored, and so are lines that hold no event.
 func readLines(source io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(source)
--- a/internal/command/history/history.go
+++ b/internal/command/history/history.go
@@ -1,5 +1,5 @@
 // Package history implements "levertide history": it lists the versions that
-// the store keeps, and tells what became of one apply.
+// the store keeps, or shows the outcome of one apply.
 package history
 
 import (
@@ -81,7 +81,7 @@
 	return console.Failed{Outcome: console.Done(exit.CodeOfRead(err), err.Error())}
 }
 
-// Report lists versions, the newest first.
+// Report lists versions, newest first.
 type Report struct {
 	console.Outcome
 	Versions []Version `json:"versions"`
@@ -101,7 +101,7 @@
 	Reason     string `json:"reason,omitempty"`
 }
 
-// State says what became of a version.
+// State is the state of a version.
 type State string
 
 // The states.
@@ -162,7 +162,7 @@
 	}
 }
 
-// Widths of the columns of the table.
+// columnPadding is the number of spaces between the columns of the table.
 const columnPadding = 2
 
 // WriteText implements console.Report.
--- a/internal/command/history/resolve.go
+++ b/internal/command/history/resolve.go
@@ -9,14 +9,14 @@
 	"github.com/levertide/levertide/internal/command/console"
 )
 
-// ApplyReport tells what became of one apply.
+// ApplyReport shows the outcome of one apply.
 type ApplyReport struct {
 	console.Outcome
 	ApplyID string `json:"applyId"`
 	// Phase is "committed", "proposed", "aborted" or "not-written".
 	Phase   string `json:"phase"`
 	Version uint64 `json:"version,omitempty"`
-	// Oldest is the oldest version that the store still keeps.
+	// Oldest is the oldest version that the store still holds.
 	Oldest uint64 `json:"oldest,omitempty"`
 }
 
--- a/internal/command/root/root.go
+++ b/internal/command/root/root.go
@@ -1,4 +1,4 @@
-// Package root puts together the command line of levertide.
+// Package root assembles the command line of levertide.
 package root
 
 import (
@@ -28,8 +28,8 @@
 
 Exit codes: 0 accepted, 1 rejected, 2 conflict, 3 unknown, 4 unreachable, 64 usage.`
 
-// Run carries out one command line, without the name of the program, and
-// returns the exit code. Version is the program's own.
+// Run runs one command line, given without the name of the program, and returns
+// the exit code. version is the version of the program.
 func Run(ctx context.Context, arguments []string, version string, out, errorOutput io.Writer) exit.Code {
 	terminal := &console.Console{Out: out, Err: errorOutput}
 	var help bytes.Buffer
@@ -78,7 +78,7 @@
 	return exit.UsageError("name a command: validate, diff, apply, status, history or explain")
 }
 
-// parseFailed shows help where it was asked for, and otherwise what is wrong.
+// parseFailed writes the help if the command line requests it, and otherwise the error.
 func parseFailed(terminal *console.Console, err error, help *bytes.Buffer) exit.Code {
 	if errors.Is(err, flag.ErrHelp) {
 		_, _ = help.WriteTo(terminal.Out)
--- a/internal/command/status/report.go
+++ b/internal/command/status/report.go
@@ -13,20 +13,20 @@
 // Report is the answer of the command.
 type Report struct {
 	console.Outcome
-	// AnsweredBy is the node whose view this is. It is the coordinator, unless
-	// none can be reached from the node that was asked.
+	// AnsweredBy is the node whose view this is. It is the coordinator, unless the
+	// queried node cannot reach one.
 	AnsweredBy  string   `json:"answeredBy"`
 	Coordinator string   `json:"coordinator"`
 	Readers     []string `json:"readers"`
-	// Committed is the version that every node is to run; zero before the first.
+	// Committed is the version that every node should run; zero before the first one.
 	Committed uint64 `json:"committed"`
-	// InForceOn is how many of Live run it.
+	// InForceOn is how many of the Live nodes run the committed version.
 	InForceOn uint32 `json:"inForceOn"`
 	Live      uint32 `json:"live"`
 	Leaving   uint32 `json:"leaving"`
 	Lost      uint32 `json:"lost"`
-	// InForceSince is when it was first seen in force on every live node; it is
-	// left out when that has not been so yet.
+	// InForceSince is when the committed version was first observed in force on every
+	// live node; it is left out until then.
 	InForceSince *time.Time `json:"inForceSince,omitempty"`
 	// Rollout is set while a version is proposed.
 	Rollout      *Rollout   `json:"rollout,omitempty"`
@@ -44,13 +44,14 @@
 	Refused []Node `json:"refused"`
 }
 
-// Node is a node with the reason why it is listed.
+// Node is a node that lags or has refused a version, with the reason.
 type Node struct {
 	Node   string `json:"node"`
 	Reason string `json:"reason"`
 }
 
-// Store says whether the platform's store answers.
+// Store reports whether the platform's store can be reached, since when, and the
+// error if it cannot.
 type Store struct {
 	Reachable bool       `json:"reachable"`
 	Since     *time.Time `json:"since,omitempty"`
--- a/internal/command/status/status.go
+++ b/internal/command/status/status.go
@@ -1,5 +1,5 @@
-// Package status implements "levertide status": it tells what an operator
-// looks at first, from the point of view of the coordinator.
+// Package status implements "levertide status": it shows the state of the mesh as
+// the coordinator sees it.
 package status
 
 import (
--- a/internal/command/status/text.go
+++ b/internal/command/status/text.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// WriteText implements console.Report. What is wrong comes first.
+// WriteText implements console.Report. Alarms come first.
 func (r Report) WriteText(out io.Writer) {
 	for _, alarm := range r.Alarms {
 		line(out, "ALARM", alarm)
@@ -89,7 +89,8 @@
 	return text
 }
 
-// answeredText warns of a view that may lack what other nodes know.
+// answeredText names the answering node, with a warning if its view may be incomplete
+// because it is not the coordinator.
 func (r Report) answeredText() string {
 	if r.AnsweredBy == r.Coordinator {
 		return r.AnsweredBy
--- a/internal/command/validate/validate.go
+++ b/internal/command/validate/validate.go
@@ -1,5 +1,5 @@
 // Package validate implements "levertide validate": it checks a file set
-// without looking at the store.
+// without reading the store.
 package validate
 
 import (
--- a/internal/evidencewire/evidence.go
+++ b/internal/evidencewire/evidence.go
@@ -1,5 +1,5 @@
-// Package evidencewire writes what nodes know of requests that crash workers as messages
-// between nodes, in both modes.
+// Package evidencewire encodes and decodes the messages in which nodes exchange evidence
+// and quarantine verdicts on requests that crash workers, in both modes.
 package evidencewire
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/levertide/levertide/pkg/quarantine"
 )
 
-// EncodeReports returns the messages of reports.
+// EncodeReports returns reports of evidence as messages.
 func EncodeReports(reports []quarantine.Report) []*exchangepb.Evidence {
 	messages := make([]*exchangepb.Evidence, 0, len(reports))
 	for _, r := range reports {
@@ -24,13 +24,14 @@
 	return messages
 }
 
-// DecodeReports reads messages; those of newer programs that cannot be read are left out.
+// DecodeReports returns the reports in messages. Messages with a fingerprint in a format
+// that only newer programs know are left out.
 func DecodeReports(messages []*exchangepb.Evidence) []quarantine.Report {
 	reports := make([]quarantine.Report, 0, len(messages))
 	for _, message := range messages {
 		f, ok := quarantine.ParseFingerprint(message.GetFingerprint())
 		if !ok {
-			continue // of a newer program
+			continue // written by a newer program
 		}
 		reports = append(reports, quarantine.Report{
 			Fingerprint: f, Instance: message.GetInstance(), Level: int(message.GetLevel()),
@@ -40,7 +41,7 @@
 	return reports
 }
 
-// EncodeVerdicts returns the messages of verdicts.
+// EncodeVerdicts returns quarantine verdicts as messages.
 func EncodeVerdicts(list []quarantine.Verdict) []*exchangepb.Quarantine {
 	var messages []*exchangepb.Quarantine
 	for _, v := range list {
@@ -51,13 +52,14 @@
 	return messages
 }
 
-// DecodeVerdicts reads messages; those of newer programs that cannot be read are left out.
+// DecodeVerdicts returns the verdicts in messages. Messages with a fingerprint in a format
+// that only newer programs know are left out.
 func DecodeVerdicts(messages []*exchangepb.Quarantine) []quarantine.Verdict {
 	var list []quarantine.Verdict
 	for _, message := range messages {
 		f, ok := quarantine.ParseFingerprint(message.GetFingerprint())
 		if !ok {
-			continue // of a newer program
+			continue // written by a newer program
 		}
 		list = append(list, quarantine.Verdict{
 			Fingerprint: f, Since: time.UnixMilli(message.GetSinceUnixMs()), Until: time.UnixMilli(message.GetUntilUnixMs()),
@@ -67,10 +69,12 @@
 	return list
 }
 
-// maxHeaderEvidence bounds the pieces of evidence in a header, some 80 bytes each.
+// maxHeaderEvidence bounds the number of reports, and the number of verdicts, in a header.
+// Each takes about 80 bytes.
 const maxHeaderEvidence = 8
 
-// EncodeHeader returns what a table knows as the value of a header; empty when it knows nothing.
+// EncodeHeader returns the evidence and the verdicts of a table as the value of a header;
+// empty when the table is empty.
 func EncodeHeader(table *quarantine.Table, now time.Time) string {
 	if table.Empty() {
 		return ""
@@ -82,13 +86,13 @@
 	}
 	encoded, err := proto.Marshal(known)
 	if err != nil {
-		panic("evidencewire: what is known cannot be encoded: " + err.Error())
+		panic("evidencewire: cannot encode evidence for a header: " + err.Error())
 	}
 	return base64.StdEncoding.EncodeToString(encoded)
 }
 
-// MergeHeader has a table take what a header of another node tells. A header that cannot be
-// read, as one of a newer program, tells nothing.
+// MergeHeader adds the evidence and the verdicts in a header from another node to a table.
+// A header that cannot be decoded, such as one of a newer program, is ignored.
 func MergeHeader(table *quarantine.Table, value string, now time.Time) {
 	if value == "" {
 		return
--- a/internal/platform/consul/client.go
+++ b/internal/platform/consul/client.go
@@ -26,20 +26,20 @@
 	Address string
 	// Token is sent with each request when it is not empty.
 	Token string
-	// Client names this process to the platform, in the User-Agent header.
+	// Client identifies this process to the platform, in the User-Agent header.
 	Client string
-	// Timeout bounds one request; a blocked read has its wait on top.
+	// Timeout bounds one request; the wait of a blocking read is added to it.
 	Timeout time.Duration
-	// LockDelay is how long the keys of a lapsed session stay closed. Leases
-	// only limit load, so that zero, the default, does no harm.
+	// LockDelay is how long the keys of an expired session cannot be acquired again.
+	// Zero, the default, is safe, because leases only limit load.
 	LockDelay time.Duration
-	// Dial makes connections; nil means TCP.
+	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// TLS is used with https addresses; nil means the system's defaults.
 	TLS *tls.Config
 }
 
-// Client speaks with one Consul agent. It may be used by several goroutines.
+// Client sends requests to one Consul agent. It is safe for concurrent use.
 type Client struct {
 	config    Config
 	transport *http.Transport
@@ -50,7 +50,7 @@
 	_ store.MachineList = (*Client)(nil)
 )
 
-// New returns a client. It makes no connection before the first request.
+// New returns a client. It opens no connection before the first request.
 func New(config Config) *Client {
 	config.Address = strings.TrimSuffix(config.Address, "/")
 	if config.Timeout <= 0 {
@@ -68,5 +68,5 @@
 	}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
--- a/internal/platform/consul/doc.go
+++ b/internal/platform/consul/doc.go
@@ -1,7 +1,7 @@
-// Package consul is a store.Store and a store.MachineList over the published
-// HTTP API of Consul, spoken with net/http.
+// Package consul implements store.Store and store.MachineList with the published
+// HTTP API of Consul, using net/http.
 //
-// A write whose connection was made but whose answer did not arrive is
-// reported as store.ErrUnknownOutcome; one that found no connection as
-// store.ErrUnreachable. Reads have no effect, so that they are never unknown.
+// A write that had a connection but whose response did not arrive is reported as
+// store.ErrUnknownOutcome; one for which no connection could be opened as
+// store.ErrUnreachable. Reads have no effect, so that their outcome is never unknown.
 package consul
--- a/internal/platform/consul/keyvalue.go
+++ b/internal/platform/consul/keyvalue.go
@@ -35,7 +35,7 @@
 		return store.Record{}, 0, err
 	}
 	if len(records) != 1 {
-		return store.Record{}, 0, store.ErrUnreachable.New("%d records were answered for %s", len(records), key)
+		return store.Record{}, 0, store.ErrUnreachable.New("got %d records for key %s, want 1", len(records), key)
 	}
 	return records[0], received.index(), nil
 }
@@ -102,7 +102,7 @@
 	return err
 }
 
-// put writes one key and returns the platform's answer, true or false.
+// put writes one key and returns whether the platform has carried out the write.
 func (c *Client) put(ctx context.Context, key string, value []byte, query url.Values) (bool, error) {
 	call := request{
 		method: http.MethodPut,
@@ -210,7 +210,7 @@
 	return response, store.ErrConflict.New("the transaction was rolled back: %s", response.Errors[0].What)
 }
 
-// formatDuration writes a duration in milliseconds, as the platform reads it.
+// formatDuration returns a duration in milliseconds, in the format of the platform's API.
 func formatDuration(duration time.Duration) string {
 	return strconv.FormatInt(duration.Milliseconds(), 10) + "ms"
 }
--- a/internal/platform/consul/machines.go
+++ b/internal/platform/consul/machines.go
@@ -9,8 +9,8 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// Machines implements store.MachineList from the health catalogue. A machine
-// in maintenance mode is taken to be leaving.
+// Machines implements store.MachineList with the health endpoint. A machine in
+// maintenance mode is reported as leaving.
 func (c *Client) Machines(ctx context.Context) ([]store.Machine, error) {
 	call := request{method: http.MethodGet, path: wire.PathHealthService + wire.ServiceName}
 	received, err := c.send(ctx, call)
--- a/internal/platform/consul/request.go
+++ b/internal/platform/consul/request.go
@@ -17,10 +17,10 @@
 	"github.com/levertide/levertide/pkg/store"
 )
 
-// maxAnswerBytes bounds an answer that is read into memory.
+// maxAnswerBytes bounds the body of a response that is read into memory.
 const maxAnswerBytes = 256 << 20
 
-// maxErrorBytes bounds the part of an error's body that is shown.
+// maxErrorBytes bounds the part of an error response's body that goes into the error.
 const maxErrorBytes = 200
 
 // request is one call of the API.
@@ -29,13 +29,13 @@
 	path   string
 	query  url.Values
 	body   []byte
-	// write tells that the call may change something.
+	// write reports that the request may change data.
 	write bool
-	// wait is how long the server may hold the answer back.
+	// wait is how long the server may delay the response of a blocking read.
 	wait time.Duration
 }
 
-// answer is a complete answer of the API.
+// answer is a complete response of the API.
 type answer struct {
 	status int
 	header http.Header
@@ -50,7 +50,7 @@
 	return index
 }
 
-// decode reads the JSON body. An answer that cannot be read is as good as lost.
+// decode decodes the JSON body. A response that cannot be decoded is treated as lost.
 func (a answer) decode(into any, call request) error {
 	if err := json.Unmarshal(a.body, into); err != nil {
 		return call.lostAnswer(err)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// lostAnswer is the error for an answer that was not received whole.
+// lostAnswer returns the error for a response that was not received completely.
 func (r request) lostAnswer(cause error) error {
 	if r.write {
 		return store.ErrUnknownOutcome.Wrap(cause, "the answer to %s %s was lost", r.method, r.path)
@@ -66,10 +66,10 @@
 	return store.ErrUnreachable.Wrap(cause, "%s %s was not answered", r.method, r.path)
 }
 
-// send carries out a call. Statuses 200, 404 and 409 are returned as answers,
-// all others as errors.
+// send sends a request. Statuses 200, 404 and 409 are returned as answers, all
+// others as errors.
 func (c *Client) send(ctx context.Context, call request) (answer, error) {
-	// Consul adds up to a sixteenth of the wait, to spread answers.
+	// Consul adds up to a sixteenth of the wait as jitter, to spread its responses.
 	ctx, cancel := context.WithTimeout(ctx, c.config.Timeout+call.wait+call.wait/16)
 	defer cancel()
 	var connected atomic.Bool
@@ -87,7 +87,7 @@
 	if err != nil {
 		return answer{}, call.lostAnswer(err)
 	}
-	defer func() { _ = response.Body.Close() }() // the body has been read by then
+	defer func() { _ = response.Body.Close() }() // the body has been read by then, so that the error does not matter
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return answer{}, call.lostAnswer(err)
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// Without GetBody the transport cannot send the body a second time.
+	// Without GetBody the transport cannot retry the request, and so not send the body twice.
 	message.GetBody = nil
 	if c.config.Token != "" {
 		message.Header.Set(wire.HeaderToken, c.config.Token)
@@ -116,7 +116,7 @@
 	return message, nil
 }
 
-// statusError turns a status that is no answer into an error.
+// statusError returns the error for a status that send does not return as an answer.
 func (a answer) statusError(call request) error {
 	text := string(a.body[:min(len(a.body), maxErrorBytes)])
 	switch {
--- a/internal/platform/consul/session.go
+++ b/internal/platform/consul/session.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	if received.status == http.StatusNotFound {
-		return store.ErrSessionGone.New("the session has lapsed")
+		return store.ErrSessionGone.New("the session has expired or was destroyed")
 	}
 	return nil
 }
--- a/internal/platform/consul/wire/wire.go
+++ b/internal/platform/consul/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the JSON messages and names of the published HTTP API of
-// Consul, as far as levertide uses it.
+// Package wire defines the JSON messages and the names of the part of Consul's
+// published HTTP API that levertide uses.
 package wire
 
 import "time"
@@ -21,7 +21,7 @@
 	QueryWait       = "wait"
 )
 
-// Paths, each to be followed by the rest where it ends with a slash.
+// Paths. To those that end with a slash, a key, session or service is appended.
 const (
 	PathKeyValue           = "/v1/kv/"
 	PathTransaction        = "/v1/txn"
@@ -34,7 +34,7 @@
 	PathServiceMaintenance = "/v1/agent/service/maintenance/"
 )
 
-// Texts in the body of errors.
+// Texts in the body of error responses that tell errors with the same status apart.
 const (
 	TextNoLeader       = "No cluster leader"
 	TextInvalidSession = "invalid session"
@@ -44,7 +44,7 @@
 // MinimumSessionTTL is the shortest time to live of a session.
 const MinimumSessionTTL = 10 * time.Second
 
-// KeyValue is one record as reads answer it; Value is in base64.
+// KeyValue is one record as reads return it; in JSON, Value is in base64.
 type KeyValue struct {
 	Key         string
 	Value       []byte
@@ -103,7 +103,7 @@
 	Behavior  string
 }
 
-// BehaviorRelease keeps the keys of a session that lapsed, without a holder.
+// BehaviorRelease keeps the keys of an expired session, but releases its locks on them.
 const BehaviorRelease = "release"
 
 // SessionResponse names a created session.
@@ -120,14 +120,14 @@
 	Meta    map[string]string
 }
 
-// ServiceEntry is one machine as the health catalogue lists it.
+// ServiceEntry is one machine as the health endpoint lists it.
 type ServiceEntry struct {
 	Node    Node
 	Service AgentService
 	Checks  []HealthCheck
 }
 
-// Node is the platform's agent that a machine is registered with.
+// Node is the Consul agent that a machine is registered with.
 type Node struct {
 	Node    string
 	Address string
@@ -148,7 +148,7 @@
 	Status  string
 }
 
-// Values of HealthCheck.
+// Values of HealthCheck, keys of Meta, and the names that levertided registers with.
 const (
 	StatusPassing            = "passing"
 	StatusCritical           = "critical"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -102,8 +102,8 @@
 	// StopNotice is how long a stopping node still accepts calls, so that callers
 	// and other nodes can switch to other nodes, in hosted mode.
 	StopNotice time.Duration `key:"stop-notice" validate:"min=0s,max=10m"`
-	// MemoryLimit is the memory limit given to the garbage collector, in MiB; zero
-	// leaves the process's own choice.
+	// MemoryLimit is the memory, in MiB, within which the garbage collector keeps the
+	// process; zero leaves the limit to the collector's defaults.
 	MemoryLimit int `key:"memory-limit" validate:"min=0,max=1048576"`
 
 	// LogLevel is the lowest level of events that are written.
--- a/internal/testdial/slow.go
+++ b/internal/testdial/slow.go
@@ -1,4 +1,5 @@
-// Package testdial has dial functions for tests of how many connections are opened.
+// Package testdial provides a dial function for tests of how many connections a
+// transport opens.
 package testdial
 
 import (
@@ -7,8 +8,9 @@
 	"sync"
 )
 
-// Slow opens its first connection at once, and all others when it is told to finish. It
-// counts the connections that are open or about to be. Use NewSlow.
+// Slow is a dialer that opens its first connection at once and delays all others until
+// Finish is called. It counts the connections that are open or being opened. Use NewSlow
+// to create one.
 type Slow struct {
 	finished chan struct{}
 
@@ -16,13 +18,13 @@
 	began, open, peak int
 }
 
-// NewSlow returns a Slow that has opened nothing.
+// NewSlow returns a Slow that has not opened any connection.
 func NewSlow() *Slow { return &Slow{finished: make(chan struct{})} }
 
-// Finish lets the connections that wait be opened, and all that follow.
+// Finish lets Dial open the delayed connections, and later ones without delay.
 func (d *Slow) Finish() { close(d.finished) }
 
-// Dial opens a connection. It is a dial function of a transport.
+// Dial opens a connection. It can be used as the DialContext of an http.Transport.
 func (d *Slow) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if !d.begin() {
 		select {
@@ -40,7 +42,7 @@
 	return &countedConn{Conn: conn, closed: sync.OnceFunc(d.closed)}, nil
 }
 
-// begin counts a connection and reports whether it is the first one.
+// begin counts a connection that is being opened and reports whether it is the first.
 func (d *Slow) begin() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -56,14 +58,15 @@
 	d.open--
 }
 
-// Highest returns how many connections were open, or about to be, at most.
+// Highest returns the highest number of connections that were open or being opened at
+// the same time.
 func (d *Slow) Highest() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.peak
 }
 
-// countedConn tells when it is closed.
+// countedConn calls closed when it is closed.
 type countedConn struct {
 	net.Conn
 	closed func()
--- a/internal/testwait/testwait.go
+++ b/internal/testwait/testwait.go
@@ -1,5 +1,5 @@
-// Package testwait lets tests wait for conditions in place of lengths of time.
-// Only tests import it.
+// Package testwait lets tests wait for conditions rather than for fixed times. Only
+// tests import it.
 package testwait
 
 import (
@@ -8,12 +8,13 @@
 )
 
 const (
-	// waitLimit bounds a wait; what is waited for comes much sooner.
+	// waitLimit bounds a wait; conditions normally hold much sooner.
 	waitLimit    = 30 * time.Second
 	pollInterval = 5 * time.Millisecond
 )
 
-// Eventually waits until a condition holds, and fails the test when it does not.
+// Eventually waits until a condition holds, and fails the test if it does not hold within
+// waitLimit. what names the condition in the failure message.
 func Eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitLimit)
