--- a/internal/command/apply/propose.go
+++ b/internal/command/apply/propose.go
@@ -30,7 +30,7 @@
 }
 
 func (a *attempt) notProposed(ctx context.Context, err error) Report {
-	switch code := exit.OfWrite(err); code {
+	switch code := exit.CodeOfWrite(err); code {
 	case exit.Conflict:
 		return a.refused(ctx, err)
 	case exit.Unknown:
@@ -49,7 +49,7 @@
 	return "; the nodes hold a newer head than the store: put a newer copy of the store back, or see --after-restore"
 }
 
-// refused words a conflict that the store itself found.
+// refused reports a conflict that Propose found.
 func (a *attempt) refused(ctx context.Context, err error) Report {
 	head, found := versionstore.CurrentHead(err)
 	if !found {
@@ -65,13 +65,14 @@
 	return a.conflict(ctx, head)
 }
 
-// conflict reports a base that has moved, with what was changed since.
+// conflict reports that the base is no longer the committed version, with the changes
+// since.
 func (a *attempt) conflict(ctx context.Context, head rollout.Head) Report {
 	a.report.ApplyID = ""
 	a.report.Current = head.Committed
 	message := fmt.Sprintf("nothing was applied: the set is based on version %d, but version %d is committed",
 		a.report.Base, head.Committed)
-	moved, err := a.movedSince(ctx, head)
+	moved, err := a.changesSince(ctx, head)
 	if err != nil {
 		return a.report.with(exit.Conflict, message+"; what changed in between cannot be shown: "+err.Error())
 	}
@@ -80,7 +81,7 @@
 		message, changes.Summary(moved), head.Committed))
 }
 
-func (a *attempt) movedSince(ctx context.Context, head rollout.Head) ([]changes.Change, error) {
+func (a *attempt) changesSince(ctx context.Context, head rollout.Head) ([]changes.Change, error) {
 	base, err := a.versions.Version(ctx, a.report.Base, nil)
 	if err != nil {
 		return nil, err
--- a/internal/command/diff/diff.go
+++ b/internal/command/diff/diff.go
@@ -1,5 +1,5 @@
-// Package diff implements "levertide diff": it shows what applying a file set
-// would change of the committed version.
+// Package diff implements "levertide diff": it shows how applying a file set would
+// change the committed version.
 package diff
 
 import (
@@ -107,5 +107,5 @@
 }
 
 func failed(err error) Report {
-	return Report{Outcome: console.Done(exit.OfRead(err), err.Error()), Changes: []changes.Change{}}
+	return Report{Outcome: console.Done(exit.CodeOfRead(err), err.Error()), Changes: []changes.Change{}}
 }
--- a/internal/command/explain/explain.go
+++ b/internal/command/explain/explain.go
@@ -1,5 +1,5 @@
 // Package explain implements "levertide explain": it reads logs of nodes in
-// hosted mode and tells the story of one request.
+// hosted mode and shows what happened to one request.
 package explain
 
 import (
@@ -27,7 +27,7 @@
 type Report struct {
 	console.Outcome
 	Request string `json:"request"`
-	Story
+	Explanation
 }
 
 // WriteText implements console.Report.
@@ -35,7 +35,7 @@
 	for _, part := range []struct {
 		title string
 		lines []Line
-	}{{"the request", r.Calls}, {"what the nodes on its way believed", r.Beliefs}} {
+	}{{"the request", r.Calls}, {"what the nodes on its way believed", r.StateChanges}} {
 		if len(part.lines) == 0 {
 			continue
 		}
@@ -46,11 +46,11 @@
 	}
 }
 
-// fieldsOf writes the fields of a line that say something.
+// fieldsOf returns the fields of a line as text, without those that are empty or false.
 func fieldsOf(line Line) string {
 	var text strings.Builder
-	for _, field := range slices.Sorted(maps.Keys(line.Field)) {
-		value := fmt.Sprint(line.Field[field])
+	for _, field := range slices.Sorted(maps.Keys(line.Fields)) {
+		value := fmt.Sprint(line.Fields[field])
 		if value != "" && value != "false" && field != "request" {
 			_, _ = fmt.Fprintf(&text, " %s=%s", field, value)
 		}
@@ -86,13 +86,13 @@
 }
 
 func report(lines []Line, request string) Report {
-	story, found := tell(sorted(lines), request)
-	answer := Report{Request: request, Story: story}
+	explanation, found := explain(sorted(lines), request)
+	answer := Report{Request: request, Explanation: explanation}
 	if !found {
 		answer.Outcome = console.Done(exit.Rejected, "no line names request "+request+": it was served at the first attempt, or its lines were dropped")
 		return answer
 	}
-	answer.Outcome = console.Done(exit.Accepted, "cause: "+story.Cause)
+	answer.Outcome = console.Done(exit.Accepted, "cause: "+explanation.Cause)
 	return answer
 }
 
--- a/internal/daemon/network.go
+++ b/internal/daemon/network.go
@@ -15,8 +15,8 @@
 	"github.com/levertide/levertide/internal/platform/consul"
 )
 
-// Connections to other machines are given up soon, so that another peer is
-// tried while the caller still waits.
+// Time limits of connections to other machines. They are short, so that another
+// peer can be tried while the caller still waits.
 const (
 	dialTimeout       = time.Second
 	keepAliveIdle     = time.Second
@@ -26,7 +26,7 @@
 
 type dialFunction = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialer returns a dial function that uses the local address if it is valid.
+// dialer returns a dial function that connects from the source address if it is valid.
 func dialer(source netip.Addr) dialFunction {
 	configured := &net.Dialer{
 		Timeout: dialTimeout,
@@ -43,8 +43,8 @@
 	return configured.DialContext
 }
 
-// newStoreClient returns a client of the platform's store. When the server that
-// answered last takes no connection, the next one of the list is tried.
+// newStoreClient returns a client of the platform's store. When the server used
+// last accepts no connection, the next one of the list is tried.
 func (d *Daemon) newStoreClient() *consul.Client {
 	addresses := make([]string, 0, len(d.settings.StoreAddresses))
 	scheme := "http"
@@ -68,7 +68,7 @@
 type storeServers struct {
 	addresses []string
 	dial      dialFunction
-	// preferred is the index of the server that took the last connection.
+	// preferred is the index of the server that accepted the last connection.
 	preferred atomic.Uint32
 }
 
@@ -87,7 +87,7 @@
 	return nil, failure
 }
 
-// listeners are the four addresses that the node answers at.
+// listeners holds the four listeners of the node.
 type listeners struct {
 	caller  *server
 	call    *server
@@ -98,7 +98,7 @@
 func (l *listeners) close() {
 	for _, opened := range []*server{l.caller, l.call, l.admin} {
 		if opened != nil {
-			opened.abandon()
+			opened.closeUnserved()
 		}
 	}
 	if l.control != nil {
@@ -108,7 +108,7 @@
 
 func (d *Daemon) openListeners() error {
 	var err error
-	if d.listeners.caller, err = newServer("caller", d.settings.CallerAddress, d.outsideTLS(d.settings.CallerAddress)); err != nil {
+	if d.listeners.caller, err = newServer("caller", d.settings.CallerAddress, d.callerTLS(d.settings.CallerAddress)); err != nil {
 		return err
 	}
 	if d.listeners.call, err = newServer("call", d.settings.CallAddress, d.nodeTLS()); err != nil {
@@ -118,7 +118,7 @@
 		return err
 	}
 	if d.listeners.control, err = net.Listen("tcp", d.settings.ControlAddress); err != nil {
-		return ErrStart.Wrap(err, "listener for control")
+		return ErrStart.Wrap(err, "cannot open the control listener")
 	}
 	return nil
 }
@@ -128,44 +128,44 @@
 		return nil
 	}
 	files := identity.Files{Authorities: d.settings.TLSCA, Certificate: d.settings.TLSCert, Key: d.settings.TLSKey}
-	keeper, err := identity.NewKeeper(files, d.log, identity.DefaultPollInterval)
+	reloader, err := identity.NewReloader(files, d.log, identity.DefaultPollInterval)
 	if err != nil {
 		return err
 	}
-	d.keeper = keeper
-	if _, err := requireNode(keeper.Identity()); err != nil {
+	d.certificates = reloader
+	if _, err := requireNodeRole(reloader.Identity()); err != nil {
 		return err
 	}
-	return keeper.Identity().CheckClaim(d.settings.Region, d.settings.Zone, d.settings.NodeID)
+	return reloader.Identity().CheckClaim(d.settings.Region, d.settings.Zone, d.settings.NodeID)
 }
 
-func requireNode(holder identity.Identity) (identity.Identity, error) {
+func requireNodeRole(holder identity.Identity) (identity.Identity, error) {
 	if holder.Role != identity.RoleNode {
-		return holder, identity.ErrWrongRole.New("%s is no certificate of a node", holder)
+		return holder, identity.ErrWrongRole.New("%s is not the certificate of a node", holder)
 	}
 	return holder, nil
 }
 
-// outsideTLS is for callers: none on a loopback address.
-func (d *Daemon) outsideTLS(address string) *tls.Config {
-	if d.keeper == nil || isLoopback(address) {
+// callerTLS returns the TLS configuration for callers: none on a loopback address.
+func (d *Daemon) callerTLS(address string) *tls.Config {
+	if d.certificates == nil || isLoopback(address) {
 		return nil
 	}
-	return d.keeper.Server()
+	return d.certificates.Server()
 }
 
 func (d *Daemon) nodeTLS() *tls.Config {
-	if d.keeper == nil {
+	if d.certificates == nil {
 		return nil
 	}
-	return d.keeper.Mutual(identity.RoleNode)
+	return d.certificates.Mutual(identity.RoleNode)
 }
 
 func (d *Daemon) adminTLS() *tls.Config {
-	if d.keeper == nil || isLoopback(d.settings.AdminAddress) {
+	if d.certificates == nil || isLoopback(d.settings.AdminAddress) {
 		return nil
 	}
-	return d.keeper.Mutual(identity.RoleOperator, identity.RoleNode)
+	return d.certificates.Mutual(identity.RoleOperator, identity.RoleNode)
 }
 
 func isLoopback(address string) bool {
@@ -173,8 +173,8 @@
 	return err == nil && parsed.Addr().IsLoopback()
 }
 
-// verifySender is asked by the control engine about each message of a peer.
-// Operators may send the status message only.
+// verifySender checks the certificate of the sender of a control message; the
+// control engine calls it for each message. Operators may send the status message only.
 func verifySender(sender control.Sender) error {
 	roles := []identity.Role{identity.RoleNode}
 	if sender.Message == control.MessageStatus {
--- a/internal/hosted/evidence.go
+++ b/internal/hosted/evidence.go
@@ -80,7 +80,7 @@
 	e.pending = nil
 	e.mu.Unlock()
 	e.review(sourceOwnWorker)
-	e.agent.peers.announce(ctx, update{evidence: evidencewire.Reports(reports)})
+	e.agent.peers.announce(ctx, update{evidence: evidencewire.EncodeReports(reports)})
 }
 
 // take merges evidence from another node.
@@ -88,7 +88,7 @@
 	if len(messages) == 0 {
 		return
 	}
-	e.table.Merge(evidencewire.ReportsOf(messages), time.Now())
+	e.table.Merge(evidencewire.DecodeReports(messages), time.Now())
 	e.review(sourceEvidence)
 }
 
@@ -98,12 +98,12 @@
 // held returns evidence and all decisions, for another node.
 func (e *evidence) held() ([]*exchangepb.Evidence, []*exchangepb.Quarantine) {
 	now := time.Now()
-	return evidencewire.Reports(e.table.Reports(exchangedEvidence, now)), evidencewire.Verdicts(e.table.Verdicts(now))
+	return evidencewire.EncodeReports(e.table.Reports(exchangedEvidence, now)), evidencewire.EncodeVerdicts(e.table.Verdicts(now))
 }
 
 // takeDecisions adopts the decisions that another node holds.
 func (e *evidence) takeDecisions(messages []*exchangepb.Quarantine) {
-	if len(e.table.Restore(evidencewire.VerdictsOf(messages), false, time.Now())) > 0 {
+	if len(e.table.Restore(evidencewire.DecodeVerdicts(messages), false, time.Now())) > 0 {
 		e.review(sourceExchange)
 	}
 }
