--- a/tests/integration/crash_test.go
+++ b/tests/integration/crash_test.go
@@ -10,7 +10,7 @@
 
 const roleCoordinator = "coordinator"
 
-// withRole waits for a node that has a role and returns it.
+// withRole waits until some node reports a role and returns that node.
 func withRole(mesh *harness.Mesh, role string) *harness.Node {
 	var found *harness.Node
 	mesh.Eventually("a node is "+role, func() bool {
@@ -24,7 +24,7 @@
 	return found
 }
 
-// allExcept returns all nodes but one.
+// allExcept returns all nodes except one.
 func allExcept(mesh *harness.Mesh, left *harness.Node) []*harness.Node {
 	var others []*harness.Node
 	for _, node := range mesh.Nodes("") {
@@ -165,7 +165,7 @@
 	get(t, mesh, dying, 2)
 }
 
-// eventFloorMissing is the number in docs/EVENTS.md.
+// eventFloorMissing is the event number listed in docs/EVENTS.md.
 const eventFloorMissing observe.EventNumber = 205
 
 func isReady(event observe.Event) bool { return event.Number == observe.EventReady }
--- a/tests/integration/fixtures_test.go
+++ b/tests/integration/fixtures_test.go
@@ -13,8 +13,8 @@
 
 const ledger = "ledger"
 
-// resources returns one service with a route of its own for each generation, so
-// that a caller can tell which version a node runs.
+// resources returns one service and a route whose path depends on the generation,
+// so that a caller can tell which version a node runs.
 func resources(generation int) []model.Resource {
 	return []model.Resource{
 		{Key: model.Key{Kind: model.KindService, Name: ledger}, Service: &model.Service{
@@ -31,7 +31,7 @@
 	}
 }
 
-// callable returns resources whose path is the same in each generation.
+// callable returns resources whose route has the same path in each generation.
 func callable(generation int) []model.Resource {
 	set := resources(generation)
 	set[len(set)-1].Route.Match.PathPrefix = "/calls"
@@ -40,7 +40,7 @@
 
 func path(generation int) string { return fmt.Sprintf("/generation-%d", generation) }
 
-// twoZones is a gateway and two workers in each of two zones.
+// twoZones returns a gateway and two workers in each of two zones.
 func twoZones() []harness.NodeOptions {
 	var nodes []harness.NodeOptions
 	for _, zone := range []string{"a", "b"} {
@@ -65,8 +65,8 @@
 	return mesh, version
 }
 
-// get calls a generation's path until it is answered, which a node may refuse as
-// not-run while it learns of members.
+// get calls a generation's path until it is answered. A node may refuse the call
+// as not-run while it does not know all members yet.
 func get(t *testing.T, mesh *harness.Mesh, node *harness.Node, generation int) harness.Answer {
 	t.Helper()
 	var answer harness.Answer
--- a/tests/integration/main_test.go
+++ b/tests/integration/main_test.go
@@ -8,8 +8,8 @@
 	"github.com/levertide/levertide/tests/integration/harness"
 )
 
-// parallelTests bounds how many meshes run at once, so that the processes of
-// all of them have room on a usual machine.
+// parallelTests limits how many meshes run at once, so that a usual machine can
+// run the processes of all of them.
 const parallelTests = "3"
 
 func TestMain(m *testing.M) {
--- a/tests/layout/doc.go
+++ b/tests/layout/doc.go
@@ -1,3 +1,3 @@
-// Package layout holds the tests of how the tree is laid out: which package may
-// import which, and which names stand where.
+// Package layout tests the structure of the source tree: which packages may
+// import which, and where names of the platform may appear.
 package layout
--- a/tests/robustness/coordination/doc.go
+++ b/tests/robustness/coordination/doc.go
@@ -1,3 +1,3 @@
-// Package coordination runs the simulator of internal/sim for longer and in
-// other shapes than its own tests do.
+// Package coordination runs the simulator of internal/sim for longer and with
+// other topologies than its own tests do.
 package coordination
--- a/tests/robustness/storeprotocol/fixture_test.go
+++ b/tests/robustness/storeprotocol/fixture_test.go
@@ -22,7 +22,7 @@
 // shortPause bounds the pauses between attempts in these tests.
 const shortPause = 5 * time.Millisecond
 
-// unlimited keeps the client-side rate limit out of the way.
+// unlimited makes the client-side rate limit ineffective.
 var unlimited = ratelimit.Options{
 	RequestsPerSecond: 1e9,
 	Burst:             1e9,
@@ -31,7 +31,7 @@
 	MaximumPause:      shortPause,
 }
 
-// startPlatform starts the stand-in and returns it with its address.
+// startPlatform starts the stand-in for the platform's store and returns it with its address.
 func startPlatform(t *testing.T) (*platform.Server, string) {
 	t.Helper()
 	server := platform.New(platform.Config{Seed: 1})
@@ -90,7 +90,7 @@
 	}}}
 }
 
-// publish proposes and commits one service on top of what is committed.
+// publish proposes and commits one service, based on the committed version.
 func publish(t *testing.T, versions *versionstore.VersionStore, applyID, service string) rollout.Version {
 	t.Helper()
 	proposed, err := versions.Propose(t.Context(), request(applyID, versions.NewestHead().Committed, service))
@@ -110,7 +110,7 @@
 	}
 }
 
-// requireHead reads the head past every cache and compares it.
+// requireHead reads the head with a new client, bypassing caches, and compares it.
 func requireHead(t *testing.T, address string, generation uint64, committed, proposed rollout.Version) {
 	t.Helper()
 	head, _, err := open(dial(t, address)).ReadHead(t.Context(), true)
@@ -122,7 +122,8 @@
 	}
 }
 
-// hookedStore calls before and after around each transaction, with its number from one.
+// hookedStore calls before and after around each transaction, with the
+// transaction's number, counted from one.
 type hookedStore struct {
 	store.Store
 	number        int
--- a/tests/robustness/storeprotocol/model_test.go
+++ b/tests/robustness/storeprotocol/model_test.go
@@ -8,7 +8,7 @@
 	"github.com/levertide/levertide/pkg/rollout"
 )
 
-// action is what a client asked for.
+// action is the operation that a client requested.
 type action uint8
 
 const (
@@ -18,17 +18,17 @@
 	actionAbort
 )
 
-// verdict is what a client was told.
+// verdict is the result that a client got.
 type verdict uint8
 
 const (
-	// verdictDone: it took effect, or the head was read.
+	// verdictDone means that the operation took effect or the head was read.
 	verdictDone verdict = iota
-	// verdictRefused: the head did not allow it.
+	// verdictRefused means that the head did not allow the operation.
 	verdictRefused
-	// verdictNoEffect: it failed and certainly had no effect.
+	// verdictNoEffect means that the operation failed and certainly had no effect.
 	verdictNoEffect
-	// verdictUnknown: it may have taken effect, then or later.
+	// verdictUnknown means that the operation may have taken effect, then or later.
 	verdictUnknown
 )
 
@@ -36,19 +36,19 @@
 type input struct {
 	action  action
 	applyID string
-	// version is the base of a proposal and the subject of a decision.
+	// version is the base of a proposal, or the version to commit or abort.
 	version rollout.Version
 }
 
 type output struct {
 	verdict verdict
-	// version is the number given to a proposal.
+	// version is the version number assigned to a proposal.
 	version rollout.Version
 	// head is what a read returned.
 	head headModel
 }
 
-// headModel is the part of the head that the protocol is about.
+// headModel is the part of the head record that the protocol governs.
 type headModel struct {
 	committed, proposed, highest, rejected rollout.Version
 	applyID                                string
@@ -66,7 +66,7 @@
 	return model.ToModel()
 }
 
-// step returns the heads that may follow, none when the output is impossible.
+// step returns the heads that may follow, or none if the output is impossible.
 func step(head headModel, in input, out output) []any {
 	next, allowed := apply(head, in)
 	switch out.verdict {
@@ -96,7 +96,7 @@
 	return []any{head}
 }
 
-// apply carries an action out, if the head allows it.
+// apply returns the head after an action and whether the head allows the action.
 func apply(head headModel, in input) (headModel, bool) {
 	next := head
 	switch in.action {
--- a/tests/robustness/storeprotocol/outage_test.go
+++ b/tests/robustness/storeprotocol/outage_test.go
@@ -14,7 +14,8 @@
 	"github.com/levertide/levertide/pkg/versionstore"
 )
 
-// The transactions of an apply.
+// proposalTransaction is the number of the transaction, within an apply, that
+// writes the proposal.
 const (
 	proposalTransaction = 2
 )
@@ -38,7 +39,8 @@
 }
 
 // TestStoreDownDuringTheWrite takes the store down between the write of the
-// resources and that of the proposal. Whatever the caller is told must be so.
+// resources and that of the proposal. The result that the caller gets must match
+// the state of the store.
 func TestStoreDownDuringTheWrite(t *testing.T) {
 	for _, outage := range outages {
 		t.Run(string(outage), func(t *testing.T) {
@@ -65,8 +67,8 @@
 	}
 }
 
-// endOutage ends an outage once a few more requests have met it. Refused
-// connections are not seen by the stand-in, so that this one ends by itself.
+// endOutage ends an outage once a few more requests have reached the server. The
+// stand-in does not see refused connections, so that kind of outage ends at once.
 func endOutage(ctx context.Context, server *platform.Server, outage platform.Outage) {
 	const requestsMet = 3
 	target := server.Counters().Total + requestsMet
@@ -79,8 +81,8 @@
 	server.SetFaults(platform.Faults{})
 }
 
-// TestStoreDownAfterTheWrite loses the answer to the proposal and keeps the
-// store down past the time allowed to settle it.
+// TestStoreDownAfterTheWrite drops the answer to the proposal and keeps the store
+// down for longer than the settle timeout.
 func TestStoreDownAfterTheWrite(t *testing.T) {
 	server, address := startPlatform(t)
 	watched := &hookedStore{Store: dial(t, address)}
@@ -115,8 +117,8 @@
 	requireHead(t, address, 1, 0, 1)
 }
 
-// TestStoreSlowerThanTheTimeout makes answers come after the client has given
-// them up, while the writes take effect all the same.
+// TestStoreSlowerThanTheTimeout delays answers past the client's timeout, while
+// the writes still take effect.
 func TestStoreSlowerThanTheTimeout(t *testing.T) {
 	server, address := startPlatform(t)
 	const timeout = 400 * time.Millisecond
@@ -166,9 +168,9 @@
 	requireHead(t, address, 2, 1, 0)
 }
 
-// TestReorderedAnswers reads while the head is written, with answers that
-// arrive in another order than they were given. None may pass for a store
-// that went back.
+// TestReorderedAnswers reads the head while it is written, so that answers may
+// arrive in another order than they were sent. None may be mistaken for a
+// regression of the store.
 func TestReorderedAnswers(t *testing.T) {
 	_, address := startPlatform(t)
 	versions := open(dial(t, address))
