--- a/internal/command/root/root.go
+++ b/internal/command/root/root.go
@@ -1,4 +1,4 @@
-// Package root puts together the command line of levertide.
+// Package root assembles the command line of levertide.
 package root
 
 import (
@@ -28,8 +28,8 @@
 
 Exit codes: 0 accepted, 1 rejected, 2 conflict, 3 unknown, 4 unreachable, 64 usage.`
 
-// Run carries out one command line, without the name of the program, and
-// returns the exit code. Version is the program's own.
+// Run runs one command line, given without the name of the program, and returns
+// the exit code. version is the version of the program.
 func Run(ctx context.Context, arguments []string, version string, out, errorOutput io.Writer) exit.Code {
 	terminal := &console.Console{Out: out, Err: errorOutput}
 	var help bytes.Buffer
@@ -37,7 +37,7 @@
 	if err := command.Parse(arguments); err != nil {
 		return parseFailed(terminal, err, &help)
 	}
-	return ended(terminal, command.Run(ctx), &help)
+	return exitCode(terminal, command.Run(ctx), &help)
 }
 
 func newCommand(terminal *console.Console, version string, help io.Writer) *ffcli.Command {
@@ -57,7 +57,7 @@
 			explain.Command(terminal),
 		},
 		Exec: func(_ context.Context, rest []string) error {
-			return withoutVerb(terminal, *showVersion, version, rest)
+			return runWithoutCommand(terminal, *showVersion, version, rest)
 		},
 	}
 	flags.SetOutput(help)
@@ -67,7 +67,7 @@
 	return command
 }
 
-func withoutVerb(terminal *console.Console, showVersion bool, version string, rest []string) error {
+func runWithoutCommand(terminal *console.Console, showVersion bool, version string, rest []string) error {
 	if showVersion {
 		_, err := fmt.Fprintln(terminal.Out, name, version)
 		return err
@@ -78,16 +78,16 @@
 	return exit.UsageError("name a command: validate, diff, apply, status, history or explain")
 }
 
-// parseFailed shows help where it was asked for, and otherwise what is wrong.
+// parseFailed writes the help if the command line requests it, and otherwise the error.
 func parseFailed(terminal *console.Console, err error, help *bytes.Buffer) exit.Code {
 	if errors.Is(err, flag.ErrHelp) {
 		_, _ = help.WriteTo(terminal.Out)
 		return exit.Accepted
 	}
-	return ended(terminal, exit.UsageError(err.Error()), help)
+	return exitCode(terminal, exit.UsageError(err.Error()), help)
 }
 
-func ended(terminal *console.Console, err error, help *bytes.Buffer) exit.Code {
+func exitCode(terminal *console.Console, err error, help *bytes.Buffer) exit.Code {
 	if errors.Is(err, flag.ErrHelp) {
 		_, _ = help.WriteTo(terminal.Out)
 		return exit.Accepted
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,25 +21,25 @@
 // Version is the program's version, set by the linker.
 var Version = "unknown"
 
-// supervisorTimeout bounds the end of the parts once the calls have ended.
+// supervisorTimeout bounds the shutdown of the services once the calls have ended.
 const supervisorTimeout = 5 * time.Second
 
 // Daemon is one node of the mesh.
 type Daemon struct {
-	settings    settings.Settings
-	log         *telemetry.Log
-	keeper      *identity.Keeper
-	store       *consul.Client
-	node        *control.Node
-	plane       *dataplane.Plane
-	listeners   listeners
-	gate        *gate
-	registry    *telemetry.Registry
-	incarnation uint64
+	settings     settings.Settings
+	log          *telemetry.Log
+	certificates *identity.Reloader
+	store        *consul.Client
+	node         *control.Node
+	plane        *dataplane.Plane
+	listeners    listeners
+	gate         *gate
+	registry     *telemetry.Registry
+	incarnation  uint64
 }
 
-// New opens the listeners and puts the parts together. Nothing runs before Run.
-// It fails with ErrStart, or with the error of the part that cannot work.
+// New opens the listeners and creates the components. Nothing runs before Run.
+// It fails with ErrStart, or with the error of the component that cannot be created.
 func New(s settings.Settings, log *telemetry.Log) (*Daemon, error) {
 	daemon := &Daemon{
 		settings:    s,
@@ -59,8 +59,9 @@
 	return daemon, nil
 }
 
-// Run runs the node until the context ends, and then stops it as planned:
-// calls in flight end first. The error is nil after a planned stop.
+// Run runs the node until the context ends, and then shuts it down gracefully:
+// calls in flight are completed first. The error is nil after a graceful shutdown.
+// Once the context has ended, signal returns the name of the signal that ended it.
 func (d *Daemon) Run(ctx context.Context, signal func() string) error {
 	tuneMemory()
 	d.log.Started(Version, d.settings.Region, d.settings.Zone, d.settings.Service, d.incarnation)
@@ -84,11 +85,12 @@
 	return nil
 }
 
-// supervisor starts a part again when it returns an error. A panic means that an
-// invariant is broken; it ends the process, since the part's state cannot be trusted.
+// supervisor returns a supervisor that restarts a service when it returns an error.
+// A panic means that an invariant is broken; it ends the process, since the state of
+// the service cannot be trusted.
 func (d *Daemon) supervisor() *suture.Supervisor {
 	supervisor := suture.New("levertided", suture.Spec{
-		EventHook:         d.partEvent,
+		EventHook:         d.logPartEvent,
 		PassThroughPanics: true,
 		Timeout:           supervisorTimeout,
 	})
@@ -97,8 +99,8 @@
 	supervisor.Add(d.listeners.call)
 	supervisor.Add(d.listeners.admin)
 	supervisor.Add(&readiness{daemon: d})
-	if d.keeper != nil {
-		supervisor.Add(d.keeper)
+	if d.certificates != nil {
+		supervisor.Add(d.certificates)
 	}
 	if d.settings.WorkerAddress != "" {
 		supervisor.Add(newWorkerProbe(d.settings.WorkerAddress, d.plane.WorkerStarted, d.log))
@@ -106,7 +108,7 @@
 	return supervisor
 }
 
-func (d *Daemon) partEvent(event suture.Event) {
+func (d *Daemon) logPartEvent(event suture.Event) {
 	switch failed := event.(type) {
 	case suture.EventServiceTerminate:
 		d.log.PartFailed(failed.ServiceName, failed.Map()["error"].(string))
@@ -124,7 +126,7 @@
 		Seeds:             d.settings.Seeds,
 		FanOut:            d.settings.FanOut,
 		Hold:              d.settings.Hold,
-		UnresponsiveBound: d.settings.SilentBound,
+		UnresponsiveBound: d.settings.UnresponsiveBound,
 		Listener:          d.listeners.control,
 		Dial:              dialer(d.settings.Source()),
 		Store:             d.store,
@@ -132,9 +134,9 @@
 		Validate:          d.validate,
 		Events:            d.log,
 	}
-	if d.keeper != nil {
-		config.TLS = d.keeper.Mutual(identity.RoleNode, identity.RoleOperator)
-		config.ClientTLS = d.keeper.Client()
+	if d.certificates != nil {
+		config.TLS = d.certificates.Mutual(identity.RoleNode, identity.RoleOperator)
+		config.ClientTLS = d.certificates.Client()
 		config.VerifySender = verifySender
 	}
 	node, err := control.New(config)
@@ -154,8 +156,8 @@
 		Dial:          dialer(d.settings.Source()),
 		Observer:      telemetry.NewCallObserver(d.registry.Registerer(), d.log),
 	}
-	if d.keeper != nil {
-		config.PeerTLS = d.keeper.Client()
+	if d.certificates != nil {
+		config.PeerTLS = d.certificates.Client()
 	}
 	plane, err := dataplane.New(config)
 	d.plane = plane
@@ -169,12 +171,12 @@
 		Region:         d.settings.Region,
 		Zone:           d.settings.Zone,
 		Service:        d.settings.Service,
-		ControlAddress: firstGiven(d.settings.AdvertiseControlAddress, d.listeners.control.Addr().String()),
-		CallAddress:    firstGiven(d.settings.AdvertiseCallAddress, d.listeners.call.address),
+		ControlAddress: firstNonEmpty(d.settings.AdvertiseControlAddress, d.listeners.control.Addr().String()),
+		CallAddress:    firstNonEmpty(d.settings.AdvertiseCallAddress, d.listeners.call.address),
 	}
 }
 
-func firstGiven(candidates ...string) string {
+func firstNonEmpty(candidates ...string) string {
 	for _, candidate := range candidates {
 		if candidate != "" {
 			return candidate
@@ -183,7 +185,7 @@
 	return ""
 }
 
-// validate decides whether this node can run a version.
+// validate returns an error if this node cannot run a version.
 func (d *Daemon) validate(candidate *snapshot.Snapshot) error {
 	limits := validation.DefaultLimits()
 	limits.MaxResources = d.settings.MaxResources
@@ -193,7 +195,7 @@
 	return d.plane.Validate(candidate)
 }
 
-// reading is the state that a scrape of the metrics sees.
+// reading returns the state that a scrape of the metrics reports.
 func (d *Daemon) reading() telemetry.Reading {
 	ready, _ := d.node.Readiness()
 	reading := telemetry.Reading{Ready: ready, Counters: d.node.Counters()}
@@ -205,9 +207,9 @@
 }
 
 func (d *Daemon) setHandlers() {
-	d.listeners.caller.make = func() *http.Server { return d.gated(d.plane.CallerServer()) }
-	d.listeners.call.make = func() *http.Server { return d.gated(d.plane.PeerServer()) }
-	d.listeners.admin.make = d.adminServer
+	d.listeners.caller.newHTTPServer = func() *http.Server { return d.gated(d.plane.CallerServer()) }
+	d.listeners.call.newHTTPServer = func() *http.Server { return d.gated(d.plane.PeerServer()) }
+	d.listeners.admin.newHTTPServer = d.adminServer
 }
 
 func (d *Daemon) gated(web *http.Server) *http.Server {
--- a/internal/daemon/worker.go
+++ b/internal/daemon/worker.go
@@ -17,24 +17,26 @@
 	probeBodyBytes = 1 << 10
 )
 
-// workerProbe asks the worker's health endpoint at a steady pace. The answer is
-// a hint only: it is written to the event log, and a worker that comes back
-// begins its slow start. It is a suture service.
+// workerProbe polls the worker's health endpoint. The result is only a hint: changes
+// are written to the event log, and a worker that is healthy again begins its slow
+// start. It is a suture service.
 type workerProbe struct {
-	target  string
-	started func()
-	log     *telemetry.Log
-	client  *http.Client
+	url string
+	// onRestart is called when the worker is healthy again.
+	onRestart func()
+	log       *telemetry.Log
+	client    *http.Client
+	// known is false until the first probe has ended.
 	known   bool
 	healthy bool
 }
 
 func newWorkerProbe(address string, started func(), log *telemetry.Log) *workerProbe {
 	return &workerProbe{
-		target:  "http://" + address + probePath,
-		started: started,
-		log:     log,
-		client:  &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		url:       "http://" + address + probePath,
+		onRestart: started,
+		log:       log,
+		client:    &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
@@ -43,7 +45,7 @@
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		p.update(p.ask(ctx))
+		p.update(p.probe(ctx))
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -52,8 +54,8 @@
 	}
 }
 
-func (p *workerProbe) ask(ctx context.Context) (healthy bool, reason string) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.target, nil)
+func (p *workerProbe) probe(ctx context.Context) (healthy bool, reason string) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
 		return false, err.Error()
 	}
@@ -70,13 +72,13 @@
 	if p.known && p.healthy == healthy {
 		return
 	}
-	cameBack := p.known && healthy
+	recovered := p.known && healthy
 	p.known, p.healthy = true, healthy
 	p.log.WorkerHealth(healthy, reason)
-	if cameBack {
-		p.started()
+	if recovered {
+		p.onRestart()
 	}
 }
 
-// String names the part in events.
+// String returns the name used in log events.
 func (p *workerProbe) String() string { return "worker probe" }
--- a/internal/dataplane/suspects.go
+++ b/internal/dataplane/suspects.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/levertide/levertide/internal/evidencewire"
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 	"github.com/levertide/levertide/pkg/quarantine"
 )
@@ -61,7 +61,7 @@
 		Body:       c.body.buffered,
 		BodyLength: int64(len(c.body.buffered)),
 	}
-	for _, name := range httpleg.CredentialHeaders {
+	for _, name := range httpconn.CredentialHeaders {
 		request.Credentials = append(request.Credentials, c.request.Header.Get(name))
 	}
 	if c.tenant != "" {
@@ -118,11 +118,11 @@
 	if p.config.Quarantine.Empty() || !p.evidenceSent.due(address, now) {
 		return
 	}
-	header[evidenceHeader] = []string{evidencewire.Header(p.config.Quarantine, now)}
+	header[evidenceHeader] = []string{evidencewire.EncodeHeader(p.config.Quarantine, now)}
 }
 
 // receiveEvidence adopts the evidence that another node sent in the header of a call or of an
 // answer.
 func (p *Plane) receiveEvidence(header http.Header) {
-	evidencewire.TakeHeader(p.config.Quarantine, header.Get(evidenceHeader), time.Now())
+	evidencewire.MergeHeader(p.config.Quarantine, header.Get(evidenceHeader), time.Now())
 }
--- a/internal/forwarding/body.go
+++ b/internal/forwarding/body.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/pkg/outcome"
 )
 
@@ -87,12 +87,12 @@
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(end)
 	body := &requestBody{length: r.ContentLength}
-	held, whole, err := readHead(r.Body, r.ContentLength)
+	held, complete, err := readHead(r.Body, r.ContentLength)
 	if err != nil {
 		return nil, outcome.Wrap(outcome.BodyNotReceived, err)
 	}
 	body.held = held
-	if !whole {
+	if !complete {
 		body.rest = r.Body
 		// An answer that begins before the body has ended must not wait for the rest of it.
 		_ = control.EnableFullDuplex()
@@ -105,7 +105,7 @@
 }
 
 // readHead reads up to bufferedBody bytes, and reports whether that was the complete body.
-func readHead(source io.Reader, length int64) (held []byte, whole bool, err error) {
+func readHead(source io.Reader, length int64) (held []byte, complete bool, err error) {
 	if length > 0 && length <= bufferedBody {
 		held = make([]byte, length)
 		if _, err = io.ReadFull(source, held); err != nil {
@@ -201,12 +201,12 @@
 		}
 		// The transport writes the body of a reader of this kind together with the head.
 		out.Body = io.NopCloser(bytes.NewReader(b.held))
-	case httpleg.NeedsContentLength(out.Method):
+	case httpconn.NeedsContentLength(out.Method):
 		out.Body = nil
-		httpleg.HideIdempotencyKey(out.Header)
+		httpconn.HideIdempotencyKey(out.Header)
 	default:
-		out.Body = httpleg.EmptyBody{}
-		out.TransferEncoding = httpleg.IdentityEncoding
+		out.Body = httpconn.EmptyBody{}
+		out.TransferEncoding = httpconn.IdentityEncoding
 	}
 	return nil
 }
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/levertide/levertide/internal/httpleg"
+	"github.com/levertide/levertide/internal/httpconn"
 	"github.com/levertide/levertide/internal/sidecar"
 )
 
@@ -75,8 +75,8 @@
 	if request.Body == nil {
 		// When its connection breaks, net/http would by itself send a request without a
 		// body again, under the same id, which callers must not do.
-		request.Body = httpleg.EmptyBody{}
-		request.TransferEncoding = httpleg.IdentityEncoding
+		request.Body = httpconn.EmptyBody{}
+		request.TransferEncoding = httpconn.IdentityEncoding
 	}
 	request.Host = hostName
 	request.Header.Set(dialect.RequestID, id)
