--- a/internal/command/root/apply_test.go
+++ b/internal/command/root/apply_test.go
@@ -236,8 +236,9 @@
 	m.apply(t, ledger, "--after-restore", "--node", m.node.address).want(t, exit.Conflict, "the store is not behind the nodes")
 }
 
-// In a restored store in which another apply has been committed since, the head can
-// have the generation of the nodes' head, or a higher one, although the histories differ.
+// TestApplyAfterTheStoreHistoryDiverged applies to a restored store in which another
+// apply has been committed since: its head can have the generation of the nodes' head,
+// or a higher one, although the histories differ.
 func TestApplyAfterTheStoreHistoryDiverged(t *testing.T) {
 	m := newMesh(t)
 	m.publish(t, "other")
